--- a/hawthornspoke/spread/_answers.py
+++ b/hawthornspoke/spread/_answers.py
@@ -5,7 +5,7 @@
 from hawthornspoke.protocol import Chunk, Frame, Holdings
 
 
-class Answers:
+class PeerResponder:
     """Answers peers through the queue of pieces.
 
     Parameters
@@ -20,7 +20,7 @@
         self._weights_by_name = weights_by_name
         self._uploads = uploads
 
-    def piece(self, link, frame):
+    def send_piece(self, link, frame):
         """Send a piece, or why there is none."""
         weights = self._weights_by_name.get(frame.chunk_ask.digest)
         data = weights.get(frame.chunk_ask.index) if weights is not None else None
@@ -32,7 +32,7 @@
             chunk = Chunk(data=data)
         self._uploads.put(link, Frame(call=-frame.call, chunk=chunk))
 
-    def holdings(self, link, frame):
+    def send_holdings(self, link, frame):
         """Tell which pieces of some weights are here."""
         weights = self._weights_by_name.get(frame.holdings_ask.digest)
         held = weights.held() if weights is not None else ()
--- a/hawthornspoke/spread/_changeover.py
+++ b/hawthornspoke/spread/_changeover.py
@@ -13,14 +13,14 @@
 #: Seconds before the bound of its weights from which an engine gets no new requests:
 #: what has not begun is withdrawn, and entry hosts reckon with the time to the first
 #: token before that.
-LAST_ORDER = 0.6
+DISPATCH_CUTOFF = 0.6
 
 #: Groups that change one after the other at the most. More would leave a host without
 #: the new version for longer, and save less of the fleet each.
-MOST_GROUPS = 4
+MAX_GROUPS = 4
 
 
-def order_time(*, held_at, too_old_at, position):
+def order_time(*, complete_at, expires_at, position):
     """Return when an engine that answers is to be ordered.
 
     The groups are spread over the time until the older weights may answer no more, but
@@ -28,9 +28,9 @@
 
     Parameters
     ----------
-    held_at : float
+    complete_at : float
         When all pieces were there.
-    too_old_at : float
+    expires_at : float
         When the engine's weights may no longer begin to answer.
     position : int
         Number of this host in its failure domain, from 0.
@@ -38,9 +38,9 @@
     Returns
     -------
     float
-        On the clock of both moments, ``held_at`` at the least.
+        On the clock of both moments, ``complete_at`` at the least.
     """
-    span = max(0.0, too_old_at - LAST_ORDER - held_at)
-    groups = min(MOST_GROUPS, 2 + int(span / CHANGE_TIME))
+    span = max(0.0, expires_at - DISPATCH_CUTOFF - complete_at)
+    groups = min(MAX_GROUPS, 2 + int(span / CHANGE_TIME))
     pause = min(CHANGE_TIME, span / (groups - 1))
-    return held_at + pause * (position % groups)
+    return complete_at + pause * (position % groups)
--- a/hawthornspoke/spread/_delivery.py
+++ b/hawthornspoke/spread/_delivery.py
@@ -4,27 +4,27 @@
 import random
 
 from hawthornspoke.base import Failure, contact_clock, is_failure
-from hawthornspoke.spread._exchange import Exchange
+from hawthornspoke.spread._exchange import PieceExchange
 from hawthornspoke.spread._installer import Installer
 from hawthornspoke.spread._manifests import Manifests
 from hawthornspoke.spread._stock import Weights, weights_name
 from hawthornspoke.spread._upgrade import (
+    CancelTransfer,
     EngineRestarted,
-    Forget,
     Install,
     InstallEnded,
-    PiecesHeld,
-    Transfer,
+    PiecesComplete,
+    StartTransfer,
     Upgrade,
 )
 
 #: Seconds between two tries to read a list of digests, drawn at random between these.
 #: Two hosts of each region try, and pieces can't be asked for before.
-MANIFEST_PAUSE = (0.1, 0.2)
+MANIFEST_RETRY_DELAY = (0.1, 0.2)
 
 #: Versions whose pieces are kept in memory besides those that are wanted: peers
 #: that are late still ask for them.
-OLD_VERSIONS_KEPT = 1
+MAX_OLD_VERSIONS = 1
 
 #: How an install ends whose engine has started again, or whose agent stops.
 INSTALL_CANCELLED = Failure(code="install_cancelled")
@@ -40,13 +40,13 @@
         See ``Agent``.
     log : EventLog
     metrics : Metrics
-    engine_seen : callable
-        Returns the EngineSeen of the last look.
+    last_observation : callable
+        Returns the EngineObserved of the last look.
     look : coroutine function
         Looks at the engine now.
     is_serving : callable
         Tells whether the engine answers requests now.
-    on_notice : callable
+    on_order_pending : callable
         See ``Installer``.
 
     Attributes
@@ -62,8 +62,8 @@
         "installer",
         "_log",
         "_metrics",
-        "_engine_seen",
-        "_look",
+        "_last_observation",
+        "_observe_engine",
         "_weights_by_version",
         "_tasks",
     )
@@ -76,29 +76,31 @@
         origin,
         log,
         metrics,
-        engine_seen,
-        look,
+        last_observation,
+        observe_engine,
         is_serving,
-        on_notice,
+        on_order_pending,
     ):
         self.model = None
         self.upgrade = Upgrade()
-        self.exchange = Exchange(
+        self.exchange = PieceExchange(
             settings=settings,
             origin=origin,
             log=log,
             metrics=metrics,
             on_piece=self._on_piece,
-            on_whole=self._on_whole,
-            on_distrusted=self._on_distrusted,
+            on_complete=self._on_complete,
+            on_digests_rejected=self._on_digests_rejected,
             is_serving=is_serving,
         )
         self.manifests = Manifests(origin=origin, exchange=self.exchange, log=log)
-        self.installer = Installer(engine=engine, log=log, on_notice=on_notice)
+        self.installer = Installer(
+            engine=engine, log=log, on_order_pending=on_order_pending
+        )
         self._log = log
         self._metrics = metrics
-        self._engine_seen = engine_seen
-        self._look = look
+        self._last_observation = last_observation
+        self._observe_engine = observe_engine
         self._weights_by_version = {}
         self._tasks = {}
 
@@ -111,21 +113,21 @@
         """Step the plan and carry out what it decides."""
         # A declaration binds also while this host is suspended.
         for outcome in self.upgrade.step(message, now=contact_clock()):
-            if isinstance(outcome, Transfer):
-                self._begin(f"get {outcome.version}", self._get(outcome))
-            elif isinstance(outcome, Forget):
+            if isinstance(outcome, StartTransfer):
+                self._start_task(f"get {outcome.version}", self._fetch_version(outcome))
+            elif isinstance(outcome, CancelTransfer):
                 self._drop(outcome.version)
             elif isinstance(outcome, Install):
-                self._begin_install(outcome.version)
+                self._start_install(outcome.version)
 
-    def begin_anew(self):
+    def reset_engine(self):
         """Give up what was for the start of the engine that is over.
 
         What was staged may be gone, and the order that a running install waits for
         is known to nobody; without this it is waited for as long as the slowest
         engine may take to load.
         """
-        self.installer.forget()
+        self.installer.reset()
         install = self.install
         if install is not None:
             install.cancel()
@@ -136,77 +138,77 @@
         for task in self._tasks.values():
             task.cancel()
 
-    def _begin(self, name, coroutine):
+    def _start_task(self, name, coroutine):
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks[name] = task
-        task.add_done_callback(lambda done: self._end(name, done))
+        task.add_done_callback(lambda done: self._on_task_done(name, done))
         return task
 
-    def _begin_install(self, version):
-        task = self._begin("install", self._install(version))
+    def _start_install(self, version):
+        task = self._start_task("install", self._install(version))
         # Not at the end of the task itself: one that a restart of the engine cancels
         # before its first step runs none of it, and one that is cancelled in its last
         # look no more of it. Were the end not told, no version would be installed.
         ended = InstallEnded(version=version)
         task.add_done_callback(lambda _: self.step(ended))
 
-    def _end(self, name, task):
+    def _on_task_done(self, name, task):
         if self._tasks.get(name) is task:
             del self._tasks[name]
         if not task.cancelled() and task.exception() is not None:
             self._log.change("task_failed", task=name, error=repr(task.exception()))
 
-    async def _get(self, transfer, distrusted=None):
+    async def _fetch_version(self, transfer, rejected=None):
         """Get a version; pieces of one whose digests were wrong are checked anew."""
         version = transfer.version
         weights = self._weights_by_version.get(version)
         if weights is None:
-            digests = await self._manifest(version)
+            digests = await self._fetch_manifest(version)
             weights = Weights(model=self.model, version=version, digests=digests)
             self._weights_by_version[version] = weights
-            for index in distrusted.held() if distrusted is not None else ():
-                weights.put(index, distrusted.get(index))
+            for index in rejected.held() if rejected is not None else ():
+                weights.put(index, rejected.get(index))
             found = await self.installer.recover(weights)
             self._log.change("transfer", version=version, found_staged=found)
-            self._trim()
-        self.exchange.want(weights, priority=transfer.priority)
+            self._evict_old_versions()
+        self.exchange.start_transfer(weights, priority=transfer.priority)
 
-    async def _manifest(self, version):
+    async def _fetch_manifest(self, version):
         while True:
             digests = await self.manifests.get(self.model, version)
             if not is_failure(digests):
                 return digests
             self._log.decision("manifest_failed", version=version, reason=str(digests))
-            await asyncio.sleep(random.uniform(*MANIFEST_PAUSE))
+            await asyncio.sleep(random.uniform(*MANIFEST_RETRY_DELAY))
 
-    def _on_distrusted(self, weights):
+    def _on_digests_rejected(self, weights):
         self._log.change("digests_distrusted", weights=weights.name)
         self._weights_by_version.pop(weights.version, None)
-        self.exchange.forget(weights.name)
-        self.manifests.distrust(weights.name)
-        transfer = Transfer(version=weights.version, priority=0)
-        again = self._get(transfer, distrusted=weights)
-        self._begin(f"get {weights.version}", again)
+        self.exchange.evict(weights.name)
+        self.manifests.reject(weights.name)
+        transfer = StartTransfer(version=weights.version, priority=0)
+        again = self._fetch_version(transfer, rejected=weights)
+        self._start_task(f"get {weights.version}", again)
 
     def _on_piece(self, weights, index):
         if weights.version == self._stage_target():
-            self._begin(f"stage {index}", self.installer.stage(weights, index))
+            self._start_task(f"stage {index}", self.installer.stage(weights, index))
 
     def _stage_target(self):
         """Return the version whose pieces lie at the engine: one at a time."""
         if "install" in self._tasks:
             return None
-        current = self._engine_seen()
+        current = self._last_observation()
         for version in self.upgrade.targets():
-            if version > (current.version or 0) or not current.whole:
+            if version > (current.version or 0) or not current.is_complete:
                 return version
         return None
 
-    def _on_whole(self, weights):
+    def _on_complete(self, weights):
         self._log.change(
             "pieces_whole", weights=weights.name, bytes=self._metrics.dump()
         )
-        self.step(PiecesHeld(version=weights.version))
+        self.step(PiecesComplete(version=weights.version))
 
     async def _install(self, version):
         weights = self._weights_by_version.get(version)
@@ -214,15 +216,15 @@
         try:
             if weights is not None:
                 failure = await self.installer.install(
-                    weights, is_due=lambda: self._is_due(version)
+                    weights, is_order_valid=lambda: self._is_order_valid(version)
                 )
         finally:
             self._log.change("install_ended", version=version, failure=str(failure))
             # The next plan must see what the engine holds now, not a moment ago.
-            await self._look()
+            await self._observe_engine()
 
-    def _is_due(self, version):
-        return self.upgrade.is_due(version, now=contact_clock())
+    def _is_order_valid(self, version):
+        return self.upgrade.is_order_valid(version, now=contact_clock())
 
     def _drop(self, version):
         task = self._tasks.get(f"get {version}")
@@ -231,9 +233,9 @@
         self.exchange.drop(weights_name(self.model, version))
         self._log.change("transfer_dropped", version=version)
 
-    def _trim(self):
+    def _evict_old_versions(self):
         wanted = set(self.upgrade.targets())
-        spare = sorted(set(self._weights_by_version) - wanted)
-        for version in spare[:-OLD_VERSIONS_KEPT]:
+        unused = sorted(set(self._weights_by_version) - wanted)
+        for version in unused[:-MAX_OLD_VERSIONS]:
             weights = self._weights_by_version.pop(version)
-            self.exchange.forget(weights.name)
+            self.exchange.evict(weights.name)
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -9,31 +9,31 @@
 from hawthornspoke.peering import is_usable
 from hawthornspoke.protocol import DeclaredAge, DirectiveAsk, Frame
 from hawthornspoke.spread._peers import Peer
-from hawthornspoke.spread._upgrade import Named, Placed
+from hawthornspoke.spread._upgrade import PositionAssigned, VersionDeclared
 
 #: Seconds without an entry host after which the agent reads the platform itself.
-ALONE_AFTER = 2.0
-READ_ALONE_EVERY = 2.0
+DIRECT_READ_AFTER = 2.0
+DIRECT_READ_INTERVAL = 2.0
 
 #: Seconds that an agent waits for entry hosts where all hosts start for the first
 #: time: its neighbours know nothing either, and were it to read the platform with all
 #: the others, that would be four calls of each of 156 agents.
-FIRST_START_PATIENCE = 6.0
+FIRST_START_DELAY = 6.0
 
 #: Seconds that the pause between two introductions grows to: who found neighbours that
 #: know nothing hears of it by an entry host as soon as there is one.
-LONGEST_INTRODUCTION_PAUSE = 8.0
+MAX_BOOTSTRAP_INTERVAL = 8.0
 
 #: Neighbours that a new agent asks what they were told, one after the other, and
 #: seconds for each.
-INTRODUCED_BY = 3
-INTRODUCTION_TIME = 0.4
+BOOTSTRAP_PEERS = 3
+BOOTSTRAP_TIMEOUT = 0.4
 
 #: Share of a link that pieces really get beside the rest, over a whole transfer.
-LINK_SHARE = 0.82
+TRANSFER_LINK_SHARE = 0.82
 
 #: Seconds beyond a version's bound for which its age is told to entry hosts.
-TELL_BEYOND_BOUND = 2.0
+REPORT_BEYOND_BOUND = 2.0
 
 
 class Directives:
@@ -82,7 +82,7 @@
         self._arrived_after = arrived_after
         self._directive = None
 
-    def take(self, link, directive):
+    def receive(self, link, directive):
         """Take the word of the sender at the other end of a connection.
 
         Parameters
@@ -98,56 +98,59 @@
         if not is_usable(directive):
             self._log.change("directive_unusable", directive=str(directive)[:200])
             return False
-        self._entry_links.take(link, directive)
+        self._entry_links.receive(link, directive)
         if directive.peers is not None:
-            self._take_directive(directive)
+            self._apply_directive(directive)
         elif self._directive is not None:
-            self._take_version(directive)
+            self._apply_version(directive)
         return True
 
-    async def introduce(self):
+    async def bootstrap(self):
         """Ask neighbours what they were told, until an entry host tells it.
 
         An engine registers itself a second after its host started, and only then do
         entry hosts know of this agent; a second of a transfer of five.
         """
         if self._settings.first_start:
-            await asyncio.sleep(FIRST_START_PATIENCE)
-        pause = READ_ALONE_EVERY
+            await asyncio.sleep(FIRST_START_DELAY)
+        pause = DIRECT_READ_INTERVAL
         while self._directive is None:
             peers = await self._read_alone.peers()
             if is_failure(peers):
                 self._log.decision("introduction_failed", reason=peers.reason)
                 peers = []
-            near = [
+            local = [
                 peer
                 for peer in peers
                 if peer.failure_domain == self._settings.failure_domain
                 and peer.address != self._settings.engine_address
             ]
-            for peer in random.sample(near, min(INTRODUCED_BY, len(near))):
-                if await self._ask_directive(peer, peers):
+            for peer in random.sample(local, min(BOOTSTRAP_PEERS, len(local))):
+                if await self._request_directive(peer, peers):
                     return
             await asyncio.sleep(pause * random.uniform(0.8, 1.2))
-            pause = min(2 * pause, LONGEST_INTRODUCTION_PAUSE)
+            pause = min(2 * pause, MAX_BOOTSTRAP_INTERVAL)
 
     async def read_alone(self):
         """Read the platform while no entry host is connected, until cancelled."""
         if self._settings.first_start:
-            await asyncio.sleep(FIRST_START_PATIENCE)
+            await asyncio.sleep(FIRST_START_DELAY)
         while True:
-            await asyncio.sleep(READ_ALONE_EVERY * random.uniform(0.8, 1.2))
-            untold_since = self._entry_links.untold_since
-            if untold_since is None or monotonic() < untold_since + ALONE_AFTER:
+            await asyncio.sleep(DIRECT_READ_INTERVAL * random.uniform(0.8, 1.2))
+            no_reader_since = self._entry_links.no_reader_since
+            if (
+                no_reader_since is None
+                or monotonic() < no_reader_since + DIRECT_READ_AFTER
+            ):
                 continue
             directive = await self._read_alone(self._directive)
             if is_failure(directive):
                 self._log.change("platform_lost", reason=directive.reason)
             else:
                 self._log.decision("read_alone", version=directive.weights_version)
-                self._take_directive(directive)
+                self._apply_directive(directive)
 
-    def answer(self, link, frame):
+    def respond(self, link, frame):
         """Tell a new agent what this one was told."""
         known = copy.copy(self._directive)
         if known is not None:
@@ -163,7 +166,7 @@
         Its bounds are over soon after a declaration; older ones need no date.
         """
         now = contact_clock()
-        youngest = now - self._upgrade.version_bound - TELL_BEYOND_BOUND
+        youngest = now - self._upgrade.version_bound - REPORT_BEYOND_BOUND
         return [
             DeclaredAge(
                 version=version,
@@ -174,12 +177,12 @@
             )
         ]
 
-    async def _ask_directive(self, peer, peers):
+    async def _request_directive(self, peer, peers):
         ask = DirectiveAsk(failure_domain=self._settings.failure_domain)
         answer = await self._exchange.ask_at(
             peer.address.rpartition(":")[0],
             Frame(directive_ask=ask),
-            timeout=INTRODUCTION_TIME,
+            timeout=BOOTSTRAP_TIMEOUT,
         )
         if is_failure(answer) or answer.directive is None or self._directive:
             return self._directive is not None
@@ -187,20 +190,22 @@
         if not is_usable(answer.directive):
             return False
         self._log.change("introduced", peer=peer.address)
-        self._take_directive(answer.directive)
+        self._apply_directive(answer.directive)
         return True
 
-    def _take_directive(self, directive):
+    def _apply_directive(self, directive):
         self._directive = directive
         self._delivery.model = directive.model
         self._exchange.origin_address = directive.origin_address
         size = directive.pieces * directive.piece_bytes
-        self._upgrade.transfer_time = size / (self._settings.link_rate * LINK_SHARE)
+        self._upgrade.transfer_time = size / (
+            self._settings.link_rate * TRANSFER_LINK_SHARE
+        )
         self._upgrade.version_bound = directive.version_bound_ms / 1000
         self._set_peers(directive.peers or ())
-        self._take_version(directive)
+        self._apply_version(directive)
 
-    def _take_version(self, directive):
+    def _apply_version(self, directive):
         arrived_after = self._arrived_after()
         version = directive.weights_version
         age = None if directive.age_ms is None else directive.age_ms / 1000
@@ -212,9 +217,9 @@
             else arrived_after - age - self._entry_links.delay(),
             heard_by=contact_clock(),
         )
-        named = Named(
+        named = VersionDeclared(
             version=version,
-            at=arrived_after - (age or 0.0),
+            declared_at=arrived_after - (age or 0.0),
             is_dated=age is not None,
         )
         self._delivery.step(named)
@@ -244,5 +249,5 @@
             for name, peer in by_name.items()
             if peer.failure_domain == self._settings.failure_domain
         )
-        self._delivery.step(Placed(position=neighbours.index(own)))
+        self._delivery.step(PositionAssigned(position=neighbours.index(own)))
         self._exchange.set_peers(by_name)
--- a/hawthornspoke/spread/_evidence.py
+++ b/hawthornspoke/spread/_evidence.py
@@ -20,7 +20,7 @@
         self.exchange = EvidenceExchange()
         self._links = set()
 
-    def take(self, link, frame):
+    def receive(self, link, frame):
         """Take what an entry host saw, and tell all others what follows.
 
         Parameters
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -5,11 +5,11 @@
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.peering import CLOSED
 from hawthornspoke.protocol import Announce, Frame, HoldingsAsk
-from hawthornspoke.spread._answers import Answers, pack_indices, unpack_indices
-from hawthornspoke.spread._fetches import PEER_SLOTS, Fetches
+from hawthornspoke.spread._answers import PeerResponder, pack_indices, unpack_indices
+from hawthornspoke.spread._fetches import PEER_SLOTS, PieceFetcher
 from hawthornspoke.spread._peer_links import PeerLinks
 from hawthornspoke.spread._peers import Peers
-from hawthornspoke.spread._uploads import PIECE_TIMEOUT, Uploads
+from hawthornspoke.spread._uploads import PIECE_TIMEOUT, UploadQueue
 from hawthornspoke.swarm import (
     AnnounceChunks,
     Announced,
@@ -27,16 +27,16 @@
 
 #: Seconds over which new pieces are told in one message. A piece takes 50 ms on
 #: the narrowest link, so this is news of two or three pieces.
-ANNOUNCE_EVERY = 0.08
+ANNOUNCE_INTERVAL = 0.08
 
 #: The same for each host of the own region, all of which tell each other. What a host
 #: hears grows with their number: with 44 hosts and 0.08 s it was a fifth of the
 #: narrowest link, and engines there could not be reached. This keeps it at 170
 #: messages a second.
-ANNOUNCE_EVERY_HOST = 0.006
+ANNOUNCE_INTERVAL_PER_HOST = 0.006
 
 #: Seconds without news after which the next owner reads a piece from the origin.
-STALL_AFTER = 1.2
+STALL_TIMEOUT = 1.2
 
 #: Seconds between two questions of one host to an origin that refuses: an outage ends
 #: unannounced, and each second until it is noticed is one without weights.
@@ -48,7 +48,7 @@
 ORIGIN_SLOTS = 1
 
 
-class Exchange:
+class PieceExchange:
     """The swarm machine's shell.
 
     Parameters
@@ -60,9 +60,9 @@
     metrics : Metrics
     on_piece : callable
         Called with the Weights and an index when a piece is here.
-    on_whole : callable
+    on_complete : callable
         Called with the Weights when all are.
-    on_distrusted : callable
+    on_digests_rejected : callable
         Called with the Weights if their digests seem to be wrong.
     is_serving : callable
         Tells whether the engine answers requests now.
@@ -73,12 +73,12 @@
         "weights_by_name",
         "_settings",
         "_log",
-        "_on_whole",
+        "_on_complete",
         "_peers",
         "_links",
         "_uploads",
-        "_answers",
-        "_fetches",
+        "_responder",
+        "_fetcher",
         "_tasks",
     )
 
@@ -90,14 +90,14 @@
         log,
         metrics,
         on_piece,
-        on_whole,
-        on_distrusted,
+        on_complete,
+        on_digests_rejected,
         is_serving,
     ):
         self.swarm = Swarm(
             node=settings.engine_address,
-            announce_every=ANNOUNCE_EVERY,
-            stall_after=STALL_AFTER,
+            announce_every=ANNOUNCE_INTERVAL,
+            stall_after=STALL_TIMEOUT,
             avoid_for=0.4,
             origin_avoid_for=ORIGIN_AVOID_FOR,
             peer_slots=PEER_SLOTS,
@@ -106,14 +106,14 @@
         self.weights_by_name = {}
         self._settings = settings
         self._log = log
-        self._on_whole = on_whole
+        self._on_complete = on_complete
         self._peers = Peers(settings=settings)
         self._links = PeerLinks(on_frame=self.on_frame)
-        self._uploads = Uploads(link_rate=settings.link_rate, is_serving=is_serving)
-        self._answers = Answers(
+        self._uploads = UploadQueue(link_rate=settings.link_rate, is_serving=is_serving)
+        self._responder = PeerResponder(
             weights_by_name=self.weights_by_name, uploads=self._uploads
         )
-        self._fetches = Fetches(
+        self._fetcher = PieceFetcher(
             swarm=self.swarm,
             step=self._step,
             weights_by_name=self.weights_by_name,
@@ -123,18 +123,18 @@
             log=log,
             metrics=metrics,
             on_piece=on_piece,
-            on_distrusted=on_distrusted,
+            on_digests_rejected=on_digests_rejected,
         )
         self._tasks = set()
 
     @property
     def origin_address(self):
         """Where the origin is, None if nobody has told."""
-        return self._fetches.origin_address
+        return self._fetcher.origin_address
 
     @origin_address.setter
     def origin_address(self, address):
-        self._fetches.origin_address = address
+        self._fetcher.origin_address = address
 
     async def run(self, ticks):
         """Step the machine as time passes.
@@ -181,7 +181,7 @@
         """Take who exchanges these weights; this host is one of them."""
         self._peers.peer_by_name = peer_by_name
         self.swarm.announce_every = max(
-            ANNOUNCE_EVERY, ANNOUNCE_EVERY_HOST * len(self.region_nodes())
+            ANNOUNCE_INTERVAL, ANNOUNCE_INTERVAL_PER_HOST * len(self.region_nodes())
         )
         for name in list(self.swarm.by_digest):
             self._step(
@@ -192,7 +192,7 @@
                 )
             )
 
-    def want(self, weights, *, priority):
+    def start_transfer(self, weights, *, priority):
         """Get the missing pieces of some weights."""
         self.weights_by_name[weights.name] = weights
         self._step(
@@ -208,10 +208,10 @@
                 origin_copies=self._settings.origin_copies,
             )
         )
-        if not weights.whole:
-            self._ask_neighbours(weights.name)
+        if not weights.is_complete:
+            self._request_region_holdings(weights.name)
 
-    def _ask_neighbours(self, name):
+    def _request_region_holdings(self, name):
         """Ask every host of the own region what it holds.
 
         A host that comes when others have the weights already hears no news of
@@ -224,13 +224,13 @@
                 ask = AskHoldings(
                     digest=name, node=node, address=peer.address, port=peer.port
                 )
-                self.spawn(self._ask_holdings(ask))
+                self.spawn(self._request_holdings(ask))
 
     def drop(self, name):
         """Stop getting some weights; what is here can still be asked for."""
         self._step(Drop(digest=name))
 
-    def forget(self, name):
+    def evict(self, name):
         """Free the memory of some weights."""
         self.drop(name)
         self.weights_by_name.pop(name, None)
@@ -238,11 +238,11 @@
     def on_frame(self, link, frame):
         """Answer a peer."""
         if frame.announce is not None:
-            self._take_announce(frame.announce)
+            self._handle_announce(frame.announce)
         elif frame.chunk_ask is not None:
-            self._answers.piece(link, frame)
+            self._responder.send_piece(link, frame)
         elif frame.holdings_ask is not None:
-            self._answers.holdings(link, frame)
+            self._responder.send_holdings(link, frame)
 
     def close(self):
         """End all links and fetches."""
@@ -253,34 +253,34 @@
 
     def _step(self, message):
         for outcome in self.swarm.step(message, now=monotonic()):
-            self._carry_out(outcome)
+            self._execute(outcome)
 
-    def _carry_out(self, outcome):
+    def _execute(self, outcome):
         if isinstance(outcome, FetchFromPeer):
-            self.spawn(self._fetches.from_peer(outcome))
+            self.spawn(self._fetcher.fetch_from_peer(outcome))
         elif isinstance(outcome, FetchFromOrigin):
-            self.spawn(self._fetches.from_origin(outcome))
+            self.spawn(self._fetcher.fetch_from_origin(outcome))
         elif isinstance(outcome, AnnounceChunks):
             self._announce(outcome)
         elif isinstance(outcome, AskHoldings):
-            self.spawn(self._ask_holdings(outcome))
+            self.spawn(self._request_holdings(outcome))
         elif isinstance(outcome, Complete):
             weights = self.weights_by_name.get(outcome.digest)
-            if weights is not None and weights.whole:
-                self._on_whole(weights)
+            if weights is not None and weights.is_complete:
+                self._on_complete(weights)
 
     def spawn(self, coroutine):
         """Run something until it or this exchange ends; failures are logged."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._end_task)
+        task.add_done_callback(self._on_task_done)
 
-    def _end_task(self, task):
+    def _on_task_done(self, task):
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._log.change("exchange_failed", error=repr(task.exception()))
 
-    async def _ask_holdings(self, ask):
+    async def _request_holdings(self, ask):
         frame = Frame(holdings_ask=HoldingsAsk(digest=ask.digest))
         answer = await self.ask_at(ask.address, frame, timeout=PIECE_TIMEOUT)
         if isinstance(answer, Failure) or answer.holdings is None:
@@ -303,18 +303,18 @@
             held=outcome.held,
         )
         for address, port in outcome.targets:
-            link = self._links.known(address)
+            link = self._links.existing(address)
             if link is not None:
                 link.send(Frame(announce=announce))
             else:
-                self.spawn(self._announce_later(address, port, announce))
+                self.spawn(self._connect_and_announce(address, port, announce))
 
-    async def _announce_later(self, address, port, announce):
+    async def _connect_and_announce(self, address, port, announce):
         link = await self._links.get(address, port)
         if not isinstance(link, Failure):
             link.send(Frame(announce=announce))
 
-    def _take_announce(self, announce):
+    def _handle_announce(self, announce):
         self._step(
             Announced(
                 digest=announce.digest or "",
--- a/hawthornspoke/spread/_fetches.py
+++ b/hawthornspoke/spread/_fetches.py
@@ -18,18 +18,18 @@
 #: Fewest of them, on a link that has become narrow; and the seconds for a piece
 #: from which half as many, or one more, are asked for. Six at once on a sound link
 #: take 0.3 to 0.6 s each.
-LEAST_PEER_SLOTS = 1
-SLOW_PIECE = 1.0
-QUICK_PIECE = 0.7
+MIN_PEER_SLOTS = 1
+SLOW_PIECE_TIME = 1.0
+FAST_PIECE_TIME = 0.7
 
 #: Times that one piece didn't match before the list of digests itself is read
 #: again: it comes from the origin too, and a single digest in it may be wrong. The
 #: origin spoils one piece in fifty, so twice in a row is hardly its doing; and a
 #: peer that seems to send a wrong piece twice is not asked any more.
-DISTRUST_AFTER = 2
+MAX_MISMATCHES = 2
 
 
-class Fetches:
+class PieceFetcher:
     """Gets pieces and tells the swarm machine how it went.
 
     Parameters
@@ -41,7 +41,7 @@
     links : PeerLinks
     source_of : callable
         Returns how metrics name a peer's distance.
-    origin, log, metrics, on_piece, on_distrusted : object
+    origin, log, metrics, on_piece, on_digests_rejected : object
         See ``Exchange``.
 
     Attributes
@@ -60,7 +60,7 @@
         "_log",
         "_metrics",
         "_on_piece",
-        "_on_distrusted",
+        "_on_digests_rejected",
         "_mismatches_by_piece",
     )
 
@@ -76,7 +76,7 @@
         log,
         metrics,
         on_piece,
-        on_distrusted,
+        on_digests_rejected,
     ):
         self.origin_address = None
         self._swarm = swarm
@@ -88,10 +88,10 @@
         self._log = log
         self._metrics = metrics
         self._on_piece = on_piece
-        self._on_distrusted = on_distrusted
+        self._on_digests_rejected = on_digests_rejected
         self._mismatches_by_piece = {}
 
-    async def from_peer(self, fetch):
+    async def fetch_from_peer(self, fetch):
         """Ask a peer for a piece."""
         link = await self._links.get(fetch.address, fetch.port)
         if isinstance(link, Failure):
@@ -104,26 +104,26 @@
         ask = ChunkAsk(digest=fetch.digest, index=fetch.index, node=self._swarm.node)
         asked_at = monotonic()
         answer = await link.ask(Frame(chunk_ask=ask), timeout=PIECE_TIMEOUT)
-        self._adapt(monotonic() - asked_at)
+        self._adjust_peer_slots(monotonic() - asked_at)
         if isinstance(answer, Failure):
             self._fail(fetch, "failed")
         elif answer.chunk is None or answer.chunk.data is None:
             self._fail(fetch, (answer.chunk and answer.chunk.reason) or "missing")
         else:
-            self._take_piece(fetch, answer.chunk.data, self._source_of(fetch.node))
+            self._handle_piece(fetch, answer.chunk.data, self._source_of(fetch.node))
 
-    def _adapt(self, seconds):
+    def _adjust_peer_slots(self, seconds):
         """Ask for fewer pieces at once while they take long.
 
         Where this host's own link has become narrow, pieces that are on their way
         fill it, and requests to the engine wait behind them.
         """
-        if seconds > SLOW_PIECE:
-            self._swarm.peer_slots = max(LEAST_PEER_SLOTS, self._swarm.peer_slots // 2)
-        elif seconds < QUICK_PIECE:
+        if seconds > SLOW_PIECE_TIME:
+            self._swarm.peer_slots = max(MIN_PEER_SLOTS, self._swarm.peer_slots // 2)
+        elif seconds < FAST_PIECE_TIME:
             self._swarm.peer_slots = min(PEER_SLOTS, self._swarm.peer_slots + 1)
 
-    async def from_origin(self, fetch):
+    async def fetch_from_origin(self, fetch):
         """Ask the origin for a piece."""
         weights = self._weights_by_name.get(fetch.digest)
         if fetch.digest not in self._swarm.by_digest:
@@ -142,9 +142,9 @@
             self._log.decision("origin_failed", piece=fetch.index, reason=data.reason)
             self._fail(fetch, "failed")
         else:
-            self._take_piece(fetch, data, "origin")
+            self._handle_piece(fetch, data, "origin")
 
-    def _take_piece(self, fetch, data, source):
+    def _handle_piece(self, fetch, data, source):
         weights = self._weights_by_name.get(fetch.digest)
         if weights is None:
             return
@@ -152,19 +152,19 @@
         if not weights.put(fetch.index, data):
             self._metrics.count("corrupt_pieces_total", source=source)
             self._fail(fetch, "corrupt")
-            self._note_mismatch(weights, fetch.index)
+            self._count_mismatch(weights, fetch.index)
             return
         self._mismatches_by_piece.pop((weights.name, fetch.index), None)
         self._on_piece(weights, fetch.index)
         self._step(ChunkVerified(digest=fetch.digest, index=fetch.index))
 
-    def _note_mismatch(self, weights, index):
+    def _count_mismatch(self, weights, index):
         key = (weights.name, index)
         count = self._mismatches_by_piece.get(key, 0) + 1
         self._mismatches_by_piece[key] = count
-        if count >= DISTRUST_AFTER:
+        if count >= MAX_MISMATCHES:
             self._mismatches_by_piece = {}
-            self._on_distrusted(weights)
+            self._on_digests_rejected(weights)
 
     def _fail(self, fetch, cause):
         self._step(ChunkFailed(digest=fetch.digest, index=fetch.index, cause=cause))
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -5,38 +5,38 @@
 from hawthornspoke.base import Failure, contact_clock, is_failure
 
 #: Calls to the engine at once; it is on the same host.
-PARALLEL_CALLS = 4
+MAX_CONCURRENT_CALLS = 4
 
 #: Rounds of reading back what was staged. Pieces can turn bad where they lie.
-MOST_ROUNDS = 4
+MAX_ROUNDS = 4
 
 #: Seconds between telling the entry hosts and the order, so that what they have
 #: just sent is taken up before the engine takes nothing new.
-NOTICE_TIME = 0.03
+NOTICE_DELAY = 0.03
 
 #: Seconds after all pieces were found right in which the order must be sent. What
 #: lies between is the notice and one call to the engine, of a second at most; more
 #: means that this process stood still, and pieces can have turned bad meanwhile.
-CHECK_VALID = 1.2
+VERIFICATION_TTL = 1.2
 
 #: Seconds for an order to show in the engine's state.
 ORDER_TIMEOUT = 1.0
 
-POLL_EVERY = 0.05
+POLL_INTERVAL = 0.05
 
 #: Seconds for an engine to finish what runs and load: the longest answers take
 #: some four seconds.
 INSTALL_TIMEOUT = 8.0
 
 #: Pieces in a row that are of another version before the rest is not read.
-FOREIGN_IN_A_ROW = 3
+MAX_CONSECUTIVE_MISMATCHES = 3
 
 STAGE_FAILED = Failure(code="stage_failed")
 ORDER_FAILED = Failure(code="order_failed")
-STOOD_STILL = Failure(code="stood_still")
+PROCESS_STALLED = Failure(code="stood_still")
 
 #: What was staged or ordered was for a start of the engine that is over.
-RESTARTED = Failure(code="restarted", reason="the engine has started again")
+ENGINE_RESTARTED = Failure(code="restarted", reason="the engine has started again")
 
 
 class Installer:
@@ -47,36 +47,36 @@
     engine : object
         ``put_piece``, ``get_piece``, ``held_pieces``, ``start`` and ``snapshot``.
     log : EventLog
-    on_notice : callable
+    on_order_pending : callable
         Called with True just before an order, with False when it has ended.
     """
 
     __slots__ = (
         "_engine",
         "_log",
-        "_on_notice",
+        "_on_order_pending",
         "_staged_name",
         "_staged",
-        "_starts",
-        "_puts",
+        "_generation",
+        "_pending_puts",
     )
 
-    def __init__(self, *, engine, log, on_notice):
+    def __init__(self, *, engine, log, on_order_pending):
         self._engine = engine
         self._log = log
-        self._on_notice = on_notice
+        self._on_order_pending = on_order_pending
         self._staged_name = None
         self._staged = set()
-        self._starts = 0
-        self._puts = set()
+        self._generation = 0
+        self._pending_puts = set()
 
-    def forget(self):
+    def reset(self):
         """Take that the engine has started again: nothing counts as staged.
 
         It may have lost what was staged, and an order for a version of which a piece
         is missing takes up other bytes in its place.
         """
-        self._starts += 1
+        self._generation += 1
         self._staged_name = None
         self._staged = set()
 
@@ -92,21 +92,21 @@
         int
             How many were right.
         """
-        starts = self._starts
+        generation = self._generation
         held = await self._engine.held_pieces(weights.model)
         if is_failure(held):
             return 0
-        found = foreign = 0
+        found = mismatches = 0
         for index in held:
             data = await self._engine.get_piece(weights.model, index)
             if not is_failure(data) and weights.put(index, data):
                 found += 1
-                foreign = 0
+                mismatches = 0
                 continue
-            foreign += 1
-            if foreign >= FOREIGN_IN_A_ROW and not found:
+            mismatches += 1
+            if mismatches >= MAX_CONSECUTIVE_MISMATCHES and not found:
                 break
-        if found == len(weights.digests) and starts == self._starts:
+        if found == len(weights.digests) and generation == self._generation:
             self._staged_name = weights.name
             self._staged = set(weights.held())
         return found
@@ -118,83 +118,87 @@
             self._staged = set()
         if index in self._staged:
             return
-        starts = self._starts
+        generation = self._generation
         task = asyncio.current_task()
-        self._puts.add(task)
+        self._pending_puts.add(task)
         try:
             data = weights.get(index)
             result = await self._engine.put_piece(weights.model, index, data)
         finally:
-            self._puts.discard(task)
+            self._pending_puts.discard(task)
         if self._staged_name != weights.name:
             return
-        if not is_failure(result) and starts == self._starts:
+        if not is_failure(result) and generation == self._generation:
             self._staged.add(index)
 
-    async def _stop_puts(self):
+    async def _cancel_puts(self):
         # A piece of the version before that a slow engine has not taken in yet would
         # replace one of this version after that was read back and found right.
-        puts = list(self._puts)
+        puts = list(self._pending_puts)
         for task in puts:
             task.cancel()
         await asyncio.gather(*puts, return_exceptions=True)
 
-    async def install(self, weights, *, is_due):
+    async def install(self, weights, *, is_order_valid):
         """Stage all pieces, read all back, and order the engine to load them.
 
         Parameters
         ----------
         weights : Weights
             Whole.
-        is_due : callable
+        is_order_valid : callable
             Tells whether the order would still be right at the moment of the call.
 
         Returns
         -------
         None or Failure
         """
-        await self._stop_puts()
-        looked = await self._engine.snapshot()
-        if is_failure(looked):
-            return looked
-        result = STOOD_STILL
-        for _ in range(MOST_ROUNDS):
+        await self._cancel_puts()
+        initial = await self._engine.snapshot()
+        if is_failure(initial):
+            return initial
+        result = PROCESS_STALLED
+        for _ in range(MAX_ROUNDS):
             failure = await self._stage_all(weights)
             if failure is not None:
                 return failure
-            checked_deadline = contact_clock() + CHECK_VALID
+            checked_deadline = contact_clock() + VERIFICATION_TTL
             try:
-                self._on_notice(True)
-                await asyncio.sleep(NOTICE_TIME)
-                result = await self._order(weights, looked, is_due, checked_deadline)
+                self._on_order_pending(True)
+                await asyncio.sleep(NOTICE_DELAY)
+                result = await self._send_order(
+                    weights, initial, is_order_valid, checked_deadline
+                )
             finally:
-                self._on_notice(False)
-            if result != STOOD_STILL:
+                self._on_order_pending(False)
+            if result != PROCESS_STALLED:
                 break
         return result
 
     async def _stage_all(self, weights):
         indices = range(len(weights.digests))
-        for _ in range(MOST_ROUNDS):
+        for _ in range(MAX_ROUNDS):
             await self._for_each(
                 [index for index in indices if index not in self._staged],
                 lambda index: self.stage(weights, index),
             )
             self._staged_name = weights.name
-            await self._for_each(indices, lambda index: self._check(weights, index))
+            await self._for_each(
+                indices, lambda index: self._verify_piece(weights, index)
+            )
             if len(self._staged) == len(weights.digests):
                 return None
         return STAGE_FAILED.because(f"{len(self._staged)} of {len(weights.digests)}")
 
-    async def _check(self, weights, index):
+    async def _verify_piece(self, weights, index):
         # A piece that turned bad after it was staged would be loaded as it is; the
         # engine does not look at digests.
         data = await self._engine.get_piece(weights.model, index)
-        if is_failure(data) or not weights.is_right(index, data):
+        if is_failure(data) or not weights.matches_digest(index, data):
             self._staged.discard(index)
             self._log.change("staged_piece_bad", weights=weights.name, piece=index)
 
-    async def _order(self, weights, looked, is_due, checked_deadline):
+    async def _send_order(self, weights, initial, is_order_valid, checked_deadline):
         """Order the start whose pieces were read back; see ``install``.
 
         The order itself names only how many came before it, and each start counts
@@ -203,11 +207,11 @@
         before = await self._engine.snapshot()
         if is_failure(before):
             return before
-        if _has_restarted(looked, before):
-            return RESTARTED
+        if _has_restarted(initial, before):
+            return ENGINE_RESTARTED
         if before.busy:
             return ORDER_FAILED.because("another order is in progress")
-        failure = self._objection(is_due, checked_deadline)
+        failure = self._check_order(is_order_valid, checked_deadline)
         if failure is not None:
             self._log.change(
                 "order_not_sent", weights=weights.name, reason=str(failure)
@@ -223,41 +227,41 @@
             running=before.running,
             result=str(result),
         )
-        return await self._wait(weights, before, result)
+        return await self._wait_until_loaded(weights, before, result)
 
-    def _objection(self, is_due, checked_deadline):
+    def _check_order(self, is_order_valid, checked_deadline):
         # Looked at directly before the order: the host can have stood still since
         # the install was decided, and an engine that takes up what is too old by
         # now answers nothing for the time of a change.
-        if not is_due():
+        if not is_order_valid():
             return ORDER_FAILED.because("the version is no longer due")
         if contact_clock() >= checked_deadline:
-            return STOOD_STILL.because("the pieces must be read back once more")
+            return PROCESS_STALLED.because("the pieces must be read back once more")
         return None
 
-    async def _wait(self, weights, before, result):
+    async def _wait_until_loaded(self, weights, before, result):
         """Wait until the engine has the weights; its state is the only proof."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + INSTALL_TIMEOUT
         begin_deadline = loop.time() + ORDER_TIMEOUT
         while loop.time() < deadline:
-            seen = await self._engine.snapshot()
-            if not is_failure(seen):
-                if _has_restarted(before, seen):
+            observed = await self._engine.snapshot()
+            if not is_failure(observed):
+                if _has_restarted(before, observed):
                     # It may have taken up what its start had left of the pieces.
-                    return RESTARTED
-                if seen.version == weights.version and not seen.busy:
+                    return ENGINE_RESTARTED
+                if observed.version == weights.version and not observed.busy:
                     return None
-                begun = seen.busy or seen.sequence != before.sequence
+                begun = observed.busy or observed.sequence != before.sequence
                 if not begun and loop.time() >= begin_deadline:
                     break
             if is_failure(result) and loop.time() >= begin_deadline:
                 break
-            await asyncio.sleep(POLL_EVERY)
+            await asyncio.sleep(POLL_INTERVAL)
         return ORDER_FAILED.because(str(result))
 
     async def _for_each(self, indices, call):
-        gate = asyncio.Semaphore(PARALLEL_CALLS)
+        gate = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
         async def one(index):
             async with gate:
--- a/hawthornspoke/spread/_link.py
+++ b/hawthornspoke/spread/_link.py
@@ -6,7 +6,7 @@
 
 #: Probes that count: to two entry hosts in turn, so that one that stands still is
 #: not taken for a full link.
-COUNTED = 2
+RECENT_PROBES = 2
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -28,15 +28,15 @@
     Parameters
     ----------
     number : int
-    came_back : bool
+    answered : bool
     """
 
     number: int
-    came_back: bool
+    answered: bool
 
 
 @MACHINES.register("link")
-class Link(Machine):
+class LinkDelayEstimator(Machine):
     """Tells the delay of this host's link from the times of probes.
 
     A link that has become narrow, or that pieces fill, shows nowhere but in what
@@ -49,15 +49,21 @@
         Seconds after which the quickest probe is taken to be out of date.
     """
 
-    __slots__ = ("least_kept", "_sent_at_by_number", "_recent", "_least", "_least_at")
+    __slots__ = (
+        "least_kept",
+        "_sent_at_by_number",
+        "_recent_delays",
+        "_min_rtt",
+        "_min_rtt_at",
+    )
     PARAMS = {"least_kept": Bounds(kind=(int, float), low=0)}
 
     def __init__(self, *, least_kept=30.0):
         self.least_kept = least_kept
         self._sent_at_by_number = {}
-        self._recent = {}
-        self._least = None
-        self._least_at = 0.0
+        self._recent_delays = {}
+        self._min_rtt = None
+        self._min_rtt_at = 0.0
 
     def on_probe_sent(self, message, *, now):
         """Take that a probe left."""
@@ -67,15 +73,15 @@
     def on_probe_ended(self, message, *, now):
         """Take the end of a probe; one whose connection ended tells nothing."""
         sent_at = self._sent_at_by_number.pop(message.number, None)
-        if sent_at is None or not message.came_back:
+        if sent_at is None or not message.answered:
             return []
-        taken = now - sent_at
-        known = self._least is not None and now < self._least_at + self.least_kept
-        if not known or taken <= self._least:
-            self._least, self._least_at = taken, now
-        self._recent[message.number] = taken - self._least
-        for number in sorted(self._recent)[:-COUNTED]:
-            del self._recent[number]
+        rtt = now - sent_at
+        known = self._min_rtt is not None and now < self._min_rtt_at + self.least_kept
+        if not known or rtt <= self._min_rtt:
+            self._min_rtt, self._min_rtt_at = rtt, now
+        self._recent_delays[message.number] = rtt - self._min_rtt
+        for number in sorted(self._recent_delays)[:-RECENT_PROBES]:
+            del self._recent_delays[number]
         return []
 
     def delay(self, now):
@@ -91,14 +97,14 @@
             The least of the latest probes; one that is not back yet counts with
             its age.
         """
-        delay_by_number = dict(self._recent)
+        delay_by_number = dict(self._recent_delays)
         for number, sent_at in self._sent_at_by_number.items():
-            waited = now - sent_at - (self._least or 0.0)
+            waited = now - sent_at - (self._min_rtt or 0.0)
             if waited > 0:
                 delay_by_number[number] = waited
-        latest = sorted(delay_by_number)[-COUNTED:]
+        latest = sorted(delay_by_number)[-RECENT_PROBES:]
         return min((delay_by_number[number] for number in latest), default=0.0)
 
     def dump(self, *, now):
         """Return the state as plain data."""
-        return {"delay": round(self.delay(now), 3), "least": self._least}
+        return {"delay": round(self.delay(now), 3), "least": self._min_rtt}
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -11,19 +11,19 @@
 
 #: Hosts of the own region that read the list from the origin; the others ask both at
 #: once.
-READERS = 2
+READERS_PER_REGION = 2
 
 #: Seconds for which a question waits there, answered as soon as the list has come, and
 #: until it is given up: a host that stands still is not waited for.
-HOLD_TIME = 0.5
-ASK_TIMEOUT = 0.7
+LONG_POLL_TIMEOUT = 0.5
+REQUEST_TIMEOUT = 0.7
 
 #: Questions in a row that were answered in vain after which a host reads the origin
 #: itself: both readers live, but may be cut off from it.
-VAIN_QUESTIONS = 8
+MAX_MISSES = 8
 
 #: Lists that are kept; older versions are of no use to anybody.
-KEPT = 4
+MAX_MANIFESTS = 4
 
 DIGEST = re.compile(r"[0-9a-f]{64}")
 
@@ -53,9 +53,9 @@
         "_exchange",
         "_log",
         "_digests_by_name",
-        "_distrusted",
-        "_vain_by_name",
-        "_came",
+        "_rejected",
+        "_misses_by_name",
+        "_received",
     )
 
     def __init__(self, *, origin, exchange, log):
@@ -63,9 +63,9 @@
         self._exchange = exchange
         self._log = log
         self._digests_by_name = {}
-        self._distrusted = set()
-        self._vain_by_name = {}
-        self._came = asyncio.Event()
+        self._rejected = set()
+        self._misses_by_name = {}
+        self._received = asyncio.Event()
 
     async def get(self, model, version):
         """Return the digests of a version.
@@ -81,82 +81,84 @@
         """
         name = weights_name(model, version)
         digests = NOT_KNOWN
-        before = self._readers_before(name)
+        preceding = self._preceding_readers(name)
         # A list that proved wrong came to the neighbours from the same source.
-        if name not in self._distrusted:
-            digests = await self._ask_all(name, before)
-        if is_failure(digests) and self._may_read(name, before, digests):
+        if name not in self._rejected:
+            digests = await self._request_from_all(name, preceding)
+        if is_failure(digests) and self._may_read_origin(name, preceding, digests):
             digests = await self._read_origin(model, version)
         if is_failure(digests):
             return digests
         if not all(DIGEST.fullmatch(digest) for digest in digests):
             return ORIGIN_FAILED.because("what should be digests are none")
         self._digests_by_name[name] = digests
-        self._vain_by_name.pop(name, None)
-        self._came.set()
-        self._came = asyncio.Event()
-        for old in list(self._digests_by_name)[:-KEPT]:
+        self._misses_by_name.pop(name, None)
+        self._received.set()
+        self._received = asyncio.Event()
+        for old in list(self._digests_by_name)[:-MAX_MANIFESTS]:
             del self._digests_by_name[old]
         return digests
 
-    def distrust(self, name):
+    def reject(self, name):
         """Forget a list that pieces don't match."""
         self._digests_by_name.pop(name, None)
-        self._distrusted.add(name)
+        self._rejected.add(name)
 
-    def answer(self, link, frame):
+    def respond(self, link, frame):
         """Answer a host that asks."""
-        self._exchange.spawn(self._answer(link, frame))
+        self._exchange.spawn(self._send_manifest(link, frame))
 
-    async def _answer(self, link, frame):
+    async def _send_manifest(self, link, frame):
         name = frame.manifest_ask.weights
-        deadline = asyncio.get_running_loop().time() + HOLD_TIME
+        deadline = asyncio.get_running_loop().time() + LONG_POLL_TIMEOUT
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(deadline):
                 while name not in self._digests_by_name:
-                    await self._came.wait()
+                    await self._received.wait()
         digests = self._digests_by_name.get(name)
         if digests is not None:
             digests = [bytes.fromhex(digest) for digest in digests]
         link.send(Frame(call=-frame.call, manifest=Manifest(digests=digests)))
 
-    def _readers_before(self, name):
+    def _preceding_readers(self, name):
         """Return the hosts that read a list before this one does."""
         nodes = self._exchange.region_nodes()
-        readers = rendezvous_order(key=name, nodes=nodes)[:READERS]
+        readers = rendezvous_order(key=name, nodes=nodes)[:READERS_PER_REGION]
         if self._exchange.node in readers:
             return readers[: readers.index(self._exchange.node)]
         return readers
 
-    def _may_read(self, name, before, failure):
+    def _may_read_origin(self, name, preceding, failure):
         """Tell whether this host reads the origin, having no list of others."""
-        if len(before) < READERS or name in self._distrusted:
+        if len(preceding) < READERS_PER_REGION or name in self._rejected:
             return True
         if failure == UNANSWERED:
             return True
-        vain = self._vain_by_name.get(name, 0) + 1
-        self._vain_by_name[name] = vain % VAIN_QUESTIONS
-        return vain >= VAIN_QUESTIONS
+        misses = self._misses_by_name.get(name, 0) + 1
+        self._misses_by_name[name] = misses % MAX_MISSES
+        return misses >= MAX_MISSES
 
-    async def _ask_all(self, name, nodes):
+    async def _request_from_all(self, name, nodes):
         """Ask some hosts at once and return the first list, or a Failure."""
         failure = UNANSWERED
-        asked = [asyncio.ensure_future(self._ask(name, node)) for node in nodes]
+        requests = [
+            asyncio.ensure_future(self._request_from(name, node)) for node in nodes
+        ]
         try:
-            for answered in asyncio.as_completed(asked):
-                digests = await answered
+            for completed in asyncio.as_completed(requests):
+                digests = await completed
                 if not is_failure(digests):
                     return digests
                 if digests != UNANSWERED:
                     failure = digests
         finally:
-            for question in asked:
-                question.cancel()
+            for request in requests:
+                request.cancel()
         return failure
 
-    async def _ask(self, name, node):
+    async def _request_from(self, name, node):
         frame = Frame(manifest_ask=ManifestAsk(weights=name))
-        answer = await self._exchange.ask(node, frame, timeout=ASK_TIMEOUT)
+        answer = await self._exchange.ask(node, frame, timeout=REQUEST_TIMEOUT)
         if is_failure(answer) or answer.manifest is None:
             return UNANSWERED
         if not answer.manifest.digests:
--- a/hawthornspoke/spread/_peer_links.py
+++ b/hawthornspoke/spread/_peer_links.py
@@ -24,7 +24,7 @@
         self._link_by_address = {}
         self._dialing_by_address = {}
 
-    def known(self, address):
+    def existing(self, address):
         """Return the connection to an agent, None if there is none."""
         return self._link_by_address.get(address)
 
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -21,19 +21,19 @@
 from hawthornspoke.spread._entry_links import EntryLinks
 from hawthornspoke.spread._evidence import EvidenceLinks
 from hawthornspoke.spread._state import engine_state
-from hawthornspoke.spread._upgrade import EngineSeen
+from hawthornspoke.spread._upgrade import EngineObserved
 
 #: Ticks between two lines on the engine's state, and how many of these there are for
 #: one of all counters.
 SUMMARY_TICKS = 20
-COUNTERS_EVERY = 5
+SUMMARIES_PER_COUNTERS = 5
 
 #: Seconds after the engine was asked for its state in which that is told to entry
 #: hosts: one call to it, of a second at most, and the tick between two looks. What
 #: is older was seen before this process stood still.
-STATE_VALID = 1.2
+STATE_TTL = 1.2
 
-FLUSH_TIME = 0.2
+FLUSH_TIMEOUT = 0.2
 
 
 class Agent:
@@ -65,10 +65,10 @@
         "operator",
         "_snapshot",
         "_incarnation",
-        "_looks_begun",
-        "_look_taken",
-        "_asked_at",
-        "_noticed",
+        "_observations_started",
+        "_latest_observation",
+        "_observed_at",
+        "_order_pending",
         "_stopped",
         "_engine_down",
     )
@@ -84,10 +84,10 @@
             origin=origin,
             log=self.log,
             metrics=self.metrics,
-            engine_seen=self._engine_seen,
-            look=lambda: self._look(),
+            last_observation=self._last_observation,
+            observe_engine=lambda: self._observe_engine(),
             is_serving=self._is_serving,
-            on_notice=self._on_notice,
+            on_order_pending=self._on_order_pending,
         )
         self.entry_links = EntryLinks(
             failure_domain=settings.failure_domain, spawn=self.exchange.spawn
@@ -112,10 +112,10 @@
         )
         self._snapshot = None
         self._incarnation = UNKNOWN_START
-        self._looks_begun = 0
-        self._look_taken = 0
-        self._asked_at = float("-inf")
-        self._noticed = False
+        self._observations_started = 0
+        self._latest_observation = 0
+        self._observed_at = float("-inf")
+        self._order_pending = False
         self._stopped = None
         self._engine_down = None
 
@@ -159,12 +159,12 @@
         loops = [
             self.standstill.run(ticks),
             self._watch_engine(ticks),
-            self._summaries(ticks),
+            self._log_summaries(ticks),
             self.entry_links.probe(ticks),
             self.exchange.run(ticks),
             self.directives.read_alone(),
         ]
-        self.exchange.spawn(self.directives.introduce())
+        self.exchange.spawn(self.directives.bootstrap())
         tasks = [loop.create_task(item) for item in loops]
         self.log.change(
             "started",
@@ -189,25 +189,25 @@
             self.exchange.close()
             self.operator.close()
             self.log.change("stopped")
-            self.log.flush(monotonic() + FLUSH_TIME)
+            self.log.flush(monotonic() + FLUSH_TIMEOUT)
         return 0
 
     # Entry hosts and peers.
 
     def _on_frame(self, link, frame):
         if frame.directive is not None:
-            if self.directives.take(link, frame.directive):
-                self._tell()
+            if self.directives.receive(link, frame.directive):
+                self._report_state()
         elif frame.entry_domain is not None:
-            self.entry_links.take_failure_domain(link, frame.entry_domain)
+            self.entry_links.set_failure_domain(link, frame.entry_domain)
         elif frame.follows is not None:
-            self.entry_links.take_follows(link, frame.follows)
+            self.entry_links.set_follows(link, frame.follows)
         elif frame.evidence is not None:
-            self.evidence_links.take(link, frame)
+            self.evidence_links.receive(link, frame)
         elif frame.manifest_ask is not None:
-            self.delivery.manifests.answer(link, frame)
+            self.delivery.manifests.respond(link, frame)
         elif frame.directive_ask is not None:
-            self.directives.answer(link, frame)
+            self.directives.respond(link, frame)
         else:
             self.exchange.on_frame(link, frame)
 
@@ -219,48 +219,48 @@
 
     async def _watch_engine(self, ticks):
         while True:
-            await self._look()
+            await self._observe_engine()
             await ticks.next()
 
-    async def _summaries(self, ticks):
+    async def _log_summaries(self, ticks):
         for number in itertools.count(1):
             await ticks.next(SUMMARY_TICKS)
-            if number % COUNTERS_EVERY == 0:
+            if number % SUMMARIES_PER_COUNTERS == 0:
                 self.log.decision("counters", **self.metrics.dump())
-            seen = self._snapshot
+            observed = self._snapshot
             self.log.decision(
                 "engine",
                 engine=self.settings.engine_address,
-                version=seen and seen.version,
-                layers=seen and seen.layers,
-                loading=seen is not None and (seen.busy or self._noticed),
-                running=seen and seen.running,
-                waiting=seen and seen.waiting,
+                version=observed and observed.version,
+                layers=observed and observed.layers,
+                loading=observed is not None and (observed.busy or self._order_pending),
+                running=observed and observed.running,
+                waiting=observed and observed.waiting,
                 origin_bytes=self.metrics.value("piece_bytes_total", source="origin"),
             )
 
-    async def _look(self):
-        self._looks_begun += 1
-        number = self._looks_begun
+    async def _observe_engine(self):
+        self._observations_started += 1
+        number = self._observations_started
         asked_at = contact_clock()
-        seen = await self.engine.snapshot()
-        if number < self._look_taken:
+        observed = await self.engine.snapshot()
+        if number < self._latest_observation:
             # Answers on two connections overtake each other; the late one may be
             # of an earlier start, which would then be taken for the next one.
             return
-        self._look_taken = number
-        self._asked_at = asked_at
-        down = is_failure(seen)
+        self._latest_observation = number
+        self._observed_at = asked_at
+        down = is_failure(observed)
         if down != self._engine_down:
             self._engine_down = down
             self.log.change("engine_lost" if down else "engine_found")
-        self._snapshot = None if down else seen
+        self._snapshot = None if down else observed
         if not down:
-            self._take_start(seen.incarnation)
-        self.delivery.step(self._engine_seen())
-        self._tell()
+            self._update_incarnation(observed.incarnation)
+        self.delivery.step(self._last_observation())
+        self._report_state()
 
-    def _take_start(self, incarnation):
+    def _update_incarnation(self, incarnation):
         """Begin anew if the engine has: its own word, so its times need no order."""
         if incarnation.differs_from(self._incarnation):
             self.log.change(
@@ -268,43 +268,45 @@
                 started_ms=incarnation.started_ms,
                 before=self._incarnation.started_ms,
             )
-            self.delivery.begin_anew()
+            self.delivery.reset_engine()
         if incarnation.is_known:
             self._incarnation = incarnation
 
-    def _engine_seen(self):
-        seen = self._snapshot
-        if seen is None:
-            return EngineSeen(version=None, whole=False, busy=True)
-        whole = seen.layers is not None and seen.layers[0] == 0
-        return EngineSeen(version=seen.version, whole=whole, busy=seen.busy)
+    def _last_observation(self):
+        observed = self._snapshot
+        if observed is None:
+            return EngineObserved(version=None, is_complete=False, busy=True)
+        is_complete = observed.layers is not None and observed.layers[0] == 0
+        return EngineObserved(
+            version=observed.version, is_complete=is_complete, busy=observed.busy
+        )
 
     def _is_serving(self):
         return self._snapshot is not None and self._snapshot.running > 0
 
-    def _tell(self):
-        if contact_clock() >= self._asked_at + STATE_VALID:
+    def _report_state(self):
+        if contact_clock() >= self._observed_at + STATE_TTL:
             # On waking, what entry hosts sent meanwhile is read before the engine is
             # asked again. They would take the load and the weights of before for
             # those of now; the next look tells them the truth.
             return
-        self.entry_links.tell(self._state(), monotonic())
+        self.entry_links.report(self._state(), monotonic())
 
     def _state(self):
         return engine_state(
-            seen=self._snapshot,
+            observed=self._snapshot,
             address=self.settings.engine_address,
             model=self.delivery.model,
             upgrade=self.upgrade,
             contact_now=contact_clock(),
-            noticed=self._noticed,
+            order_pending=self._order_pending,
             links=self.entry_links,
             ages=self.directives.declared_ages(),
         )
 
-    def _on_notice(self, noticed):
-        self._noticed = noticed
-        self._tell()
+    def _on_order_pending(self, order_pending):
+        self._order_pending = order_pending
+        self._report_state()
 
     # Operators.
 
@@ -320,7 +322,7 @@
             "engine": str(self._snapshot),
             "entry_hosts": len(self.entry_links),
             "upgrade": self.upgrade.dump(now=contact_clock()),
-            "link": self.entry_links.link.dump(now=now),
+            "link": self.entry_links.link_delay.dump(now=now),
             "swarm": self.exchange.swarm.dump(now=now),
             "evidence": self.evidence_links.exchange.dump(now=now),
             "metrics": self.metrics.dump(),
--- a/hawthornspoke/spread/_state.py
+++ b/hawthornspoke/spread/_state.py
@@ -3,7 +3,9 @@
 from hawthornspoke.protocol import EngineState
 
 
-def engine_state(*, seen, address, model, upgrade, contact_now, noticed, links, ages):
+def engine_state(
+    *, observed, address, model, upgrade, contact_now, order_pending, links, ages
+):
     """Return the state of an engine as entry hosts are told it.
 
     Parameters
@@ -36,12 +38,12 @@
         link_delay_ms=int(links.delay() * 1000),
         declared=ages,
     )
-    if seen is not None:
-        state.weights_version = seen.version
-        state.layer_from, state.layer_to = seen.layers or (0, 0)
-        state.running = seen.running
-        state.waiting = seen.waiting
-        state.loading = seen.busy or noticed
-        state.pace = seen.pace
-        state.started_ms = seen.incarnation.started_ms
+    if observed is not None:
+        state.weights_version = observed.version
+        state.layer_from, state.layer_to = observed.layers or (0, 0)
+        state.running = observed.running
+        state.waiting = observed.waiting
+        state.loading = observed.busy or order_pending
+        state.pace = observed.pace
+        state.started_ms = observed.incarnation.started_ms
     return state
--- a/hawthornspoke/spread/_stock.py
+++ b/hawthornspoke/spread/_stock.py
@@ -28,7 +28,7 @@
         return weights_name(self.model, self.version)
 
     @property
-    def whole(self):
+    def is_complete(self):
         """Whether all pieces are here."""
         return len(self._piece_by_index) == len(self.digests)
 
@@ -40,7 +40,7 @@
         """Return a piece, None if it isn't here."""
         return self._piece_by_index.get(index)
 
-    def is_right(self, index, data):
+    def matches_digest(self, index, data):
         """Tell whether some bytes are a piece."""
         return digest_of(data) == self.digests[index]
 
@@ -56,7 +56,7 @@
         -------
         bool
         """
-        if not 0 <= index < len(self.digests) or not self.is_right(index, data):
+        if not 0 <= index < len(self.digests) or not self.matches_digest(index, data):
             return False
         self._piece_by_index[index] = data
         return True
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -13,11 +13,11 @@
 DROP_SHARE = 0.5
 
 #: Named versions that are remembered; older ones are of no use to anybody.
-KEPT = 4
+MAX_DECLARED_VERSIONS = 4
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Named:
+class VersionDeclared:
     """A version was declared.
 
     Parameters
@@ -30,12 +30,12 @@
     """
 
     version: int
-    at: float
+    declared_at: float
     is_dated: bool = True
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class EngineSeen:
+class EngineObserved:
     """The engine told its state.
 
     Parameters
@@ -49,7 +49,7 @@
     """
 
     version: int | None
-    whole: bool
+    is_complete: bool
     busy: bool
 
 
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class PiecesHeld:
+class PiecesComplete:
     """All pieces of a version are here and verified."""
 
     version: int
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Placed:
+class PositionAssigned:
     """Where this host stands among those of its failure domain.
 
     Parameters
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Transfer:
+class StartTransfer:
     """Get the pieces of a version; lower priorities go first."""
 
     version: int
@@ -94,7 +94,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Forget:
+class CancelTransfer:
     """Stop getting a version."""
 
     version: int
@@ -122,13 +122,13 @@
     __slots__ = (
         "transfer_time",
         "version_bound",
-        "_named",
-        "_newest_heard_at",
-        "_wanted",
+        "_declared",
+        "_newest_received_at",
+        "_priority_by_version",
         "_engine",
         "_installing",
         "_position",
-        "_held_at_by_version",
+        "_complete_at_by_version",
     )
     PARAMS = {
         "transfer_time": Bounds(kind=(int, float), low=0),
@@ -138,50 +138,52 @@
     def __init__(self, *, transfer_time=5.7, version_bound=8.0):
         self.transfer_time = transfer_time
         self.version_bound = version_bound
-        self._named = []
-        self._newest_heard_at = float("-inf")
-        self._wanted = {}
-        self._engine = EngineSeen(version=None, whole=False, busy=True)
+        self._declared = []
+        self._newest_received_at = float("-inf")
+        self._priority_by_version = {}
+        self._engine = EngineObserved(version=None, is_complete=False, busy=True)
         self._installing = None
         self._position = 0
-        self._held_at_by_version = {}
+        self._complete_at_by_version = {}
 
-    def on_named(self, message, *, now):
+    def on_version_declared(self, message, *, now):
         """Record a newer declared version, or a later date for the newest one.
 
         Entry hosts tell of it one after the other. One that has just started does
         not know when it was, and one that was cut off only that it was not before
         it was; so the latest moment tells most.
         """
-        if self._named and message.version <= self._named[-1].version:
-            self._date_newest(message)
+        if self._declared and message.version <= self._declared[-1].version:
+            self._update_newest_date(message)
             return []
-        self._named.append(message)
-        self._newest_heard_at = now
-        del self._named[:-KEPT]
+        self._declared.append(message)
+        self._newest_received_at = now
+        del self._declared[:-MAX_DECLARED_VERSIONS]
         return self._plan(now)
 
-    def on_engine_seen(self, message, *, now):
+    def on_engine_observed(self, message, *, now):
         """Update the engine's state.
 
         While it takes up weights it holds none, or some; what it held before is
         then still what counts for the versions to get.
         """
         if message.busy:
-            message = EngineSeen(
-                version=self._engine.version, whole=self._engine.whole, busy=True
+            message = EngineObserved(
+                version=self._engine.version,
+                is_complete=self._engine.is_complete,
+                busy=True,
             )
         self._engine = message
         return self._plan(now)
 
     def on_engine_restarted(self, message, *, now):
         """Forget what the engine held; its own word on that is still to come."""
-        self._engine = EngineSeen(version=None, whole=False, busy=True)
+        self._engine = EngineObserved(version=None, is_complete=False, busy=True)
         return self._plan(now)
 
-    def on_pieces_held(self, message, *, now):
+    def on_pieces_complete(self, message, *, now):
         """Record that all pieces of a version are held."""
-        self._held_at_by_version.setdefault(message.version, now)
+        self._complete_at_by_version.setdefault(message.version, now)
         return self._plan(now)
 
     def on_install_ended(self, message, *, now):
@@ -189,12 +191,12 @@
         self._installing = None
         return self._plan(now)
 
-    def on_placed(self, message, *, now):
+    def on_position_assigned(self, message, *, now):
         """Set this host's position in its failure domain."""
         self._position = message.position
         return []
 
-    def is_due(self, version, *, now):
+    def is_order_valid(self, version, *, now):
         """Tell whether an order for a version would still be right.
 
         Parameters
@@ -208,24 +210,26 @@
             False once another version made it needless, or its bound has passed.
         """
         current = self._engine.version or 0
-        is_held = version <= current and self._engine.whole
+        is_held = version <= current and self._engine.is_complete
         is_wanted = version in self.targets() and not is_held
         return is_wanted and not self._is_expired(version, now)
 
     def next_version(self):
         """Return the newest version named, None if none was."""
-        return self._named[-1].version if self._named else None
+        return self._declared[-1].version if self._declared else None
 
     def ready_at(self, now):
         """Return when the next version is expected to be in use, None if unknown."""
-        if not self._named:
+        if not self._declared:
             return None
-        newest = self._named[-1]
-        if self._engine.version == newest.version and self._engine.whole:
+        newest = self._declared[-1]
+        if self._engine.version == newest.version and self._engine.is_complete:
             return None
-        if newest.version in self._held_at_by_version:
+        if newest.version in self._complete_at_by_version:
             return now + CHANGE_TIME
-        return max(now + CHANGE_TIME, newest.at + self.transfer_time + CHANGE_TIME)
+        return max(
+            now + CHANGE_TIME, newest.declared_at + self.transfer_time + CHANGE_TIME
+        )
 
     def targets(self):
         """Return the versions to get, the first one first.
@@ -236,106 +240,117 @@
         """
         current = self._engine.version or 0
         kept = []
-        for place, named in enumerate(self._named):
+        for index, named in enumerate(self._declared):
             if named.version < current:
                 continue
-            if named.version == current and self._engine.whole:
+            if named.version == current and self._engine.is_complete:
                 # Held for hosts that still lack it.
                 kept.append(named.version)
                 continue
-            last = place == len(self._named) - 1
-            if last or not self._is_dropped(place):
+            last = index == len(self._declared) - 1
+            if last or not self._is_superseded(index):
                 kept.append(named.version)
         return kept
 
     def dump(self, *, now):
         """Return the state as plain data."""
         return {
-            "named": [[item.version, round(now - item.at, 3)] for item in self._named],
-            "held": sorted(self._held_at_by_version),
-            "wanted": dict(self._wanted),
-            "engine": [self._engine.version, self._engine.whole, self._engine.busy],
+            "named": [
+                [item.version, round(now - item.declared_at, 3)]
+                for item in self._declared
+            ],
+            "held": sorted(self._complete_at_by_version),
+            "wanted": dict(self._priority_by_version),
+            "engine": [
+                self._engine.version,
+                self._engine.is_complete,
+                self._engine.busy,
+            ],
             "installing": self._installing,
         }
 
-    def _date_newest(self, message):
-        newest = self._named[-1]
+    def _update_newest_date(self, message):
+        newest = self._declared[-1]
         if message.version != newest.version or not message.is_dated:
             return
-        if message.at > self._newest_heard_at:
+        if message.declared_at > self._newest_received_at:
             # False: a host that reached the platform again later than others dates
             # from then what it finds, and an order would wait beyond the bound.
             return
-        if not newest.is_dated or message.at > newest.at:
-            self._named[-1] = message
+        if not newest.is_dated or message.declared_at > newest.declared_at:
+            self._declared[-1] = message
 
-    def _is_dropped(self, place):
-        named, following = self._named[place], self._named[place + 1]
-        if named.version in self._held_at_by_version:
+    def _is_superseded(self, index):
+        named, following = self._declared[index], self._declared[index + 1]
+        if named.version in self._complete_at_by_version:
             return False
         if self._engine.version is None:
             # Nothing to bridge a gap for: the newest is there as soon.
             return True
-        return following.at - named.at < DROP_SHARE * self.transfer_time
+        return (
+            following.declared_at - named.declared_at < DROP_SHARE * self.transfer_time
+        )
 
     def _plan(self, now):
         outcomes = []
-        wanted = {version: place for place, version in enumerate(self.targets())}
-        for version in list(self._wanted):
+        wanted = {version: index for index, version in enumerate(self.targets())}
+        for version in list(self._priority_by_version):
             if version not in wanted:
-                del self._wanted[version]
-                outcomes.append(Forget(version=version))
+                del self._priority_by_version[version]
+                outcomes.append(CancelTransfer(version=version))
         for version, priority in wanted.items():
-            if version not in self._wanted:
-                outcomes.append(Transfer(version=version, priority=priority))
-            self._wanted[version] = priority
-        version = self._due(now)
+            if version not in self._priority_by_version:
+                outcomes.append(StartTransfer(version=version, priority=priority))
+            self._priority_by_version[version] = priority
+        version = self._next_install(now)
         if version is not None:
             self._installing = version
             outcomes.append(Install(version=version))
         return outcomes
 
-    def _due(self, now):
+    def _next_install(self, now):
         if self._installing is not None or self._engine.busy:
             return None
         current = self._engine.version or 0
         ready = [
             item
-            for item in self._named
-            if item.version in self._held_at_by_version
-            and (item.version > current or not self._engine.whole)
+            for item in self._declared
+            if item.version in self._complete_at_by_version
+            and (item.version > current or not self._engine.is_complete)
             and not self._is_expired(item.version, now)
         ]
         if not ready:
             return None
         chosen = ready[-1]
-        if chosen is not self._named[-1] and self._newest_comes_in_time(chosen):
+        if chosen is not self._declared[-1] and self._newest_arrives_in_time(chosen):
             return None
-        if now < self._start_at(chosen):
+        if now < self._install_time(chosen):
             return None
         return chosen.version
 
     def _is_expired(self, held, now):
         """Tell whether requests may no longer begin on a version."""
-        for named in self._named:
+        for named in self._declared:
             if named.version > held:
-                return now >= named.at + self.version_bound - SEND_MARGIN
+                return now >= named.declared_at + self.version_bound - SEND_MARGIN
         return False
 
-    def _newest_comes_in_time(self, chosen):
+    def _newest_arrives_in_time(self, chosen):
         """Tell whether the newest is here before the engine's own is too old."""
-        done = self._named[-1].at + self.transfer_time + CHANGE_TIME
-        return self._engine.whole and done < chosen.at + self.version_bound
-
-    def _start_at(self, chosen):
-        held_at = self._held_at_by_version[chosen.version]
-        if not self._engine.whole:
-            return held_at
-        too_old_at = min(
-            named.at + self.version_bound
-            for named in self._named
+        done = self._declared[-1].declared_at + self.transfer_time + CHANGE_TIME
+        return (
+            self._engine.is_complete and done < chosen.declared_at + self.version_bound
+        )
+
+    def _install_time(self, chosen):
+        complete_at = self._complete_at_by_version[chosen.version]
+        if not self._engine.is_complete:
+            return complete_at
+        expires_at = min(
+            named.declared_at + self.version_bound
+            for named in self._declared
             if named.version > self._engine.version
         )
         return order_time(
-            held_at=held_at, too_old_at=too_old_at, position=self._position
+            complete_at=complete_at, expires_at=expires_at, position=self._position
         )
--- a/hawthornspoke/spread/_uploads.py
+++ b/hawthornspoke/spread/_uploads.py
@@ -15,20 +15,20 @@
 SHARE_BESIDE_REQUESTS = 0.86
 
 #: Share of it while the engine answers nothing.
-SHARE_ALONE = 0.97
+SHARE_WITHOUT_REQUESTS = 0.97
 
 #: Seconds that a late timer may be made up for by sending the next slices sooner.
-CATCH_UP = 0.02
+MAX_CATCH_UP = 0.02
 
 #: Bytes that may wait at one peer's connection before the next slice. A link that
 #: has become narrower shows only here; its queue would delay all that is live.
-MOST_UNSENT = 2 * SLICE_BYTES
+MAX_UNSENT_BYTES = 2 * SLICE_BYTES
 
 #: Seconds between two looks at those.
-LOOK_EVERY = 0.01
+POLL_INTERVAL = 0.01
 
 #: Seconds without progress after which a peer is left to its own devices.
-STUCK_AFTER = 2.0
+STALL_TIMEOUT = 2.0
 
 #: Seconds for one piece, after which a peer asks elsewhere. On a link of 450 KB/s,
 #: shared by some dozen hosts with two fetches each, a piece of 24 KB takes 1.5 s at
@@ -36,10 +36,10 @@
 PIECE_TIMEOUT = 2.0
 
 #: Pieces that may wait here; a peer that asks for more is told to ask elsewhere.
-MOST_WAITING = 6
+MAX_QUEUED = 6
 
 
-class Uploads:
+class UploadQueue:
     """A queue of pieces and the task that sends them.
 
     Parameters
@@ -61,7 +61,7 @@
     @property
     def is_full(self):
         """Whether no further piece is taken."""
-        return len(self._waiting) >= MOST_WAITING
+        return len(self._waiting) >= MAX_QUEUED
 
     def put(self, link, frame):
         """Take a piece for a peer."""
@@ -77,7 +77,7 @@
 
     async def _send_all(self):
         loop = asyncio.get_running_loop()
-        due = loop.time()
+        next_send_at = loop.time()
         while self._waiting:
             link, frame, deadline = self._waiting.popleft()
             if contact_clock() >= deadline:
@@ -88,17 +88,21 @@
                 part, data = data[:SLICE_BYTES], data[SLICE_BYTES:]
                 link.write_part(part, is_last=not data)
                 sent = len(part)
-                await self._until_taken(link)
-                share = SHARE_BESIDE_REQUESTS if self._is_serving() else SHARE_ALONE
-                due = max(due, loop.time() - CATCH_UP) + sent / (
+                await self._wait_until_drained(link)
+                share = (
+                    SHARE_BESIDE_REQUESTS
+                    if self._is_serving()
+                    else SHARE_WITHOUT_REQUESTS
+                )
+                next_send_at = max(next_send_at, loop.time() - MAX_CATCH_UP) + sent / (
                     self._link_rate * share
                 )
-                await asyncio.sleep(max(0.0, due - loop.time()))
+                await asyncio.sleep(max(0.0, next_send_at - loop.time()))
 
-    async def _until_taken(self, link):
+    async def _wait_until_drained(self, link):
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + STUCK_AFTER
-        while link.is_open and link.unsent() > MOST_UNSENT:
+        deadline = loop.time() + STALL_TIMEOUT
+        while link.is_open and link.unsent() > MAX_UNSENT_BYTES:
             if loop.time() >= deadline:
                 link.close()
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL)
--- a/hawthornspoke/spread/tests/test_after_a_wait.py
+++ b/hawthornspoke/spread/tests/test_after_a_wait.py
@@ -16,8 +16,8 @@
 from hawthornspoke.catalog import EngineProfile, Incarnation
 from hawthornspoke.peering import connect, directive
 from hawthornspoke.protocol import Chunk, Frame
-from hawthornspoke.spread._upgrade import PiecesHeld
-from hawthornspoke.spread._uploads import Uploads
+from hawthornspoke.spread._upgrade import PiecesComplete
+from hawthornspoke.spread._uploads import UploadQueue
 from hawthornspoke.spread.tests.test_agents import (
     ENGINE,
     PORT,
@@ -39,7 +39,7 @@
         self.running = 0
 
     async def snapshot(self):
-        if self.agent is not None and self.agent._noticed and self.before_order:
+        if self.agent is not None and self.agent._order_pending and self.before_order:
             action, self.before_order = self.before_order, None
             await action()
         seen = await super().snapshot()
@@ -86,12 +86,12 @@
         async with one_host() as (hosts, engine):
 
             async def stall():
-                await hosts.name(2, age=20.0)
+                await hosts.declare(2, age=20.0)
                 await asyncio.sleep(0.05)
 
             engine.before_order = stall
-            await hosts.name(1)
-            await hosts.until_all_have(2)
+            await hosts.declare(1)
+            await hosts.wait_until_loaded(2)
             assert engine.orders == [2]
 
     asyncio.run(scenario())
@@ -104,13 +104,13 @@
         async with one_host() as (hosts, engine):
 
             async def stall():
-                await hosts.name(2)
+                await hosts.declare(2)
                 await asyncio.sleep(0.05)
                 suspension.seconds += 20.0
 
             engine.before_order = stall
-            await hosts.name(1)
-            await hosts.until_all_have(2)
+            await hosts.declare(1)
+            await hosts.wait_until_loaded(2)
             assert engine.orders == [2]
 
     asyncio.run(scenario())
@@ -132,8 +132,8 @@
                 time.sleep(1.6)
 
             engine.before_order = stall
-            await hosts.name(1)
-            await hosts.until_all_have(1, seconds=4.0)
+            await hosts.declare(1)
+            await hosts.wait_until_loaded(1, seconds=4.0)
             assert engine.orders == [1]
 
     asyncio.run(scenario())
@@ -271,7 +271,7 @@
     """
 
     async def scenario():
-        uploads = Uploads(link_rate=1e9, is_serving=lambda: False)
+        uploads = UploadQueue(link_rate=1e9, is_serving=lambda: False)
         link = FakeLink()
         uploads.put(link, Frame(call=-1, chunk=Chunk(data=b"p" * 1000)))
         uploads.put(link, Frame(call=-2, chunk=Chunk(data=b"p" * 1000)))
@@ -293,7 +293,7 @@
     async def put_piece(self, model, index, data):
         if data == piece(1, 3):
             self.asked.set()
-            while not self.agent._noticed:
+            while not self.agent._order_pending:
                 await asyncio.sleep(0.005)
         return await super().put_piece(model, index, data)
 
@@ -317,10 +317,10 @@
 
     async def scenario():
         async with one_host(SlowEngine(), SlowOrigin()) as (hosts, engine):
-            await hosts.name(1)
+            await hosts.declare(1)
             await asyncio.wait_for(engine.asked.wait(), 3.0)
-            await hosts.name(2)
-            await hosts.until_all_have(2, seconds=4.0)
+            await hosts.declare(2)
+            await hosts.wait_until_loaded(2, seconds=4.0)
             assert engine.orders == [2]
 
     asyncio.run(scenario())
@@ -345,14 +345,14 @@
                 step(message)
                 if agent.delivery.install is not None and not start.is_set():
                     start.set()
-                    agent._take_start(Incarnation(started_ms=2_000))
+                    agent._update_incarnation(Incarnation(started_ms=2_000))
 
-            agent._take_start(Incarnation(started_ms=1_000))
-            agent.exchange._on_whole = lambda weights: step_and_restart(
-                PiecesHeld(version=weights.version)
+            agent._update_incarnation(Incarnation(started_ms=1_000))
+            agent.exchange._on_complete = lambda weights: step_and_restart(
+                PiecesComplete(version=weights.version)
             )
-            await hosts.name(1)
+            await hosts.declare(1)
             await asyncio.wait_for(start.wait(), 3.0)
-            await hosts.until_all_have(1, seconds=3.0)
+            await hosts.wait_until_loaded(1, seconds=3.0)
 
     asyncio.run(scenario())
--- a/hawthornspoke/spread/tests/test_agents.py
+++ b/hawthornspoke/spread/tests/test_agents.py
@@ -37,19 +37,19 @@
 
     def __init__(self):
         self.reads = []
-        self.lists_read = 0
-        self.wrong = set()
-        self.wrong_digests = {}
+        self.manifest_reads = 0
+        self.corrupt = set()
+        self.corrupt_digests = {}
         self.down = False
 
     async def manifest(self, address, model, version):
         if self.down:
             return ORIGIN_FAILED
-        self.lists_read += 1
+        self.manifest_reads += 1
         digests = [digest_of(piece(version, index)) for index in range(PIECES)]
-        for index, digest in self.wrong_digests.items():
+        for index, digest in self.corrupt_digests.items():
             digests[index] = digest
-        self.wrong_digests = {}
+        self.corrupt_digests = {}
         return tuple(digests)
 
     async def piece(self, address, model, version, index):
@@ -57,8 +57,8 @@
         if self.down:
             return ORIGIN_FAILED
         self.reads.append((version, index))
-        if (version, index) in self.wrong:
-            self.wrong.discard((version, index))
+        if (version, index) in self.corrupt:
+            self.corrupt.discard((version, index))
             return b"?" * SIZE
         return piece(version, index)
 
@@ -73,7 +73,7 @@
         self.sequence = 0
         self.busy = False
         self.orders = []
-        self.rot_after_put = set()
+        self.corrupt_after_put = set()
 
     async def snapshot(self):
         layers = (0, LAYERS) if self.version else None
@@ -88,8 +88,8 @@
         )
 
     async def put_piece(self, model, index, data):
-        if index in self.rot_after_put:
-            self.rot_after_put.discard(index)
+        if index in self.corrupt_after_put:
+            self.corrupt_after_put.discard(index)
             data = b"!" + data[1:]
         self.staged[index] = data
         return None
@@ -114,7 +114,7 @@
         self.version = version
         self.busy = False
 
-    def has(self, version):
+    def has_loaded(self, version):
         """Tell whether exactly the right bytes of a version are loaded."""
         right = {index: piece(version, index) for index in range(PIECES)}
         return self.version == version and self.loaded == right
@@ -189,7 +189,7 @@
             for ip in self.ips
         ]
 
-    async def name(self, version, *, age=0.0, bound=8.0, with_peers=True):
+    async def declare(self, version, *, age=0.0, bound=8.0, with_peers=True):
         """Let an entry host declare a version to all agents."""
         entries = self.entries()
         told = directive(
@@ -208,10 +208,10 @@
             self.links.append(link)
             link.send(Frame(directive=told))
 
-    async def until_all_have(self, version, *, seconds=10.0):
+    async def wait_until_loaded(self, version, *, seconds=10.0):
         """Wait until each engine has loaded a version, whole and right."""
         async with asyncio.timeout(seconds):
-            while not all(engine.has(version) for engine in self.engines):
+            while not all(engine.has_loaded(version) for engine in self.engines):
                 await asyncio.sleep(0.02)
 
 
@@ -219,7 +219,7 @@
     return None
 
 
-def play(scenario, count=3):
+def run_scenario(scenario, count=3):
     """Run a scenario on some hosts."""
 
     async def run():
@@ -231,12 +231,12 @@
 
 def test_version_reaches_all_and_the_origin_sends_one_copy():
     async def scenario(hosts):
-        await hosts.name(1)
-        await hosts.until_all_have(1)
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
         assert len(hosts.origin.reads) <= PIECES * 1.2
         assert all(engine.orders == [1] for engine in hosts.engines)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_wrong_pieces_are_never_loaded():
@@ -247,56 +247,56 @@
     """
 
     async def scenario(hosts):
-        hosts.origin.wrong = {(1, 3), (1, 11)}
-        hosts.engines[0].rot_after_put = {0, 5}
-        await hosts.name(1)
-        await hosts.until_all_have(1)
+        hosts.origin.corrupt = {(1, 3), (1, 11)}
+        hosts.engines[0].corrupt_after_put = {0, 5}
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
         assert all(engine.orders == [1] for engine in hosts.engines)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_next_version_replaces_the_first():
     async def scenario(hosts):
-        await hosts.name(1)
-        await hosts.until_all_have(1)
-        await hosts.name(2)
-        await hosts.until_all_have(2)
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
+        await hosts.declare(2)
+        await hosts.wait_until_loaded(2)
         assert all(engine.orders == [1, 2] for engine in hosts.engines)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_restarted_engine_gets_what_lies_there_without_the_origin():
     """A crashed engine waited for a whole transfer though its pieces lay there."""
 
     async def scenario(hosts):
-        await hosts.name(1)
-        await hosts.until_all_have(1)
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
         hosts.engines[0].version = None
         hosts.engines[0].loaded = {}
         hosts.engines[0].sequence = 0
-        await hosts.until_all_have(1)
+        await hosts.wait_until_loaded(1)
         assert len(hosts.origin.reads) == reads
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_restarted_agent_takes_over_what_is_staged():
     async def scenario(hosts):
-        await hosts.name(1)
-        await hosts.until_all_have(1)
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
         hosts.tasks[0].cancel()
         await asyncio.sleep(0.1)
         await hosts._start(hosts.ips[0], hosts.engines[0])
-        await hosts.name(1)
+        await hosts.declare(1)
         await asyncio.sleep(0.5)
         assert hosts.engines[0].orders == [1]
         assert len(hosts.origin.reads) == reads
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_entry_host_that_restarts_hears_when_the_version_was_declared():
@@ -307,7 +307,7 @@
     """
 
     async def scenario(hosts):
-        await hosts.name(1, age=2.0)
+        await hosts.declare(1, age=2.0)
         states = []
 
         def take(link, frame):
@@ -329,33 +329,33 @@
         assert declared.version == 1
         assert 2000 <= declared.age_ms < 4000
 
-    play(scenario, count=1)
+    run_scenario(scenario, count=1)
 
 
 def test_agent_that_nobody_told_the_age_tells_none():
     async def scenario(hosts):
-        await hosts.name(1, age=None)
+        await hosts.declare(1, age=None)
         await asyncio.sleep(0.2)
         agent = hosts.agents[0]
         assert agent.upgrade.next_version() == 1
         assert agent.directives.declared_ages() == []
-        await hosts.name(1, age=3.0)
+        await hosts.declare(1, age=3.0)
         await asyncio.sleep(0.2)
         (declared,) = agent.directives.declared_ages()
         assert declared.age_ms >= 3000
 
-    play(scenario, count=1)
+    run_scenario(scenario, count=1)
 
 
 def test_origin_that_is_down_is_waited_for():
     async def scenario(hosts):
         hosts.origin.down = True
-        await hosts.name(1)
+        await hosts.declare(1)
         await asyncio.sleep(0.6)
         hosts.origin.down = False
-        await hosts.until_all_have(1)
+        await hosts.wait_until_loaded(1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_lost_host_does_not_stop_the_others():
@@ -372,11 +372,11 @@
         await asyncio.sleep(0.05)
         hosts.ips_alive = hosts.ips[1:]
         all_ips, hosts.ips = hosts.ips, hosts.ips[1:]
-        await hosts.name(1)
+        await hosts.declare(1)
         hosts.ips = all_ips
-        await hosts.until_all_have(1)
+        await hosts.wait_until_loaded(1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_order_of_an_older_agent_is_refused_by_the_sequence():
@@ -404,11 +404,11 @@
     """
 
     async def scenario(hosts):
-        await hosts.name(1)
-        await hosts.until_all_have(1)
-        assert hosts.origin.lists_read == 1
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
+        assert hosts.origin.manifest_reads == 1
 
-    play(scenario, count=6)
+    run_scenario(scenario, count=6)
 
 
 def test_one_wrong_digest_does_not_stop_a_version():
@@ -419,20 +419,20 @@
     """
 
     async def scenario(hosts):
-        hosts.origin.wrong_digests = {4: "0" * 64}
-        await hosts.name(1)
-        await hosts.until_all_have(1)
+        hosts.origin.corrupt_digests = {4: "0" * 64}
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_list_that_is_none_is_read_again():
     async def scenario(hosts):
-        hosts.origin.wrong_digests = {4: "\u00e9 no digest"}
-        await hosts.name(1)
-        await hosts.until_all_have(1)
+        hosts.origin.corrupt_digests = {4: "\u00e9 no digest"}
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_version_is_taken_from_entry_hosts_that_tell_no_peers():
@@ -444,13 +444,13 @@
     """
 
     async def scenario(hosts):
-        await hosts.name(1)
-        await hosts.until_all_have(1)
-        await hosts.name(2, with_peers=False)
-        await hosts.until_all_have(2)
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
+        await hosts.declare(2, with_peers=False)
+        await hosts.wait_until_loaded(2)
         assert len(hosts.origin.reads) <= 2 * PIECES * 1.2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_new_agent_learns_from_neighbours_what_it_has_to_load():
@@ -462,16 +462,16 @@
     """
 
     async def scenario(hosts):
-        await hosts.name(1)
-        await hosts.until_all_have(1)
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
         known, added = list(hosts.ips), "127.0.0.9"
         engine = FakeEngine()
         await hosts._start(added, engine)
         hosts.engines.append(engine)
-        await hosts.until_all_have(1)
+        await hosts.wait_until_loaded(1)
         assert hosts.ips == known
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_list_of_digests_that_is_asked_for_while_a_piece_is_sent():
--- a/hawthornspoke/spread/tests/test_changeover.py
+++ b/hawthornspoke/spread/tests/test_changeover.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hawthornspoke.spread._changeover import LAST_ORDER, order_time
+from hawthornspoke.spread._changeover import DISPATCH_CUTOFF, order_time
 
 #: Seconds from a declaration to the bound of older weights, and in which all pieces
 #: come to all hosts.
@@ -15,9 +15,9 @@
 STEP = 0.05
 
 
-def serving(orders, *, too_old_at, now):
+def serving(orders, *, expires_at, now):
     """Return how many engines may take a request at a moment."""
-    old_until = too_old_at - LAST_ORDER
+    old_until = expires_at - DISPATCH_CUTOFF
     return sum(
         now < min(order, old_until) or now >= order + CHANGES for order in orders
     )
@@ -26,13 +26,13 @@
 def play(engines, *, bound=BOUND, spread=SPREAD):
     """Return the least share of the engines that serve while the old weights may."""
     orders = [
-        order_time(held_at=spread, too_old_at=bound, position=position)
+        order_time(complete_at=spread, expires_at=bound, position=position)
         for position in range(engines)
     ]
-    assert max(orders) <= max(spread, bound - LAST_ORDER) + 1e-9
+    assert max(orders) <= max(spread, bound - DISPATCH_CUTOFF) + 1e-9
     moments = [spread + STEP * number for number in range(int((bound - spread) / STEP))]
-    usable = [now for now in moments if now < bound - LAST_ORDER]
-    least = min(serving(orders, too_old_at=bound, now=now) for now in usable)
+    usable = [now for now in moments if now < bound - DISPATCH_CUTOFF]
+    least = min(serving(orders, expires_at=bound, now=now) for now in usable)
     return least / engines
 
 
@@ -57,4 +57,4 @@
 
 
 def test_engine_whose_weights_are_too_old_is_ordered_at_once():
-    assert order_time(held_at=9.0, too_old_at=8.0, position=1) == 9.0
+    assert order_time(complete_at=9.0, expires_at=8.0, position=1) == 9.0
--- a/hawthornspoke/spread/tests/test_digests_after_an_outage.py
+++ b/hawthornspoke/spread/tests/test_digests_after_an_outage.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hawthornspoke.spread.tests.test_agents import play
+from hawthornspoke.spread.tests.test_agents import run_scenario
 
 #: Seconds from the return of the origin until each host must have begun its transfer.
 #: The pieces take 5 s at best, and old weights end while they come.
@@ -21,7 +21,7 @@
 
     async def scenario(hosts):
         hosts.origin.down = True
-        await hosts.name(2)
+        await hosts.declare(2)
         await asyncio.sleep(2.0)
         hosts.origin.down = False
         back_at = asyncio.get_running_loop().time()
@@ -36,6 +36,6 @@
                 now = asyncio.get_running_loop().time()
                 begun_after += [now - back_at] * (begun - len(begun_after))
         assert max(begun_after) <= SOON
-        assert hosts.origin.lists_read <= 2
+        assert hosts.origin.manifest_reads <= 2
 
-    play(scenario, count=8)
+    run_scenario(scenario, count=8)
--- a/hawthornspoke/spread/tests/test_entry_links.py
+++ b/hawthornspoke/spread/tests/test_entry_links.py
@@ -43,7 +43,7 @@
     made = EntryLinks(failure_domain="a", spawn=None)
     for number, link in enumerate(hosts):
         domain = "a" if number < NEAR_HOSTS else "b"
-        made.take(link, Directive(failure_domain=domain, weights_version=1))
+        made.receive(link, Directive(failure_domain=domain, weights_version=1))
     for link in hosts:
         link.transport.written.clear()
     return made
@@ -86,9 +86,9 @@
     hosts = [connection() for _ in range(NEAR_HOSTS + FAR_HOSTS)]
     links = entry_links(hosts)
     encoded = count_encoded(monkeypatch)
-    links.tell(state(1), now=10.0)
+    links.report(state(1), now=10.0)
     first = len(encoded)
-    links.tell(state(2), now=10.1)
+    links.report(state(2), now=10.1)
     assert all(heard(link) == [1, 2] for link in hosts[:NEAR_HOSTS])
     assert all(heard(link) == [1] for link in hosts[NEAR_HOSTS:])
     assert (first, len(encoded) - first) == (1, 1)
@@ -97,9 +97,9 @@
 def test_nothing_is_encoded_while_nobody_is_due(monkeypatch):
     hosts = [connection() for _ in range(NEAR_HOSTS)]
     links = entry_links(hosts)
-    links.tell(state(1), now=10.0)
+    links.report(state(1), now=10.0)
     encoded = count_encoded(monkeypatch)
-    links.tell(state(1), now=10.1)
+    links.report(state(1), now=10.1)
     assert encoded == []
     assert all(heard(link) == [1] for link in hosts)
 
@@ -113,7 +113,7 @@
     hosts = [connection() for _ in range(3)]
     links = entry_links(hosts)
     hosts[1].transport.waiting = peer_connection.MOST_WAITING + 1
-    links.tell(state(1), now=10.0)
+    links.report(state(1), now=10.0)
     assert hosts[1].transport.closing
     assert [heard(link) for link in hosts] == [[1], [], [1]]
 
@@ -123,14 +123,14 @@
     links = entry_links(hosts)
     hosts[0].transport.closing = True
     hosts[1].transport = None
-    links.tell(state(1), now=10.0)
+    links.report(state(1), now=10.0)
     assert hosts[0].transport.written == []
 
 
 def test_state_is_no_question():
     """The shared bytes carry no call number: no host may answer them."""
     host = connection()
-    entry_links([host]).tell(state(1), now=10.0)
+    entry_links([host]).report(state(1), now=10.0)
     assert decode(Frame, host.transport.written[0][4:]).call is None
 
 
@@ -143,20 +143,20 @@
     times a second, and to all others each second; a host has a request for one of
     them every other second. Cause: nobody said who needs to hear of it.
     """
-    monkeypatch.setattr(_entry_links, "FAR_JITTER", (1.0, 1.0))
+    monkeypatch.setattr(_entry_links, "REMOTE_JITTER", (1.0, 1.0))
     near, far = connection(), connection()
     links = EntryLinks(failure_domain="a", spawn=None)
     for link, domain in ((near, "a"), (far, "b")):
-        links.take(link, Directive(failure_domain=domain, weights_version=1))
+        links.receive(link, Directive(failure_domain=domain, weights_version=1))
         link.transport.written.clear()
-        links.take_follows(link, False)
+        links.set_follows(link, False)
     for tenth in range(31):
-        links.tell(state(tenth % 2), now=10.0 + tenth / 10)
+        links.report(state(tenth % 2), now=10.0 + tenth / 10)
     assert len(heard(near)) == 4
     assert len(heard(far)) == 2
     changed = state(0)
     changed.weights_version = 2
-    links.tell(changed, now=13.15)
+    links.report(changed, now=13.15)
     assert len(heard(near)) == 5
     assert len(heard(far)) == 3
 
@@ -164,11 +164,11 @@
 def test_host_that_begins_to_keep_to_an_engine_hears_its_load_at_the_next_look():
     (host,) = hosts = [connection()]
     links = entry_links(hosts)
-    links.take_follows(host, False)
-    links.tell(state(1), now=10.0)
-    links.tell(state(2), now=10.1)
-    links.take_follows(host, True)
-    links.tell(state(2), now=10.2)
+    links.set_follows(host, False)
+    links.report(state(1), now=10.0)
+    links.report(state(2), now=10.1)
+    links.set_follows(host, True)
+    links.report(state(2), now=10.2)
     assert heard(host) == [1, 2]
 
 
@@ -176,9 +176,9 @@
     """Guards against restarted hosts that have no neighbour to read it from."""
     links = EntryLinks(failure_domain="a", spawn=None)
     hosts = [connection() for _ in range(3)]
-    links.take_failure_domain(hosts[0], "a")
-    links.take_failure_domain(hosts[1], "b")
-    links.take_failure_domain(hosts[2], "a")
+    links.set_failure_domain(hosts[0], "a")
+    links.set_failure_domain(hosts[1], "b")
+    links.set_failure_domain(hosts[2], "a")
     named = [decode(Frame, host.transport.written[-1][4:]) for host in hosts[::2]]
     assert [len(frame.entry_hosts.addresses) for frame in named] == [2, 2]
     assert not hosts[1].transport.written
--- a/hawthornspoke/spread/tests/test_far_loads.py
+++ b/hawthornspoke/spread/tests/test_far_loads.py
@@ -41,7 +41,7 @@
         host = self._told[place, number]
         super()._tell(fleet, place, number, load, now)
         self._told[place, number] = host
-        host.note_told(_state(load), now)
+        host.record_report(_state(load), now)
 
 
 def _state(load):
--- a/hawthornspoke/spread/tests/test_first_start.py
+++ b/hawthornspoke/spread/tests/test_first_start.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from hawthornspoke.spread import SpreadSettings
-from hawthornspoke.spread._directives import FIRST_START_PATIENCE
+from hawthornspoke.spread._directives import FIRST_START_DELAY
 from hawthornspoke.spread.tests.test_agents import FakePlatform, Hosts
 
 
@@ -45,7 +45,7 @@
             await asyncio.sleep(seconds)
             return len(reads)
 
-    assert asyncio.run(scenario(True, FIRST_START_PATIENCE / 3)) == 0
+    assert asyncio.run(scenario(True, FIRST_START_DELAY / 3)) == 0
     assert asyncio.run(scenario(False, 0.5)) == 2
 
 
@@ -58,7 +58,7 @@
 
     async def scenario():
         async with Hosts(2) as hosts:
-            await hosts.name(1)
-            await hosts.until_all_have(1, seconds=4.0)
+            await hosts.declare(1)
+            await hosts.wait_until_loaded(1, seconds=4.0)
 
     asyncio.run(scenario())
--- a/hawthornspoke/spread/tests/test_frames.py
+++ b/hawthornspoke/spread/tests/test_frames.py
@@ -78,7 +78,7 @@
         read_alone=None,
     )
     made._on_frame(Link(), Frame(directive=directive()))
-    made.exchange.want(
+    made.exchange.start_transfer(
         Weights(model="m", version=2, digests=("00" * 32,) * 4), priority=0
     )
     return made
--- a/hawthornspoke/spread/tests/test_incarnations.py
+++ b/hawthornspoke/spread/tests/test_incarnations.py
@@ -13,12 +13,12 @@
 from hawthornspoke.spread._installer import Installer
 from hawthornspoke.spread._stock import Weights
 from hawthornspoke.spread._upgrade import (
+    EngineObserved,
     EngineRestarted,
-    EngineSeen,
     Install,
     InstallEnded,
-    Named,
-    PiecesHeld,
+    PiecesComplete,
+    VersionDeclared,
 )
 from hawthornspoke.spread.tests.test_agents import (
     ENGINE,
@@ -27,7 +27,7 @@
     PORT,
     FakeEngine,
     piece,
-    play,
+    run_scenario,
 )
 
 FIRST = Incarnation(started_ms=1_000_000)
@@ -98,7 +98,7 @@
             self._end(version)
 
 
-def whole_weights(version=1):
+def complete_weights(version=1):
     """Return all pieces of a version."""
     data = [piece(version, index) for index in range(PIECES)]
     weights = Weights(
@@ -109,9 +109,11 @@
     return weights
 
 
-def installer_for(engine, *, on_notice=lambda noticed: None):
+def installer_for(engine, *, on_order_pending=lambda order_pending: None):
     """Return an installer of an engine."""
-    return Installer(engine=engine, log=EventLog(node="n"), on_notice=on_notice)
+    return Installer(
+        engine=engine, log=EventLog(node="n"), on_order_pending=on_order_pending
+    )
 
 
 def test_order_that_is_answered_by_the_next_start_is_no_success():
@@ -126,7 +128,7 @@
         engine = RestartingEngine()
         engine.before_start = lambda: engine.restart(SECOND)
         failure = await installer_for(engine).install(
-            whole_weights(), is_due=lambda: True
+            complete_weights(), is_order_valid=lambda: True
         )
         assert is_failure(failure)
         assert "started again" in failure.reason
@@ -146,12 +148,14 @@
     async def run():
         engine = RestartingEngine()
 
-        def on_notice(noticed):
-            if noticed:
+        def on_order_pending(order_pending):
+            if order_pending:
                 engine.restart(then)
 
-        installer = installer_for(engine, on_notice=on_notice)
-        failure = await installer.install(whole_weights(), is_due=lambda: True)
+        installer = installer_for(engine, on_order_pending=on_order_pending)
+        failure = await installer.install(
+            complete_weights(), is_order_valid=lambda: True
+        )
         assert is_failure(failure)
         assert engine.ordered_from == []
 
@@ -166,7 +170,7 @@
         engine.sequence = 3
         engine.before_start = lambda: engine.restart(UNKNOWN_START)
         failure = await installer_for(engine).install(
-            whole_weights(), is_due=lambda: True
+            complete_weights(), is_order_valid=lambda: True
         )
         assert is_failure(failure)
         assert "started again" in failure.reason
@@ -185,7 +189,7 @@
     async def run():
         engine = RestartingEngine()
         installer = installer_for(engine)
-        weights = whole_weights()
+        weights = complete_weights()
         for index in range(4):
             await installer.stage(weights, index)
 
@@ -194,7 +198,7 @@
         await asyncio.sleep(0.01)
         answer_late, engine.answer_puts = engine.answer_puts, None
         engine.restart(SECOND)
-        installer.forget()
+        installer.reset()
         await installer.stage(weights, 0)
         answer_late.set()
         await late
@@ -212,13 +216,15 @@
     that what it held before still counts. Cause: that rule is for one start.
     """
     machine = Upgrade()
-    machine.step(Named(version=1, at=0.0), now=0.0)
-    machine.step(EngineSeen(version=1, whole=True, busy=False), now=1.0)
-    machine.step(PiecesHeld(version=1), now=1.0)
+    machine.step(VersionDeclared(version=1, declared_at=0.0), now=0.0)
+    machine.step(EngineObserved(version=1, is_complete=True, busy=False), now=1.0)
+    machine.step(PiecesComplete(version=1), now=1.0)
     machine.step(EngineRestarted(), now=2.0)
-    machine.step(EngineSeen(version=None, whole=False, busy=True), now=2.0)
+    machine.step(EngineObserved(version=None, is_complete=False, busy=True), now=2.0)
     assert machine.ready_at(2.0) is not None
-    outcomes = machine.step(EngineSeen(version=None, whole=False, busy=False), now=2.1)
+    outcomes = machine.step(
+        EngineObserved(version=None, is_complete=False, busy=False), now=2.1
+    )
     assert Install(version=1) in outcomes
     assert machine.step(InstallEnded(version=1), now=2.2) == outcomes
 
@@ -239,15 +245,15 @@
         hosts.engines[0] = engine
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         await asyncio.sleep(0.2)
-        await hosts.name(1)
-        await hosts.until_all_have(1)
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
         engine.restart(then, lose_staged=lose_staged)
-        await hosts.until_all_have(1, seconds=4.0)
+        await hosts.wait_until_loaded(1, seconds=4.0)
         assert len(hosts.origin.reads) == reads
         assert engine.ordered_from[-1] == (then, 0)
 
-    play(scenario, count=1)
+    run_scenario(scenario, count=1)
 
 
 def test_agent_plans_for_a_start_that_is_busy_from_the_first_look():
@@ -263,8 +269,8 @@
         hosts.engines[0] = engine
         agent.engine = agent.installer._engine = engine
         await asyncio.sleep(0.2)
-        await hosts.name(1)
-        await hosts.until_all_have(1)
+        await hosts.declare(1)
+        await hosts.wait_until_loaded(1)
         await asyncio.sleep(0.3)
         assert agent.upgrade.ready_at(monotonic()) is None
         engine.restart(SECOND)
@@ -272,9 +278,9 @@
         await asyncio.sleep(0.3)
         assert agent.upgrade.ready_at(monotonic()) is not None
         engine.busy = False
-        await hosts.until_all_have(1, seconds=4.0)
+        await hosts.wait_until_loaded(1, seconds=4.0)
 
-    play(scenario, count=1)
+    run_scenario(scenario, count=1)
 
 
 def test_running_install_ends_with_the_start_it_was_for():
@@ -284,16 +290,16 @@
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         await asyncio.sleep(0.2)
         engine.load_time = 60.0
-        await hosts.name(1)
+        await hosts.declare(1)
         async with asyncio.timeout(4.0):
             while not engine.busy:
                 await asyncio.sleep(0.01)
         engine.load_time = 0.05
         engine.restart(SECOND)
         # An order that never ends is waited for much longer.
-        await hosts.until_all_have(1, seconds=3.0)
+        await hosts.wait_until_loaded(1, seconds=3.0)
 
-    play(scenario, count=1)
+    run_scenario(scenario, count=1)
 
 
 def test_staging_for_the_earlier_start_is_called_off():
@@ -309,15 +315,15 @@
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         await asyncio.sleep(0.2)
         engine.answer_puts = asyncio.Event()
-        await hosts.name(1)
+        await hosts.declare(1)
         async with asyncio.timeout(4.0):
             while hosts.agents[0].delivery.install is None or not engine.puts:
                 await asyncio.sleep(0.01)
         engine.answer_puts = None
         engine.restart(SECOND)
-        await hosts.until_all_have(1, seconds=4.0)
+        await hosts.wait_until_loaded(1, seconds=4.0)
 
-    play(scenario, count=1)
+    run_scenario(scenario, count=1)
 
 
 def test_restart_while_an_install_ends_does_not_stop_the_next_one():
@@ -335,26 +341,26 @@
         agent.engine = agent.installer._engine = engine
         await asyncio.sleep(0.2)
         looking = asyncio.Event()
-        look = agent._look
+        observe_engine = agent._observe_engine
 
         async def slow_look():
             if asyncio.current_task() is agent.delivery.install:
                 looking.set()
                 await asyncio.sleep(0.5)
-            await look()
+            await observe_engine()
 
         class SlowLook(type(agent)):
             __slots__ = ()
-            _look = staticmethod(slow_look)
+            _observe_engine = staticmethod(slow_look)
 
         agent.__class__ = SlowLook
         engine.before_start = lambda: engine.restart(SECOND)
-        await hosts.name(1)
+        await hosts.declare(1)
         await asyncio.wait_for(looking.wait(), 4.0)
         engine.restart(CLOCK_BACK)
-        await hosts.until_all_have(1, seconds=4.0)
+        await hosts.wait_until_loaded(1, seconds=4.0)
 
-    play(scenario, count=1)
+    run_scenario(scenario, count=1)
 
 
 def test_agent_tells_the_start_that_its_word_is_about():
@@ -373,23 +379,23 @@
         )
         hosts.links.append(link)
         await asyncio.sleep(0.2)
-        await hosts.name(1)
+        await hosts.declare(1)
         told = directive(
             engine=ENGINE, version=1, age=None, peers=None, origin=None, bound=8.0
         )
         link.send(Frame(directive=told))
-        await hosts.until_all_have(1)
+        await hosts.wait_until_loaded(1)
         await asyncio.sleep(0.3)
         assert {state.started_ms for state in states} == {FIRST.started_ms}
         states.clear()
         engine.restart(SECOND)
-        await hosts.until_all_have(1)
+        await hosts.wait_until_loaded(1)
         await asyncio.sleep(0.3)
         assert states[-1].started_ms == SECOND.started_ms
         starts = [state.started_ms for state in states]
         assert starts == sorted(starts)
 
-    play(scenario, count=1)
+    run_scenario(scenario, count=1)
 
 
 def test_late_look_at_the_earlier_start_changes_nothing():
@@ -407,7 +413,7 @@
         hosts.tasks[0].cancel()
         await asyncio.sleep(0.05)
         agent.engine = engine
-        await agent._look()
+        await agent._observe_engine()
         answered = asyncio.Event()
         early = await engine.snapshot()
 
@@ -416,13 +422,13 @@
             return early
 
         engine.snapshot = slow_snapshot
-        late = asyncio.create_task(agent._look())
+        late = asyncio.create_task(agent._observe_engine())
         await asyncio.sleep(0.01)
         del engine.snapshot
         engine.restart(SECOND)
-        await agent._look()
+        await agent._observe_engine()
         answered.set()
         await late
         assert agent._snapshot.incarnation == SECOND
 
-    play(scenario, count=1)
+    run_scenario(scenario, count=1)
--- a/hawthornspoke/spread/tests/test_link.py
+++ b/hawthornspoke/spread/tests/test_link.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from hawthornspoke.spread._link import Link, ProbeEnded, ProbeSent
+from hawthornspoke.spread._link import LinkDelayEstimator, ProbeEnded, ProbeSent
 
 
 def probe(link, number, *, sent, back):
     """Let one probe go there and back."""
     link.step(ProbeSent(number=number), now=sent)
-    link.step(ProbeEnded(number=number, came_back=True), now=back)
+    link.step(ProbeEnded(number=number, answered=True), now=back)
 
 
 def test_calm_link_has_no_delay():
-    link = Link()
+    link = LinkDelayEstimator()
     assert link.delay(0.0) == 0.0
     for number in range(4):
         probe(link, number, sent=number, back=number + 0.004)
@@ -20,7 +20,7 @@
 
 
 def test_full_link_shows_in_what_comes_back_late():
-    link = Link()
+    link = LinkDelayEstimator()
     probe(link, 1, sent=0.0, back=0.004)
     probe(link, 2, sent=1.0, back=1.604)
     probe(link, 3, sent=1.25, back=1.804)
@@ -28,7 +28,7 @@
 
 
 def test_full_link_shows_before_anything_comes_back():
-    link = Link()
+    link = LinkDelayEstimator()
     probe(link, 1, sent=0.0, back=0.004)
     link.step(ProbeSent(number=2), now=1.0)
     link.step(ProbeSent(number=3), now=1.25)
@@ -37,7 +37,7 @@
 
 def test_one_host_that_stands_still_is_no_full_link():
     """All entry hosts left an engine alone because one of them was frozen."""
-    link = Link()
+    link = LinkDelayEstimator()
     probe(link, 1, sent=0.0, back=0.004)
     link.step(ProbeSent(number=2), now=1.0)
     probe(link, 3, sent=1.25, back=1.254)
@@ -45,8 +45,8 @@
 
 
 def test_lost_connection_tells_nothing():
-    link = Link()
+    link = LinkDelayEstimator()
     probe(link, 1, sent=0.0, back=0.004)
     link.step(ProbeSent(number=2), now=1.0)
-    link.step(ProbeEnded(number=2, came_back=False), now=3.0)
+    link.step(ProbeEnded(number=2, answered=False), now=3.0)
     assert link.delay(3.0) == pytest.approx(0.0, abs=1e-6)
--- a/hawthornspoke/spread/tests/test_upgrade.py
+++ b/hawthornspoke/spread/tests/test_upgrade.py
@@ -1,26 +1,26 @@
 """Which version an engine goes to next: replayed sequences of names and pieces."""
 
-from hawthornspoke.spread._changeover import LAST_ORDER
+from hawthornspoke.spread._changeover import DISPATCH_CUTOFF
 from hawthornspoke.spread._upgrade import (
-    EngineSeen,
-    Forget,
+    CancelTransfer,
+    EngineObserved,
     Install,
-    Named,
-    PiecesHeld,
-    Placed,
-    Transfer,
+    PiecesComplete,
+    PositionAssigned,
+    StartTransfer,
     Upgrade,
+    VersionDeclared,
 )
 
 T = 6.0
 BOUND = 8.0
 
 
-def machine(version=1, *, whole=True):
+def machine(version=1, *, is_complete=True):
     """Return a machine whose engine holds a version, with that version named."""
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
-    upgrade.step(Named(version=1, at=-100.0), now=-100.0)
-    seen = EngineSeen(version=version, whole=whole, busy=False)
+    upgrade.step(VersionDeclared(version=1, declared_at=-100.0), now=-100.0)
+    seen = EngineObserved(version=version, is_complete=is_complete, busy=False)
     upgrade.step(seen, now=0.0)
     return upgrade
 
@@ -32,11 +32,11 @@
 
 def test_a_version_is_fetched_and_then_installed_once():
     upgrade = machine()
-    outcomes = upgrade.step(Named(version=2, at=0.0), now=0.0)
-    assert Transfer(version=2, priority=1) in outcomes
-    outcomes = upgrade.step(PiecesHeld(version=2), now=5.5)
+    outcomes = upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
+    assert StartTransfer(version=2, priority=1) in outcomes
+    outcomes = upgrade.step(PiecesComplete(version=2), now=5.5)
     assert installs(outcomes) == [Install(version=2)]
-    seen = EngineSeen(version=1, whole=True, busy=False)
+    seen = EngineObserved(version=1, is_complete=True, busy=False)
     assert installs(upgrade.step(seen, now=5.6)) == []
 
 
@@ -48,9 +48,9 @@
     the first took link time that only delayed the second.
     """
     upgrade = machine()
-    upgrade.step(Named(version=2, at=0.0), now=0.0)
-    outcomes = upgrade.step(Named(version=3, at=2.0), now=2.0)
-    assert Forget(version=2) in outcomes
+    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
+    outcomes = upgrade.step(VersionDeclared(version=3, declared_at=2.0), now=2.0)
+    assert CancelTransfer(version=2) in outcomes
     assert upgrade.targets() == [1, 3]
 
 
@@ -61,42 +61,42 @@
     there 2 s after the bound of the old weights. Cause: always the newest only.
     """
     upgrade = machine()
-    upgrade.step(Named(version=2, at=0.0), now=0.0)
-    outcomes = upgrade.step(Named(version=3, at=4.0), now=4.0)
-    assert Forget(version=2) not in outcomes
+    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
+    outcomes = upgrade.step(VersionDeclared(version=3, declared_at=4.0), now=4.0)
+    assert CancelTransfer(version=2) not in outcomes
     assert upgrade.targets() == [1, 2, 3]
-    assert installs(upgrade.step(PiecesHeld(version=2), now=5.9)) == [
+    assert installs(upgrade.step(PiecesComplete(version=2), now=5.9)) == [
         Install(version=2)
     ]
 
 
 def test_second_name_after_the_firsts_pieces_are_whole_keeps_the_first():
     upgrade = machine()
-    upgrade.step(Named(version=2, at=0.0), now=0.0)
-    upgrade.step(PiecesHeld(version=2), now=1.0)
-    upgrade.step(Named(version=3, at=1.5), now=1.5)
+    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
+    upgrade.step(PiecesComplete(version=2), now=1.0)
+    upgrade.step(VersionDeclared(version=3, declared_at=1.5), now=1.5)
     assert 2 in upgrade.targets()
 
 
 def test_version_past_its_bound_is_not_installed():
     upgrade = machine()
-    upgrade.step(Named(version=2, at=0.0), now=0.0)
-    upgrade.step(Named(version=3, at=4.0), now=4.0)
-    assert installs(upgrade.step(PiecesHeld(version=2), now=11.5)) == []
+    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
+    upgrade.step(VersionDeclared(version=3, declared_at=4.0), now=4.0)
+    assert installs(upgrade.step(PiecesComplete(version=2), now=11.5)) == []
 
 
 def test_restarted_engine_gets_its_version_again():
     upgrade = machine()
-    upgrade.step(PiecesHeld(version=1), now=0.0)
-    seen = EngineSeen(version=None, whole=False, busy=False)
+    upgrade.step(PiecesComplete(version=1), now=0.0)
+    seen = EngineObserved(version=None, is_complete=False, busy=False)
     assert installs(upgrade.step(seen, now=1.0)) == [Install(version=1)]
 
 
 def test_busy_engine_is_not_ordered():
     upgrade = machine()
-    upgrade.step(Named(version=2, at=0.0), now=0.0)
-    upgrade.step(EngineSeen(version=1, whole=True, busy=True), now=1.0)
-    assert installs(upgrade.step(PiecesHeld(version=2), now=5.5)) == []
+    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
+    upgrade.step(EngineObserved(version=1, is_complete=True, busy=True), now=1.0)
+    assert installs(upgrade.step(PiecesComplete(version=2), now=5.5)) == []
 
 
 def test_older_name_that_comes_late_changes_nothing():
@@ -105,8 +105,8 @@
     Cause: the last word was taken, not the newest.
     """
     upgrade = machine()
-    upgrade.step(Named(version=3, at=0.0), now=0.0)
-    assert upgrade.step(Named(version=2, at=1.0), now=1.0) == []
+    upgrade.step(VersionDeclared(version=3, declared_at=0.0), now=0.0)
+    assert upgrade.step(VersionDeclared(version=2, declared_at=1.0), now=1.0) == []
     assert upgrade.next_version() == 3
 
 
@@ -121,21 +121,21 @@
     at which the version was heard of, so that the order seemed to have time.
     """
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
-    upgrade.step(Named(version=1, at=-100.0), now=-100.0)
-    upgrade.step(EngineSeen(version=1, whole=True, busy=False), now=0.0)
-    upgrade.step(Placed(position=1), now=0.0)
-    upgrade.step(Named(version=2, at=0.0), now=0.1)
-    upgrade.step(Named(version=2, at=1.4), now=1.4)
-    outcomes = upgrade.step(PiecesHeld(version=2), now=BOUND - LAST_ORDER)
+    upgrade.step(VersionDeclared(version=1, declared_at=-100.0), now=-100.0)
+    upgrade.step(EngineObserved(version=1, is_complete=True, busy=False), now=0.0)
+    upgrade.step(PositionAssigned(position=1), now=0.0)
+    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.1)
+    upgrade.step(VersionDeclared(version=2, declared_at=1.4), now=1.4)
+    outcomes = upgrade.step(PiecesComplete(version=2), now=BOUND - DISPATCH_CUTOFF)
     assert installs(outcomes) == [Install(version=2)]
 
 
 def test_later_date_that_can_be_true_is_taken():
     """An entry host that has just started tells an earlier moment than others do."""
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
-    upgrade.step(Named(version=1, at=-100.0), now=-100.0)
-    upgrade.step(EngineSeen(version=1, whole=True, busy=False), now=0.0)
-    upgrade.step(Placed(position=1), now=0.0)
-    upgrade.step(Named(version=2, at=-6.0), now=0.1)
-    upgrade.step(Named(version=2, at=0.0), now=0.2)
-    assert installs(upgrade.step(PiecesHeld(version=2), now=5.0)) == []
+    upgrade.step(VersionDeclared(version=1, declared_at=-100.0), now=-100.0)
+    upgrade.step(EngineObserved(version=1, is_complete=True, busy=False), now=0.0)
+    upgrade.step(PositionAssigned(position=1), now=0.0)
+    upgrade.step(VersionDeclared(version=2, declared_at=-6.0), now=0.1)
+    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.2)
+    assert installs(upgrade.step(PiecesComplete(version=2), now=5.0)) == []
