--- a/hawthornspoke/spread/_answers.py
+++ b/hawthornspoke/spread/_answers.py
@@ -20,7 +20,7 @@
         self._weights_by_name = weights_by_name
         self._uploads = uploads
 
-    def send_piece(self, link, frame):
+    def piece(self, link, frame):
         """Send a piece, or why there is none."""
         weights = self._weights_by_name.get(frame.chunk_ask.digest)
         data = weights.get(frame.chunk_ask.index) if weights is not None else None
@@ -32,7 +32,7 @@
             chunk = Chunk(data=data)
         self._uploads.put(link, Frame(call=-frame.call, chunk=chunk))
 
-    def send_holdings(self, link, frame):
+    def holdings(self, link, frame):
         """Tell which pieces of some weights are here."""
         weights = self._weights_by_name.get(frame.holdings_ask.digest)
         held = weights.held() if weights is not None else ()
--- a/hawthornspoke/spread/_delivery.py
+++ b/hawthornspoke/spread/_delivery.py
@@ -127,7 +127,7 @@
         is known to nobody; without this it is waited for as long as the slowest
         engine may take to load.
         """
-        self.installer.reset()
+        self.installer.forget()
         install = self.install
         if install is not None:
             install.cancel()
@@ -184,7 +184,7 @@
     def _on_digests_rejected(self, weights):
         self._log.change("digests_distrusted", weights=weights.name)
         self._weights_by_version.pop(weights.version, None)
-        self.exchange.evict(weights.name)
+        self.exchange.forget(weights.name)
         self.manifests.reject(weights.name)
         transfer = StartTransfer(version=weights.version, priority=0)
         again = self._fetch_version(transfer, rejected=weights)
@@ -238,4 +238,4 @@
         unused = sorted(set(self._weights_by_version) - wanted)
         for version in unused[:-MAX_OLD_VERSIONS]:
             weights = self._weights_by_version.pop(version)
-            self.exchange.evict(weights.name)
+            self.exchange.forget(weights.name)
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -150,7 +150,7 @@
                 self._log.decision("read_alone", version=directive.weights_version)
                 self._apply_directive(directive)
 
-    def respond(self, link, frame):
+    def answer(self, link, frame):
         """Tell a new agent what this one was told."""
         known = copy.copy(self._directive)
         if known is not None:
@@ -219,7 +219,7 @@
         )
         named = VersionDeclared(
             version=version,
-            declared_at=arrived_after - (age or 0.0),
+            at=arrived_after - (age or 0.0),
             is_dated=age is not None,
         )
         self._delivery.step(named)
--- a/hawthornspoke/spread/_entry_links.py
+++ b/hawthornspoke/spread/_entry_links.py
@@ -82,7 +82,7 @@
     """
 
     __slots__ = (
-        "link_delay",
+        "link",
         "no_reader_since",
         "_failure_domain",
         "_spawn",
@@ -90,7 +90,7 @@
     )
 
     def __init__(self, *, failure_domain, spawn):
-        self.link_delay = LinkDelayEstimator()
+        self.link = LinkDelayEstimator()
         self.no_reader_since = monotonic()
         self._failure_domain = failure_domain
         self._spawn = spawn
@@ -101,7 +101,7 @@
 
     def delay(self):
         """Return the seconds that a message may wait on the way."""
-        return self.link_delay.delay(monotonic())
+        return self.link.delay(monotonic())
 
     def receive(self, link, directive):
         """Note what a directive says of its sender."""
@@ -167,10 +167,10 @@
                 self._spawn(self._probe_once(is_local[number % len(is_local)], number))
 
     async def _probe_once(self, link, number):
-        self.link_delay.step(ProbeSent(number=number), now=monotonic())
+        self.link.step(ProbeSent(number=number), now=monotonic())
         answer = await link.ask(Frame(probe=True), timeout=PROBE_TIMEOUT)
         ended = ProbeEnded(number=number, answered=not is_failure(answer))
-        self.link_delay.step(ended, now=monotonic())
+        self.link.step(ended, now=monotonic())
 
     def _local_links(self):
         return [link for link, host in self._host_by_link.items() if host.is_local]
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -230,7 +230,7 @@
         """Stop getting some weights; what is here can still be asked for."""
         self._step(Drop(digest=name))
 
-    def evict(self, name):
+    def forget(self, name):
         """Free the memory of some weights."""
         self.drop(name)
         self.weights_by_name.pop(name, None)
@@ -240,9 +240,9 @@
         if frame.announce is not None:
             self._handle_announce(frame.announce)
         elif frame.chunk_ask is not None:
-            self._responder.send_piece(link, frame)
+            self._responder.piece(link, frame)
         elif frame.holdings_ask is not None:
-            self._responder.send_holdings(link, frame)
+            self._responder.holdings(link, frame)
 
     def close(self):
         """End all links and fetches."""
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -70,7 +70,7 @@
         self._generation = 0
         self._pending_puts = set()
 
-    def reset(self):
+    def forget(self):
         """Take that the engine has started again: nothing counts as staged.
 
         It may have lost what was staged, and an order for a version of which a piece
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -104,7 +104,7 @@
         self._digests_by_name.pop(name, None)
         self._rejected.add(name)
 
-    def respond(self, link, frame):
+    def answer(self, link, frame):
         """Answer a host that asks."""
         self._exchange.spawn(self._send_manifest(link, frame))
 
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -205,9 +205,9 @@
         elif frame.evidence is not None:
             self.evidence_links.receive(link, frame)
         elif frame.manifest_ask is not None:
-            self.delivery.manifests.respond(link, frame)
+            self.delivery.manifests.answer(link, frame)
         elif frame.directive_ask is not None:
-            self.directives.respond(link, frame)
+            self.directives.answer(link, frame)
         else:
             self.exchange.on_frame(link, frame)
 
@@ -322,7 +322,7 @@
             "engine": str(self._snapshot),
             "entry_hosts": len(self.entry_links),
             "upgrade": self.upgrade.dump(now=contact_clock()),
-            "link": self.entry_links.link_delay.dump(now=now),
+            "link": self.entry_links.link.dump(now=now),
             "swarm": self.exchange.swarm.dump(now=now),
             "evidence": self.evidence_links.exchange.dump(now=now),
             "metrics": self.metrics.dump(),
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -30,7 +30,7 @@
     """
 
     version: int
-    declared_at: float
+    at: float
     is_dated: bool = True
 
 
@@ -227,9 +227,7 @@
             return None
         if newest.version in self._complete_at_by_version:
             return now + CHANGE_TIME
-        return max(
-            now + CHANGE_TIME, newest.declared_at + self.transfer_time + CHANGE_TIME
-        )
+        return max(now + CHANGE_TIME, newest.at + self.transfer_time + CHANGE_TIME)
 
     def targets(self):
         """Return the versions to get, the first one first.
@@ -256,8 +254,7 @@
         """Return the state as plain data."""
         return {
             "named": [
-                [item.version, round(now - item.declared_at, 3)]
-                for item in self._declared
+                [item.version, round(now - item.at, 3)] for item in self._declared
             ],
             "held": sorted(self._complete_at_by_version),
             "wanted": dict(self._priority_by_version),
@@ -273,11 +270,11 @@
         newest = self._declared[-1]
         if message.version != newest.version or not message.is_dated:
             return
-        if message.declared_at > self._newest_received_at:
+        if message.at > self._newest_received_at:
             # False: a host that reached the platform again later than others dates
             # from then what it finds, and an order would wait beyond the bound.
             return
-        if not newest.is_dated or message.declared_at > newest.declared_at:
+        if not newest.is_dated or message.at > newest.at:
             self._declared[-1] = message
 
     def _is_superseded(self, index):
@@ -287,9 +284,7 @@
         if self._engine.version is None:
             # Nothing to bridge a gap for: the newest is there as soon.
             return True
-        return (
-            following.declared_at - named.declared_at < DROP_SHARE * self.transfer_time
-        )
+        return following.at - named.at < DROP_SHARE * self.transfer_time
 
     def _plan(self, now):
         outcomes = []
@@ -332,22 +327,20 @@
         """Tell whether requests may no longer begin on a version."""
         for named in self._declared:
             if named.version > held:
-                return now >= named.declared_at + self.version_bound - SEND_MARGIN
+                return now >= named.at + self.version_bound - SEND_MARGIN
         return False
 
     def _newest_arrives_in_time(self, chosen):
         """Tell whether the newest is here before the engine's own is too old."""
-        done = self._declared[-1].declared_at + self.transfer_time + CHANGE_TIME
-        return (
-            self._engine.is_complete and done < chosen.declared_at + self.version_bound
-        )
+        done = self._declared[-1].at + self.transfer_time + CHANGE_TIME
+        return self._engine.is_complete and done < chosen.at + self.version_bound
 
     def _install_time(self, chosen):
         complete_at = self._complete_at_by_version[chosen.version]
         if not self._engine.is_complete:
             return complete_at
         expires_at = min(
-            named.declared_at + self.version_bound
+            named.at + self.version_bound
             for named in self._declared
             if named.version > self._engine.version
         )
--- a/hawthornspoke/spread/tests/test_after_a_wait.py
+++ b/hawthornspoke/spread/tests/test_after_a_wait.py
@@ -86,11 +86,11 @@
         async with one_host() as (hosts, engine):
 
             async def stall():
-                await hosts.declare(2, age=20.0)
+                await hosts.name(2, age=20.0)
                 await asyncio.sleep(0.05)
 
             engine.before_order = stall
-            await hosts.declare(1)
+            await hosts.name(1)
             await hosts.wait_until_loaded(2)
             assert engine.orders == [2]
 
@@ -104,12 +104,12 @@
         async with one_host() as (hosts, engine):
 
             async def stall():
-                await hosts.declare(2)
+                await hosts.name(2)
                 await asyncio.sleep(0.05)
                 suspension.seconds += 20.0
 
             engine.before_order = stall
-            await hosts.declare(1)
+            await hosts.name(1)
             await hosts.wait_until_loaded(2)
             assert engine.orders == [2]
 
@@ -132,7 +132,7 @@
                 time.sleep(1.6)
 
             engine.before_order = stall
-            await hosts.declare(1)
+            await hosts.name(1)
             await hosts.wait_until_loaded(1, seconds=4.0)
             assert engine.orders == [1]
 
@@ -317,9 +317,9 @@
 
     async def scenario():
         async with one_host(SlowEngine(), SlowOrigin()) as (hosts, engine):
-            await hosts.declare(1)
+            await hosts.name(1)
             await asyncio.wait_for(engine.asked.wait(), 3.0)
-            await hosts.declare(2)
+            await hosts.name(2)
             await hosts.wait_until_loaded(2, seconds=4.0)
             assert engine.orders == [2]
 
@@ -351,7 +351,7 @@
             agent.exchange._on_complete = lambda weights: step_and_restart(
                 PiecesComplete(version=weights.version)
             )
-            await hosts.declare(1)
+            await hosts.name(1)
             await asyncio.wait_for(start.wait(), 3.0)
             await hosts.wait_until_loaded(1, seconds=3.0)
 
--- a/hawthornspoke/spread/tests/test_agents.py
+++ b/hawthornspoke/spread/tests/test_agents.py
@@ -189,7 +189,7 @@
             for ip in self.ips
         ]
 
-    async def declare(self, version, *, age=0.0, bound=8.0, with_peers=True):
+    async def name(self, version, *, age=0.0, bound=8.0, with_peers=True):
         """Let an entry host declare a version to all agents."""
         entries = self.entries()
         told = directive(
@@ -231,7 +231,7 @@
 
 def test_version_reaches_all_and_the_origin_sends_one_copy():
     async def scenario(hosts):
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
         assert len(hosts.origin.reads) <= PIECES * 1.2
         assert all(engine.orders == [1] for engine in hosts.engines)
@@ -249,7 +249,7 @@
     async def scenario(hosts):
         hosts.origin.corrupt = {(1, 3), (1, 11)}
         hosts.engines[0].corrupt_after_put = {0, 5}
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
         assert all(engine.orders == [1] for engine in hosts.engines)
 
@@ -258,9 +258,9 @@
 
 def test_next_version_replaces_the_first():
     async def scenario(hosts):
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
-        await hosts.declare(2)
+        await hosts.name(2)
         await hosts.wait_until_loaded(2)
         assert all(engine.orders == [1, 2] for engine in hosts.engines)
 
@@ -271,7 +271,7 @@
     """A crashed engine waited for a whole transfer though its pieces lay there."""
 
     async def scenario(hosts):
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
         hosts.engines[0].version = None
@@ -285,13 +285,13 @@
 
 def test_restarted_agent_takes_over_what_is_staged():
     async def scenario(hosts):
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
         hosts.tasks[0].cancel()
         await asyncio.sleep(0.1)
         await hosts._start(hosts.ips[0], hosts.engines[0])
-        await hosts.declare(1)
+        await hosts.name(1)
         await asyncio.sleep(0.5)
         assert hosts.engines[0].orders == [1]
         assert len(hosts.origin.reads) == reads
@@ -307,7 +307,7 @@
     """
 
     async def scenario(hosts):
-        await hosts.declare(1, age=2.0)
+        await hosts.name(1, age=2.0)
         states = []
 
         def take(link, frame):
@@ -334,12 +334,12 @@
 
 def test_agent_that_nobody_told_the_age_tells_none():
     async def scenario(hosts):
-        await hosts.declare(1, age=None)
+        await hosts.name(1, age=None)
         await asyncio.sleep(0.2)
         agent = hosts.agents[0]
         assert agent.upgrade.next_version() == 1
         assert agent.directives.declared_ages() == []
-        await hosts.declare(1, age=3.0)
+        await hosts.name(1, age=3.0)
         await asyncio.sleep(0.2)
         (declared,) = agent.directives.declared_ages()
         assert declared.age_ms >= 3000
@@ -350,7 +350,7 @@
 def test_origin_that_is_down_is_waited_for():
     async def scenario(hosts):
         hosts.origin.down = True
-        await hosts.declare(1)
+        await hosts.name(1)
         await asyncio.sleep(0.6)
         hosts.origin.down = False
         await hosts.wait_until_loaded(1)
@@ -372,7 +372,7 @@
         await asyncio.sleep(0.05)
         hosts.ips_alive = hosts.ips[1:]
         all_ips, hosts.ips = hosts.ips, hosts.ips[1:]
-        await hosts.declare(1)
+        await hosts.name(1)
         hosts.ips = all_ips
         await hosts.wait_until_loaded(1)
 
@@ -404,7 +404,7 @@
     """
 
     async def scenario(hosts):
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
         assert hosts.origin.manifest_reads == 1
 
@@ -420,7 +420,7 @@
 
     async def scenario(hosts):
         hosts.origin.corrupt_digests = {4: "0" * 64}
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
 
     run_scenario(scenario)
@@ -429,7 +429,7 @@
 def test_list_that_is_none_is_read_again():
     async def scenario(hosts):
         hosts.origin.corrupt_digests = {4: "\u00e9 no digest"}
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
 
     run_scenario(scenario)
@@ -444,9 +444,9 @@
     """
 
     async def scenario(hosts):
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
-        await hosts.declare(2, with_peers=False)
+        await hosts.name(2, with_peers=False)
         await hosts.wait_until_loaded(2)
         assert len(hosts.origin.reads) <= 2 * PIECES * 1.2
 
@@ -462,7 +462,7 @@
     """
 
     async def scenario(hosts):
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
         known, added = list(hosts.ips), "127.0.0.9"
         engine = FakeEngine()
--- a/hawthornspoke/spread/tests/test_digests_after_an_outage.py
+++ b/hawthornspoke/spread/tests/test_digests_after_an_outage.py
@@ -21,7 +21,7 @@
 
     async def scenario(hosts):
         hosts.origin.down = True
-        await hosts.declare(2)
+        await hosts.name(2)
         await asyncio.sleep(2.0)
         hosts.origin.down = False
         back_at = asyncio.get_running_loop().time()
--- a/hawthornspoke/spread/tests/test_first_start.py
+++ b/hawthornspoke/spread/tests/test_first_start.py
@@ -58,7 +58,7 @@
 
     async def scenario():
         async with Hosts(2) as hosts:
-            await hosts.declare(1)
+            await hosts.name(1)
             await hosts.wait_until_loaded(1, seconds=4.0)
 
     asyncio.run(scenario())
--- a/hawthornspoke/spread/tests/test_incarnations.py
+++ b/hawthornspoke/spread/tests/test_incarnations.py
@@ -198,7 +198,7 @@
         await asyncio.sleep(0.01)
         answer_late, engine.answer_puts = engine.answer_puts, None
         engine.restart(SECOND)
-        installer.reset()
+        installer.forget()
         await installer.stage(weights, 0)
         answer_late.set()
         await late
@@ -216,7 +216,7 @@
     that what it held before still counts. Cause: that rule is for one start.
     """
     machine = Upgrade()
-    machine.step(VersionDeclared(version=1, declared_at=0.0), now=0.0)
+    machine.step(VersionDeclared(version=1, at=0.0), now=0.0)
     machine.step(EngineObserved(version=1, is_complete=True, busy=False), now=1.0)
     machine.step(PiecesComplete(version=1), now=1.0)
     machine.step(EngineRestarted(), now=2.0)
@@ -245,7 +245,7 @@
         hosts.engines[0] = engine
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         await asyncio.sleep(0.2)
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
         engine.restart(then, lose_staged=lose_staged)
@@ -269,7 +269,7 @@
         hosts.engines[0] = engine
         agent.engine = agent.installer._engine = engine
         await asyncio.sleep(0.2)
-        await hosts.declare(1)
+        await hosts.name(1)
         await hosts.wait_until_loaded(1)
         await asyncio.sleep(0.3)
         assert agent.upgrade.ready_at(monotonic()) is None
@@ -290,7 +290,7 @@
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         await asyncio.sleep(0.2)
         engine.load_time = 60.0
-        await hosts.declare(1)
+        await hosts.name(1)
         async with asyncio.timeout(4.0):
             while not engine.busy:
                 await asyncio.sleep(0.01)
@@ -315,7 +315,7 @@
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         await asyncio.sleep(0.2)
         engine.answer_puts = asyncio.Event()
-        await hosts.declare(1)
+        await hosts.name(1)
         async with asyncio.timeout(4.0):
             while hosts.agents[0].delivery.install is None or not engine.puts:
                 await asyncio.sleep(0.01)
@@ -355,7 +355,7 @@
 
         agent.__class__ = SlowLook
         engine.before_start = lambda: engine.restart(SECOND)
-        await hosts.declare(1)
+        await hosts.name(1)
         await asyncio.wait_for(looking.wait(), 4.0)
         engine.restart(CLOCK_BACK)
         await hosts.wait_until_loaded(1, seconds=4.0)
@@ -379,7 +379,7 @@
         )
         hosts.links.append(link)
         await asyncio.sleep(0.2)
-        await hosts.declare(1)
+        await hosts.name(1)
         told = directive(
             engine=ENGINE, version=1, age=None, peers=None, origin=None, bound=8.0
         )
--- a/hawthornspoke/spread/tests/test_upgrade.py
+++ b/hawthornspoke/spread/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 def machine(version=1, *, is_complete=True):
     """Return a machine whose engine holds a version, with that version named."""
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
-    upgrade.step(VersionDeclared(version=1, declared_at=-100.0), now=-100.0)
+    upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
     seen = EngineObserved(version=version, is_complete=is_complete, busy=False)
     upgrade.step(seen, now=0.0)
     return upgrade
@@ -32,7 +32,7 @@
 
 def test_a_version_is_fetched_and_then_installed_once():
     upgrade = machine()
-    outcomes = upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
+    outcomes = upgrade.step(VersionDeclared(version=2, at=0.0), now=0.0)
     assert StartTransfer(version=2, priority=1) in outcomes
     outcomes = upgrade.step(PiecesComplete(version=2), now=5.5)
     assert installs(outcomes) == [Install(version=2)]
@@ -48,8 +48,8 @@
     the first took link time that only delayed the second.
     """
     upgrade = machine()
-    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
-    outcomes = upgrade.step(VersionDeclared(version=3, declared_at=2.0), now=2.0)
+    upgrade.step(VersionDeclared(version=2, at=0.0), now=0.0)
+    outcomes = upgrade.step(VersionDeclared(version=3, at=2.0), now=2.0)
     assert CancelTransfer(version=2) in outcomes
     assert upgrade.targets() == [1, 3]
 
@@ -61,8 +61,8 @@
     there 2 s after the bound of the old weights. Cause: always the newest only.
     """
     upgrade = machine()
-    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
-    outcomes = upgrade.step(VersionDeclared(version=3, declared_at=4.0), now=4.0)
+    upgrade.step(VersionDeclared(version=2, at=0.0), now=0.0)
+    outcomes = upgrade.step(VersionDeclared(version=3, at=4.0), now=4.0)
     assert CancelTransfer(version=2) not in outcomes
     assert upgrade.targets() == [1, 2, 3]
     assert installs(upgrade.step(PiecesComplete(version=2), now=5.9)) == [
@@ -72,16 +72,16 @@
 
 def test_second_name_after_the_firsts_pieces_are_whole_keeps_the_first():
     upgrade = machine()
-    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
+    upgrade.step(VersionDeclared(version=2, at=0.0), now=0.0)
     upgrade.step(PiecesComplete(version=2), now=1.0)
-    upgrade.step(VersionDeclared(version=3, declared_at=1.5), now=1.5)
+    upgrade.step(VersionDeclared(version=3, at=1.5), now=1.5)
     assert 2 in upgrade.targets()
 
 
 def test_version_past_its_bound_is_not_installed():
     upgrade = machine()
-    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
-    upgrade.step(VersionDeclared(version=3, declared_at=4.0), now=4.0)
+    upgrade.step(VersionDeclared(version=2, at=0.0), now=0.0)
+    upgrade.step(VersionDeclared(version=3, at=4.0), now=4.0)
     assert installs(upgrade.step(PiecesComplete(version=2), now=11.5)) == []
 
 
@@ -94,7 +94,7 @@
 
 def test_busy_engine_is_not_ordered():
     upgrade = machine()
-    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.0)
+    upgrade.step(VersionDeclared(version=2, at=0.0), now=0.0)
     upgrade.step(EngineObserved(version=1, is_complete=True, busy=True), now=1.0)
     assert installs(upgrade.step(PiecesComplete(version=2), now=5.5)) == []
 
@@ -105,8 +105,8 @@
     Cause: the last word was taken, not the newest.
     """
     upgrade = machine()
-    upgrade.step(VersionDeclared(version=3, declared_at=0.0), now=0.0)
-    assert upgrade.step(VersionDeclared(version=2, declared_at=1.0), now=1.0) == []
+    upgrade.step(VersionDeclared(version=3, at=0.0), now=0.0)
+    assert upgrade.step(VersionDeclared(version=2, at=1.0), now=1.0) == []
     assert upgrade.next_version() == 3
 
 
@@ -121,11 +121,11 @@
     at which the version was heard of, so that the order seemed to have time.
     """
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
-    upgrade.step(VersionDeclared(version=1, declared_at=-100.0), now=-100.0)
+    upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
     upgrade.step(EngineObserved(version=1, is_complete=True, busy=False), now=0.0)
     upgrade.step(PositionAssigned(position=1), now=0.0)
-    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.1)
-    upgrade.step(VersionDeclared(version=2, declared_at=1.4), now=1.4)
+    upgrade.step(VersionDeclared(version=2, at=0.0), now=0.1)
+    upgrade.step(VersionDeclared(version=2, at=1.4), now=1.4)
     outcomes = upgrade.step(PiecesComplete(version=2), now=BOUND - DISPATCH_CUTOFF)
     assert installs(outcomes) == [Install(version=2)]
 
@@ -133,9 +133,9 @@
 def test_later_date_that_can_be_true_is_taken():
     """An entry host that has just started tells an earlier moment than others do."""
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
-    upgrade.step(VersionDeclared(version=1, declared_at=-100.0), now=-100.0)
+    upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
     upgrade.step(EngineObserved(version=1, is_complete=True, busy=False), now=0.0)
     upgrade.step(PositionAssigned(position=1), now=0.0)
-    upgrade.step(VersionDeclared(version=2, declared_at=-6.0), now=0.1)
-    upgrade.step(VersionDeclared(version=2, declared_at=0.0), now=0.2)
+    upgrade.step(VersionDeclared(version=2, at=-6.0), now=0.1)
+    upgrade.step(VersionDeclared(version=2, at=0.0), now=0.2)
     assert installs(upgrade.step(PiecesComplete(version=2), now=5.0)) == []
