--- a/hawthornspoke/rollout/__init__.py
+++ b/hawthornspoke/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""In which order hosts change over to new weights."""
+"""Order in which hosts switch to new weights."""
 
 from hawthornspoke.rollout._changeover import (
     CHANGING,
--- a/hawthornspoke/rollout/_changeover.py
+++ b/hawthornspoke/rollout/_changeover.py
@@ -1,4 +1,4 @@
-"""Permission to go out of service for a swap in place."""
+"""Permission to go out of service while weights are replaced in place."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class HostState:
-    """Where a host of the service stands in a change-over.
+    """Progress of one host of the service in a rollout.
 
     Parameters
     ----------
@@ -26,18 +26,18 @@
 
 
 def may_change_over(*, node, digest, hosts, max_unavailable):
-    """Tell whether a host may stop answering in order to swap its weights.
+    """Tell whether a host may stop serving to replace its weights in place.
 
     Parameters
     ----------
     node : str
-        The host that asks.
+        The host that requests permission.
     digest : str
-        The new weights.
+        Digest of the new weights.
     hosts : list of HostState
-        The live hosts of the service in the failure domain, this one too.
+        The live hosts of the service in the failure domain, including ``node``.
     max_unavailable : int
-        Hosts of the failure domain that may be out of service at once.
+        Maximum number of hosts of the failure domain out of service at once.
 
     Returns
     -------
@@ -45,9 +45,10 @@
 
     Notes
     -----
-    Without a coordinator, two hosts that both see nobody changing would both go,
-    and live traffic would lose more capacity than was declared. All hosts order
-    those that wait in the same way, and one counts the places before it.
+    There is no coordinator: two hosts that both see no other host changing could both
+    go out of service, and live traffic would lose more capacity than was declared. So
+    all hosts rank the waiting ones in the same order (rendezvous hashing), and each
+    counts the hosts ranked before it.
     """
     changing = [item.node for item in hosts if item.state == CHANGING]
     if node in changing:
--- a/hawthornspoke/spread/__init__.py
+++ b/hawthornspoke/spread/__init__.py
@@ -1,4 +1,4 @@
-"""The agent beside an engine on one event loop: pieces in, orders out."""
+"""Agent that distributes weights to the engine on its host, on one event loop."""
 
 from hawthornspoke.spread._ports import (
     ENGINE_CHANGED,
--- a/hawthornspoke/spread/_answers.py
+++ b/hawthornspoke/spread/_answers.py
@@ -1,4 +1,4 @@
-"""Answers to peers that ask for pieces, or for what is here."""
+"""Responses to peers that request pieces or the list of held pieces."""
 
 import struct
 
@@ -6,7 +6,7 @@
 
 
 class PeerResponder:
-    """Answers peers through the queue of pieces.
+    """Responds to requests of peers through the upload queue.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
         self._uploads = uploads
 
     def piece(self, link, frame):
-        """Send a piece, or why there is none."""
+        """Queue a piece for a peer, or the reason why it can't be sent."""
         weights = self._weights_by_name.get(frame.chunk_ask.digest)
         data = weights.get(frame.chunk_ask.index) if weights is not None else None
         if data is None:
@@ -33,21 +33,21 @@
         self._uploads.put(link, Frame(call=-frame.call, chunk=chunk))
 
     def holdings(self, link, frame):
-        """Tell which pieces of some weights are here."""
+        """Queue the list of held pieces of a version for a peer."""
         weights = self._weights_by_name.get(frame.holdings_ask.digest)
         held = weights.held() if weights is not None else ()
         holdings = Holdings(bitmap=pack_indices(held), held=len(held))
-        # Behind the pieces: on this connection a piece may be half sent.
+        # Goes through the queue: a piece may be partly written on this connection.
         self._uploads.put(link, Frame(call=-frame.call, holdings=holdings))
 
 
 def pack_indices(indices):
-    """Return piece numbers as bytes, two each."""
+    """Encode piece indices as big-endian 16-bit integers."""
     return struct.pack(f">{len(indices)}H", *indices)
 
 
 def unpack_indices(data):
-    """Return piece numbers; bytes that are none give an empty tuple."""
+    """Decode piece indices; return an empty tuple for malformed data."""
     if not data or len(data) % 2:
         return ()
     return struct.unpack(f">{len(data) // 2}H", data)
--- a/hawthornspoke/spread/_changeover.py
+++ b/hawthornspoke/spread/_changeover.py
@@ -1,44 +1,44 @@
-"""When the engines of a failure domain change to a version, one group after the other.
+"""Staggers the switch of a failure domain's engines to a new version, by groups.
 
-Answers the load of callers while a version comes into use. An engine that is ordered
-finishes what runs, takes nothing new meanwhile, and then loads; with all pieces there
-at the same moment on all hosts, all engines did so together, and for one to two seconds
-nobody answered, though the older weights still might.
+Keeps capacity available during the switch. An engine that is ordered to load weights
+first finishes its running requests and admits no new ones. All hosts hold all pieces at
+about the same time; if all engines were ordered then, none would answer for one to two
+seconds, although the older weights are still within their bound.
 """
 
-#: Seconds that an engine needs from the order until it answers with new weights:
-#: it finishes what runs, one to two seconds of tokens, then loads.
+#: Seconds from a load order until the engine answers with the new weights: it finishes
+#: its running requests, one to two seconds of tokens, and then loads.
 CHANGE_TIME = 2.0
 
-#: Seconds before the bound of its weights from which an engine gets no new requests:
-#: what has not begun is withdrawn, and entry hosts reckon with the time to the first
-#: token before that.
+#: Seconds before the bound of its weights from which an engine receives no new
+#: requests: those that have not begun are withdrawn, and entry hosts allow for the time
+#: to the first token before that.
 DISPATCH_CUTOFF = 0.6
 
-#: Groups that change one after the other at the most. More would leave a host without
-#: the new version for longer, and save less of the fleet each.
+#: Maximum number of groups that switch one after the other. Each further group delays
+#: the new version on some hosts and keeps less additional capacity.
 MAX_GROUPS = 4
 
 
 def order_time(*, complete_at, expires_at, position):
-    """Return when an engine that answers is to be ordered.
+    """Return the time at which a serving engine is to be ordered to load a version.
 
-    The groups are spread over the time until the older weights may answer no more, but
-    no further apart than one needs to change.
+    The groups are spread over the time until the older weights expire, at intervals of
+    no more than one group needs to switch.
 
     Parameters
     ----------
     complete_at : float
-        When all pieces were there.
+        When all pieces of the version were held.
     expires_at : float
-        When the engine's weights may no longer begin to answer.
+        When requests may no longer begin on the engine's current weights.
     position : int
-        Number of this host in its failure domain, from 0.
+        Zero-based position of this host in its failure domain.
 
     Returns
     -------
     float
-        On the clock of both moments, ``complete_at`` at the least.
+        On the clock of the two arguments, and not before ``complete_at``.
     """
     span = max(0.0, expires_at - DISPATCH_CUTOFF - complete_at)
     groups = min(MAX_GROUPS, 2 + int(span / CHANGE_TIME))
