--- a/hawthornspoke/spread/_delivery.py
+++ b/hawthornspoke/spread/_delivery.py
@@ -1,4 +1,4 @@
-"""Brings versions to the engine: gets their pieces, stages and installs them."""
+"""Delivers versions to the engine: fetches, stages and installs their pieces."""
 
 import asyncio
 import random
@@ -18,20 +18,21 @@
     Upgrade,
 )
 
-#: Seconds between two tries to read a list of digests, drawn at random between these.
-#: Two hosts of each region try, and pieces can't be asked for before.
+#: Range of the random delay before a manifest is requested again, in seconds. It is
+#: short because only two hosts of each region read the origin, and no piece can be
+#: requested without the manifest.
 MANIFEST_RETRY_DELAY = (0.1, 0.2)
 
-#: Versions whose pieces are kept in memory besides those that are wanted: peers
-#: that are late still ask for them.
+#: Number of versions whose pieces stay in memory besides the targets, because slower
+#: peers may still request them.
 MAX_OLD_VERSIONS = 1
 
-#: How an install ends whose engine has started again, or whose agent stops.
+#: Result of an install that was cancelled by an engine restart or the agent's shutdown.
 INSTALL_CANCELLED = Failure(code="install_cancelled")
 
 
 class Delivery:
-    """Carries out what the upgrade machine decides.
+    """Carries out the outcomes of the upgrade machine.
 
     Parameters
     ----------
@@ -41,11 +42,11 @@
     log : EventLog
     metrics : Metrics
     last_observation : callable
-        Returns the EngineObserved of the last look.
-    look : coroutine function
-        Looks at the engine now.
+        Returns the EngineObserved of the latest snapshot.
+    observe_engine : coroutine function
+        Reads the engine's state now.
     is_serving : callable
-        Tells whether the engine answers requests now.
+        Tells whether the engine is serving requests now.
     on_order_pending : callable
         See ``Installer``.
 
@@ -106,12 +107,12 @@
 
     @property
     def install(self):
-        """The task of the running install, None if there is none."""
+        """The task of the install in progress, or None."""
         return self._tasks.get("install")
 
     def step(self, message):
-        """Step the plan and carry out what it decides."""
-        # A declaration binds also while this host is suspended.
+        """Step the upgrade machine and carry out its outcomes."""
+        # On the clock that includes suspension, as a version's bound runs on then too.
         for outcome in self.upgrade.step(message, now=contact_clock()):
             if isinstance(outcome, StartTransfer):
                 self._start_task(f"get {outcome.version}", self._fetch_version(outcome))
@@ -121,11 +122,11 @@
                 self._start_install(outcome.version)
 
     def reset_engine(self):
-        """Give up what was for the start of the engine that is over.
+        """Discard the state that belongs to an earlier incarnation of the engine.
 
-        What was staged may be gone, and the order that a running install waits for
-        is known to nobody; without this it is waited for as long as the slowest
-        engine may take to load.
+        Staged pieces may be lost, and the new incarnation does not know the order that
+        a running install waits for. Without this the install would wait for as long as
+        the slowest engine may take to load.
         """
         self.installer.forget()
         install = self.install
@@ -134,7 +135,7 @@
         self.step(EngineRestarted())
 
     def close(self):
-        """End what is in progress."""
+        """Cancel all tasks."""
         for task in self._tasks.values():
             task.cancel()
 
@@ -146,9 +147,10 @@
 
     def _start_install(self, version):
         task = self._start_task("install", self._install(version))
-        # Not at the end of the task itself: one that a restart of the engine cancels
-        # before its first step runs none of it, and one that is cancelled in its last
-        # look no more of it. Were the end not told, no version would be installed.
+        # In a callback rather than at the end of the coroutine: a task that an engine
+        # restart cancels before its first step never runs, and one cancelled in its
+        # final observation does not finish. Without InstallEnded no further version
+        # would be installed.
         ended = InstallEnded(version=version)
         task.add_done_callback(lambda _: self.step(ended))
 
@@ -159,7 +161,7 @@
             self._log.change("task_failed", task=name, error=repr(task.exception()))
 
     async def _fetch_version(self, transfer, rejected=None):
-        """Get a version; pieces of one whose digests were wrong are checked anew."""
+        """Fetch a version; held pieces with rejected digests are verified again."""
         version = transfer.version
         weights = self._weights_by_version.get(version)
         if weights is None:
@@ -195,7 +197,10 @@
             self._start_task(f"stage {index}", self.installer.stage(weights, index))
 
     def _stage_target(self):
-        """Return the version whose pieces lie at the engine: one at a time."""
+        """Return the version whose pieces are to be staged, None if none is.
+
+        The engine stages one version at a time.
+        """
         if "install" in self._tasks:
             return None
         current = self._last_observation()
@@ -220,7 +225,7 @@
                 )
         finally:
             self._log.change("install_ended", version=version, failure=str(failure))
-            # The next plan must see what the engine holds now, not a moment ago.
+            # The next plan needs the engine's current state, not an earlier one.
             await self._observe_engine()
 
     def _is_order_valid(self, version):
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -1,4 +1,4 @@
-"""What an agent is told: by entry hosts, by neighbours, or by the platform itself."""
+"""Directives that an agent receives from entry hosts, neighbours or the platform."""
 
 import asyncio
 import copy
@@ -11,33 +11,34 @@
 from hawthornspoke.spread._peers import Peer
 from hawthornspoke.spread._upgrade import PositionAssigned, VersionDeclared
 
-#: Seconds without an entry host after which the agent reads the platform itself.
+#: Seconds without an entry host that reads the platform after which the agent reads it
+#: itself, and seconds between two such reads.
 DIRECT_READ_AFTER = 2.0
 DIRECT_READ_INTERVAL = 2.0
 
-#: Seconds that an agent waits for entry hosts where all hosts start for the first
-#: time: its neighbours know nothing either, and were it to read the platform with all
-#: the others, that would be four calls of each of 156 agents.
+#: Seconds that an agent waits for entry hosts if all hosts start for the first time.
+#: Its neighbours know nothing either, and if all agents read the platform, each of 156
+#: would make four calls.
 FIRST_START_DELAY = 6.0
 
-#: Seconds that the pause between two introductions grows to: who found neighbours that
-#: know nothing hears of it by an entry host as soon as there is one.
+#: Maximum seconds between two bootstrap attempts. If no neighbour has a directive, an
+#: entry host sends one as soon as it is connected.
 MAX_BOOTSTRAP_INTERVAL = 8.0
 
-#: Neighbours that a new agent asks what they were told, one after the other, and
-#: seconds for each.
+#: Number of neighbours that a new agent asks for their directive, one after the other,
+#: and the timeout in seconds for each.
 BOOTSTRAP_PEERS = 3
 BOOTSTRAP_TIMEOUT = 0.4
 
-#: Share of a link that pieces really get beside the rest, over a whole transfer.
+#: Share of the link rate that pieces achieve beside other traffic, over a transfer.
 TRANSFER_LINK_SHARE = 0.82
 
-#: Seconds beyond a version's bound for which its age is told to entry hosts.
+#: Seconds beyond a version's bound for which its age is reported to entry hosts.
 REPORT_BEYOND_BOUND = 2.0
 
 
 class Directives:
-    """Takes directives and passes on what they change.
+    """Applies directives to delivery, entry links and peers.
 
     Parameters
     ----------
@@ -48,7 +49,7 @@
         See ``Agent``.
     log : EventLog
     arrived_after : callable
-        Returns a moment after which what is read now has arrived.
+        Returns a lower bound of the time at which data read now arrived.
 
     Attributes
     ----------
@@ -83,17 +84,18 @@
         self._directive = None
 
     def receive(self, link, directive):
-        """Take the word of the sender at the other end of a connection.
+        """Apply a directive received on a connection.
 
         Parameters
         ----------
         link : object
+            Connection to the sender.
         directive : Directive
 
         Returns
         -------
         bool
-            Whether it was usable.
+            Whether the directive was usable.
         """
         if not is_usable(directive):
             self._log.change("directive_unusable", directive=str(directive)[:200])
@@ -106,10 +108,11 @@
         return True
 
     async def bootstrap(self):
-        """Ask neighbours what they were told, until an entry host tells it.
+        """Ask neighbours for their directive until one is received.
 
-        An engine registers itself a second after its host started, and only then do
-        entry hosts know of this agent; a second of a transfer of five.
+        An engine registers a second after its host started, and entry hosts learn of
+        this agent only then. Asking neighbours saves that second; a transfer takes
+        five.
         """
         if self._settings.first_start:
             await asyncio.sleep(FIRST_START_DELAY)
@@ -132,7 +135,10 @@
             pause = min(2 * pause, MAX_BOOTSTRAP_INTERVAL)
 
     async def read_alone(self):
-        """Read the platform while no entry host is connected, until cancelled."""
+        """Read the platform while no entry host that reads it is connected.
+
+        Runs until cancelled.
+        """
         if self._settings.first_start:
             await asyncio.sleep(FIRST_START_DELAY)
         while True:
@@ -151,7 +157,7 @@
                 self._apply_directive(directive)
 
     def answer(self, link, frame):
-        """Tell a new agent what this one was told."""
+        """Send a new agent the current directive."""
         known = copy.copy(self._directive)
         if known is not None:
             known.weights_version = self._upgrade.next_version()
@@ -161,9 +167,10 @@
         link.send(Frame(call=-frame.call, directive=known))
 
     def declared_ages(self):
-        """Return what an entry host has to know that has just started.
+        """Return the ages of recently declared versions, for entry hosts.
 
-        Its bounds are over soon after a declaration; older ones need no date.
+        An entry host that has just started needs them. Versions whose bound has passed
+        need no age.
         """
         now = contact_clock()
         youngest = now - self._upgrade.version_bound - REPORT_BEYOND_BOUND
@@ -236,8 +243,9 @@
             for peer in peers
             if not peer.leaving or peer.address == self._settings.engine_address
         }
-        # Whatever the list says at this address: an entry of another writer may put it
-        # into another failure domain, and this host would not be among its own.
+        # The own settings override an entry of the list at this address: another writer
+        # may have listed it in another failure domain, and this host would be missing
+        # from its own.
         own = self._settings.engine_address
         by_name[own] = Peer(
             failure_domain=self._settings.failure_domain,
--- a/hawthornspoke/spread/_entry_links.py
+++ b/hawthornspoke/spread/_entry_links.py
@@ -1,4 +1,8 @@
-"""An agent's connections to entry hosts: its state out, probes, who tells it."""
+"""An agent's connections to entry hosts: state reports, probes and directive sources.
+
+An entry host is local if it is in the agent's failure domain, and remote otherwise. It
+follows an engine if it routes its own requests to it first.
+"""
 
 import random
 
@@ -7,40 +11,41 @@
 from hawthornspoke.protocol import EntryHosts, Frame
 from hawthornspoke.spread._link import LinkDelayEstimator, ProbeEnded, ProbeSent
 
-#: Seconds after which a state is told again to entry hosts that keep to this engine,
-#: in the own failure domain and in others: those send requests here only when theirs
-#: is full. Silence for a few of these times tells that the host stands still.
+#: Seconds after which an unchanged state is reported again to entry hosts that follow
+#: this engine. Remote ones send requests here only when their own failure domain is
+#: full. After a few intervals without a report they take this host to be unresponsive.
 LOCAL_REPORT_INTERVAL = 0.25
 REMOTE_REPORT_INTERVAL = 2.0
 
-#: Seconds between two states told to far hosts while only the load changes.
+#: Seconds between two reports to remote hosts while only the load changes.
 REMOTE_LOAD_INTERVAL = 1.0
 
-#: The same for hosts that don't keep to this engine. They send requests here once
-#: theirs are full, and then hear more often.
+#: Seconds between two reports to hosts that don't follow this engine. They send
+#: requests here once the engines they follow are full, and then follow this one too.
 LOCAL_SLOW_INTERVAL = 1.0
 REMOTE_SLOW_INTERVAL = 3.0
 
-#: Range of the random factor applied to these intervals for each far host. If all far
-#: hosts got a report at the same time, all would send to the engine that reported last.
+#: Range of the random factor applied to these intervals for each remote host. If all
+#: remote hosts got a report at the same time, all would send requests to the engine
+#: that reported last.
 REMOTE_JITTER = (0.2, 1.8)
 
-#: Ticks between two probes of the link, 60 bytes each, and seconds for one to come
-#: back.
+#: Ticks between two probes of the link, of 60 bytes each, and the timeout of a probe in
+#: seconds.
 PROBE_TICKS = 3
 PROBE_TIMEOUT = 2.0
 
 
 class _EntryHost:
-    """What is known of the entry host at the other end of a connection.
+    """State of one connected entry host.
 
-    ``near`` is whether it is in the own failure domain, ``follows`` whether it keeps
-    to this engine, ``tells`` whether it reads the platform itself, so that its word on
-    peers is first-hand.
+    ``local`` is whether it is in the own failure domain, ``follows`` whether it follows
+    this engine, ``reads_platform`` whether its directives list the peers as read from
+    the platform.
     """
 
     __slots__ = (
-        "is_local",
+        "local",
         "follows",
         "reads_platform",
         "reported_at",
@@ -49,7 +54,7 @@
     )
 
     def __init__(self):
-        self.is_local = False
+        self.local = False
         self.follows = True
         self.reads_platform = False
         self.reported_at = float("-inf")
@@ -57,14 +62,14 @@
         self.jitter = 1.0
 
     def record_report(self, state, now):
-        """Record the state that was sent, and draw the jitter for the next one."""
+        """Record the state that was sent and draw the jitter of the next interval."""
         self.last_report = state
         self.reported_at = now
-        self.jitter = 1.0 if self.is_local else random.uniform(*REMOTE_JITTER)
+        self.jitter = 1.0 if self.local else random.uniform(*REMOTE_JITTER)
 
 
 class EntryLinks:
-    """The entry hosts that are connected to an agent.
+    """The entry hosts connected to an agent.
 
     Parameters
     ----------
@@ -76,9 +81,10 @@
     Attributes
     ----------
     link : Link
-        Machine that tells how full the host's link is.
+        Machine that estimates the queueing delay of the host's link.
     no_reader_since : float or None
-        Since when no host that reads the platform is connected, None if one is.
+        Time since which no entry host that reads the platform has been connected, None
+        while one is.
     """
 
     __slots__ = (
@@ -100,17 +106,17 @@
         return len(self._host_by_link)
 
     def delay(self):
-        """Return the seconds that a message may wait on the way."""
+        """Return the estimated queueing delay of a message, in seconds."""
         return self.link.delay(monotonic())
 
     def receive(self, link, directive):
-        """Note what a directive says of its sender."""
+        """Record what a directive tells about its sender."""
         self.set_failure_domain(link, directive.failure_domain)
         self._host_by_link[link].reads_platform = directive.peers is not None
         self._update_no_reader_since()
 
     def set_failure_domain(self, link, failure_domain):
-        """Record an entry host's failure domain, and name near hosts to each other.
+        """Record an entry host's failure domain and share addresses of local hosts.
 
         Parameters
         ----------
@@ -119,24 +125,24 @@
         failure_domain : str
         """
         host = self._host_by_link.setdefault(link, _EntryHost())
-        was_near = host.is_local
-        host.is_local = failure_domain == self._failure_domain
-        if host.is_local and not was_near:
+        was_local = host.local
+        host.local = failure_domain == self._failure_domain
+        if host.local and not was_local:
             self._share_addresses()
 
     def set_follows(self, link, follows):
-        """Note whether an entry host keeps to this engine."""
+        """Record whether an entry host follows this engine."""
         self._host_by_link.setdefault(link, _EntryHost()).follows = follows
 
     def drop(self, link):
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         host = self._host_by_link.pop(link, None)
-        if host is not None and host.is_local:
+        if host is not None and host.local:
             self._share_addresses()
         self._update_no_reader_since()
 
     def report(self, state, now):
-        """Send the engine's state to the hosts for which it is due."""
+        """Send the engine's state to the hosts that are due for a report."""
         due = [
             (link, host)
             for link, host in self._host_by_link.items()
@@ -144,15 +150,15 @@
         ]
         if not due:
             return
-        # All hear the same, up to ten times a second; encoding it for each is a cost
-        # that grows with the entry hosts.
+        # All hosts get the same bytes, up to ten times a second. Encoding them for each
+        # host would cost time in proportion to the number of entry hosts.
         data = PeerConnection.encode(Frame(engine_state=state))
         for link, host in due:
             host.record_report(state, now)
             link.send_encoded(data)
 
     async def probe(self, ticks):
-        """Probe the own link until cancelled.
+        """Probe this host's link until cancelled.
 
         Parameters
         ----------
@@ -161,10 +167,10 @@
         number = 0
         while True:
             await ticks.next(PROBE_TICKS)
-            is_local = self._local_links()
-            if is_local:
+            local = self._local_links()
+            if local:
                 number += 1
-                self._spawn(self._probe_once(is_local[number % len(is_local)], number))
+                self._spawn(self._probe_once(local[number % len(local)], number))
 
     async def _probe_once(self, link, number):
         self.link.step(ProbeSent(number=number), now=monotonic())
@@ -173,12 +179,12 @@
         self.link.step(ended, now=monotonic())
 
     def _local_links(self):
-        return [link for link, host in self._host_by_link.items() if host.is_local]
+        return [link for link, host in self._host_by_link.items() if host.local]
 
     def _share_addresses(self):
-        is_local = self._local_links()
-        addresses = sorted(link.address for link in is_local)
-        for link in is_local:
+        local = self._local_links()
+        addresses = sorted(link.address for link in local)
+        for link in local:
             link.send(Frame(entry_hosts=EntryHosts(addresses=addresses)))
 
     def _update_no_reader_since(self):
@@ -203,9 +209,9 @@
 
 
 def _report_interval(host, load_changed):
-    """Return the seconds between two words to a host while the weights stay."""
+    """Return a host's report interval in seconds while the weights don't change."""
     if not host.follows:
-        return LOCAL_SLOW_INTERVAL if host.is_local else REMOTE_SLOW_INTERVAL
-    if host.is_local:
+        return LOCAL_SLOW_INTERVAL if host.local else REMOTE_SLOW_INTERVAL
+    if host.local:
         return 0.0 if load_changed else LOCAL_REPORT_INTERVAL
     return REMOTE_LOAD_INTERVAL if load_changed else REMOTE_REPORT_INTERVAL
--- a/hawthornspoke/spread/_evidence.py
+++ b/hawthornspoke/spread/_evidence.py
@@ -1,4 +1,4 @@
-"""An agent's part in finding requests that end endpoints: it joins what hosts saw."""
+"""Merging of the evidence that entry hosts collect on requests that crash endpoints."""
 
 from hawthornspoke.base import monotonic
 from hawthornspoke.peering import PeerConnection
@@ -12,7 +12,7 @@
 
 
 class EvidenceLinks:
-    """The connections over which entry hosts tell evidence, and hear of others'."""
+    """Connections over which entry hosts exchange evidence through this agent."""
 
     __slots__ = ("exchange", "_links")
 
@@ -21,7 +21,7 @@
         self._links = set()
 
     def receive(self, link, frame):
-        """Take what an entry host saw, and tell all others what follows.
+        """Merge the evidence of an entry host and send news to all connected ones.
 
         Parameters
         ----------
@@ -41,5 +41,5 @@
             link.send(Frame(evidence=known))
 
     def drop(self, link):
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         self._links.discard(link)
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -1,46 +1,46 @@
-"""Stages verified pieces at the engine and orders it to take them up."""
+"""Stages verified pieces at the engine and orders it to load them."""
 
 import asyncio
 
 from hawthornspoke.base import Failure, contact_clock, is_failure
 
-#: Calls to the engine at once; it is on the same host.
+#: Maximum concurrent calls to the engine, which is on the same host.
 MAX_CONCURRENT_CALLS = 4
 
-#: Rounds of reading back what was staged. Pieces can turn bad where they lie.
+#: Maximum rounds of staging and reading back. Staged pieces can become corrupt.
 MAX_ROUNDS = 4
 
-#: Seconds between telling the entry hosts and the order, so that what they have
-#: just sent is taken up before the engine takes nothing new.
+#: Seconds between the notice to entry hosts and the order, so that requests already on
+#: their way are admitted before the engine stops admitting new ones.
 NOTICE_DELAY = 0.03
 
-#: Seconds after all pieces were found right in which the order must be sent. What
-#: lies between is the notice and one call to the engine, of a second at most; more
-#: means that this process stood still, and pieces can have turned bad meanwhile.
+#: Seconds for which the verification of the staged pieces is valid. Between it and the
+#: order are only the notice and one call to the engine, of a second at most. A longer
+#: time means that this process was suspended, and pieces may have become corrupt.
 VERIFICATION_TTL = 1.2
 
-#: Seconds for an order to show in the engine's state.
+#: Seconds until an accepted order must be visible in the engine's state.
 ORDER_TIMEOUT = 1.0
 
 POLL_INTERVAL = 0.05
 
-#: Seconds for an engine to finish what runs and load: the longest answers take
-#: some four seconds.
+#: Seconds for an engine to finish its running requests and load. The longest responses
+#: take about four seconds.
 INSTALL_TIMEOUT = 8.0
 
-#: Pieces in a row that are of another version before the rest is not read.
+#: Consecutive staged pieces of another version after which the rest is not read.
 MAX_CONSECUTIVE_MISMATCHES = 3
 
 STAGE_FAILED = Failure(code="stage_failed")
 ORDER_FAILED = Failure(code="order_failed")
 PROCESS_STALLED = Failure(code="stood_still")
 
-#: What was staged or ordered was for a start of the engine that is over.
-ENGINE_RESTARTED = Failure(code="restarted", reason="the engine has started again")
+#: The pieces were staged or the order sent for an earlier incarnation of the engine.
+ENGINE_RESTARTED = Failure(code="restarted", reason="the engine has restarted")
 
 
 class Installer:
-    """Speaks with the engine about weights.
+    """Client of the engine for staging and loading weights.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
         ``put_piece``, ``get_piece``, ``held_pieces``, ``start`` and ``snapshot``.
     log : EventLog
     on_order_pending : callable
-        Called with True just before an order, with False when it has ended.
+        Called with True just before an order is sent and with False after it ended.
     """
 
     __slots__ = (
@@ -71,17 +71,17 @@
         self._pending_puts = set()
 
     def forget(self):
-        """Take that the engine has started again: nothing counts as staged.
+        """Discard the record of staged pieces because the engine has restarted.
 
-        It may have lost what was staged, and an order for a version of which a piece
-        is missing takes up other bytes in its place.
+        The engine may have lost them, and if a piece is missing when a version is
+        ordered, it loads other bytes in its place.
         """
         self._generation += 1
         self._staged_name = None
         self._staged = set()
 
     async def recover(self, weights):
-        """Take the pieces that lie at the engine already.
+        """Recover the pieces that are already staged at the engine.
 
         Parameters
         ----------
@@ -90,7 +90,7 @@
         Returns
         -------
         int
-            How many were right.
+            Number of pieces that match their digest.
         """
         generation = self._generation
         held = await self._engine.held_pieces(weights.model)
@@ -112,7 +112,7 @@
         return found
 
     async def stage(self, weights, index):
-        """Put one piece there; a failure only means that it is put later."""
+        """Stage one piece; after a failure ``install`` stages it again."""
         if self._staged_name != weights.name:
             self._staged_name = weights.name
             self._staged = set()
@@ -132,22 +132,22 @@
             self._staged.add(index)
 
     async def _cancel_puts(self):
-        # A piece of the version before that a slow engine has not taken in yet would
-        # replace one of this version after that was read back and found right.
+        # A pending put of the previous version could complete on a slow engine after
+        # the piece of this version was verified, and replace it.
         puts = list(self._pending_puts)
         for task in puts:
             task.cancel()
         await asyncio.gather(*puts, return_exceptions=True)
 
     async def install(self, weights, *, is_order_valid):
-        """Stage all pieces, read all back, and order the engine to load them.
+        """Stage and read back all pieces, and order the engine to load them.
 
         Parameters
         ----------
         weights : Weights
-            Whole.
+            With all pieces.
         is_order_valid : callable
-            Tells whether the order would still be right at the moment of the call.
+            Tells whether the order would still be valid at the time of the call.
 
         Returns
         -------
@@ -188,21 +188,22 @@
             )
             if len(self._staged) == len(weights.digests):
                 return None
-        return STAGE_FAILED.because(f"{len(self._staged)} of {len(weights.digests)}")
+        return STAGE_FAILED.because(
+            f"only {len(self._staged)} of {len(weights.digests)} pieces are staged"
+        )
 
     async def _verify_piece(self, weights, index):
-        # A piece that turned bad after it was staged would be loaded as it is; the
-        # engine does not look at digests.
+        # The engine does not check digests and would load a corrupt piece as it is.
         data = await self._engine.get_piece(weights.model, index)
         if is_failure(data) or not weights.matches_digest(index, data):
             self._staged.discard(index)
             self._log.change("staged_piece_bad", weights=weights.name, piece=index)
 
     async def _send_order(self, weights, initial, is_order_valid, checked_deadline):
-        """Order the start whose pieces were read back; see ``install``.
+        """Send the order to the incarnation whose pieces were verified; see ``install``.
 
-        The order itself names only how many came before it, and each start counts
-        from none: it can't tell two starts apart.
+        An order carries only the number of orders before it, which each incarnation
+        counts from zero, so the engine can't reject an order meant for another one.
         """
         before = await self._engine.snapshot()
         if is_failure(before):
@@ -230,17 +231,17 @@
         return await self._wait_until_loaded(weights, before, result)
 
     def _check_order(self, is_order_valid, checked_deadline):
-        # Looked at directly before the order: the host can have stood still since
-        # the install was decided, and an engine that takes up what is too old by
-        # now answers nothing for the time of a change.
+        # Checked directly before the order is sent: the host may have been suspended
+        # since the install was planned, and an engine that loads expired weights
+        # serves nothing until the next switch.
         if not is_order_valid():
-            return ORDER_FAILED.because("the version is no longer due")
+            return ORDER_FAILED.because("the version was superseded or has expired")
         if contact_clock() >= checked_deadline:
-            return PROCESS_STALLED.because("the pieces must be read back once more")
+            return PROCESS_STALLED.because("the pieces must be verified again")
         return None
 
     async def _wait_until_loaded(self, weights, before, result):
-        """Wait until the engine has the weights; its state is the only proof."""
+        """Wait until the engine's state, which alone is conclusive, has the weights."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + INSTALL_TIMEOUT
         begin_deadline = loop.time() + ORDER_TIMEOUT
@@ -248,7 +249,7 @@
             observed = await self._engine.snapshot()
             if not is_failure(observed):
                 if _has_restarted(before, observed):
-                    # It may have taken up what its start had left of the pieces.
+                    # It may have loaded an incomplete set of staged pieces.
                     return ENGINE_RESTARTED
                 if observed.version == weights.version and not observed.busy:
                     return None
@@ -271,12 +272,12 @@
 
 
 def _has_restarted(before, after):
-    """Tell whether two looks at an engine are at two starts of it.
+    """Tell whether two snapshots are of different incarnations of an engine.
 
     Parameters
     ----------
     before, after : EngineSnapshot
-        Asked for one after the other.
+        In the order in which they were requested.
 
     Returns
     -------
@@ -284,5 +285,6 @@
     """
     if after.incarnation.differs_from(before.incarnation):
         return True
-    # Where no start is told, a count that goes back is the only sign of another.
+    # For an engine that doesn't report its start time, a sequence number that decreases
+    # is the only sign of a restart.
     return after.sequence < before.sequence
--- a/hawthornspoke/spread/tests/test_incarnations.py
+++ b/hawthornspoke/spread/tests/test_incarnations.py
@@ -131,7 +131,7 @@
             complete_weights(), is_order_valid=lambda: True
         )
         assert is_failure(failure)
-        assert "started again" in failure.reason
+        assert "engine has restarted" in failure.reason
 
     asyncio.run(run())
 
@@ -173,7 +173,7 @@
             complete_weights(), is_order_valid=lambda: True
         )
         assert is_failure(failure)
-        assert "started again" in failure.reason
+        assert "engine has restarted" in failure.reason
 
     asyncio.run(run())
 
