--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -1,4 +1,4 @@
-"""Moves pieces: carries out what the swarm machine decides."""
+"""Piece transfer: carries out the outcomes of the swarm machine."""
 
 import asyncio
 
@@ -25,31 +25,31 @@
     Want,
 )
 
-#: Seconds over which new pieces are told in one message. A piece takes 50 ms on
-#: the narrowest link, so this is news of two or three pieces.
+#: Seconds for which new pieces are batched into one announcement. A piece takes 50 ms
+#: on the narrowest link, so a batch has two or three pieces.
 ANNOUNCE_INTERVAL = 0.08
 
-#: The same for each host of the own region, all of which tell each other. What a host
-#: hears grows with their number: with 44 hosts and 0.08 s it was a fifth of the
-#: narrowest link, and engines there could not be reached. This keeps it at 170
-#: messages a second.
+#: Announcement interval per host of the own region. All hosts of a region announce to
+#: each other, so a host receives more with each of them: with 44 hosts and 0.08 s,
+#: announcements took a fifth of the narrowest link and engines behind it became
+#: unreachable. This interval limits them to 170 messages a second.
 ANNOUNCE_INTERVAL_PER_HOST = 0.006
 
-#: Seconds without news after which the next owner reads a piece from the origin.
+#: Seconds without progress after which a piece's next owner reads it from the origin.
 STALL_TIMEOUT = 1.2
 
-#: Seconds between two questions of one host to an origin that refuses: an outage ends
-#: unannounced, and each second until it is noticed is one without weights.
+#: Seconds between two requests of one host to a failing origin. The end of an outage is
+#: not announced, and until it is detected no weights arrive.
 ORIGIN_AVOID_FOR = 0.2
 
-#: Pieces asked of the origin at once by one host. All hosts share its link: with
-#: two each the first pieces of all came together, after 0.75 s, and nothing could
-#: be exchanged until then.
+#: Concurrent piece requests of one host to the origin, whose link all hosts share.
+#: With two, the first pieces of all hosts arrived at the same time, after 0.75 s, and
+#: no host had a piece to exchange before.
 ORIGIN_SLOTS = 1
 
 
 class PieceExchange:
-    """The swarm machine's shell.
+    """Runs the swarm machine: performs its I/O and feeds back the results.
 
     Parameters
     ----------
@@ -59,13 +59,13 @@
     log : EventLog
     metrics : Metrics
     on_piece : callable
-        Called with the Weights and an index when a piece is here.
+        Called with the Weights and an index when a piece is verified.
     on_complete : callable
-        Called with the Weights when all are.
+        Called with the Weights when all pieces are verified.
     on_digests_rejected : callable
-        Called with the Weights if their digests seem to be wrong.
+        Called with the Weights if their digests appear to be corrupt.
     is_serving : callable
-        Tells whether the engine answers requests now.
+        Tells whether the engine is serving requests now.
     """
 
     __slots__ = (
@@ -129,7 +129,7 @@
 
     @property
     def origin_address(self):
-        """Where the origin is, None if nobody has told."""
+        """Address of the origin, None until a directive has named it."""
         return self._fetcher.origin_address
 
     @origin_address.setter
@@ -137,7 +137,7 @@
         self._fetcher.origin_address = address
 
     async def run(self, ticks):
-        """Step the machine as time passes.
+        """Step the machine on each tick while it has work, until cancelled.
 
         Parameters
         ----------
@@ -152,33 +152,34 @@
 
     @property
     def node(self):
-        """The name of this host among its peers."""
+        """Name of this host among its peers."""
         return self._settings.engine_address
 
     def region_nodes(self):
-        """Return the hosts of the own region, this one too."""
+        """Return the hosts of the own region, including this one."""
         return self._peers.region_nodes()
 
     async def ask(self, node, frame, *, timeout):
-        """Ask a peer and return its answer or a Failure.
+        """Send a request to a peer and return its response or a Failure.
 
-        One that has left the list while another was asked is no error: as one it
-        would end the task that gets a version, and nothing begins that again.
+        A peer may be removed from the list while another one is being asked. This
+        returns a Failure: an exception would end the task that fetches a version, and
+        nothing would start it again.
         """
         peer = self._peers.peer_by_name.get(node)
         if peer is None:
-            return CLOSED.because(f"{node} is no peer any more")
+            return CLOSED.because(f"{node} is no longer a peer")
         return await self.ask_at(peer.address, frame, timeout=timeout)
 
     async def ask_at(self, address, frame, *, timeout):
-        """Ask the agent at an IP, also one that is no peer yet."""
+        """Send a request to the agent at an IP address, which may not be a peer yet."""
         link = await self._links.get(address, self._settings.port)
         if isinstance(link, Failure):
             return link
         return await link.ask(frame, timeout=timeout)
 
     def set_peers(self, peer_by_name):
-        """Take who exchanges these weights; this host is one of them."""
+        """Set the hosts that exchange these weights, including this one."""
         self._peers.peer_by_name = peer_by_name
         self.swarm.announce_every = max(
             ANNOUNCE_INTERVAL, ANNOUNCE_INTERVAL_PER_HOST * len(self.region_nodes())
@@ -193,7 +194,7 @@
             )
 
     def start_transfer(self, weights, *, priority):
-        """Get the missing pieces of some weights."""
+        """Start fetching the missing pieces of a version."""
         self.weights_by_name[weights.name] = weights
         self._step(
             Want(
@@ -212,10 +213,10 @@
             self._request_region_holdings(weights.name)
 
     def _request_region_holdings(self, name):
-        """Ask every host of the own region what it holds.
+        """Request the held pieces of each host of the own region.
 
-        A host that comes when others have the weights already hears no news of
-        them; until it has asked its neighbours it would read from other regions.
+        A host that joins after its neighbours completed a version receives no
+        announcements of them, and would fetch from other regions.
         """
         for node, peer in self._peers.peer_by_name.items():
             if node == self._settings.engine_address:
@@ -227,16 +228,16 @@
                 self.spawn(self._request_holdings(ask))
 
     def drop(self, name):
-        """Stop getting some weights; what is here can still be asked for."""
+        """Stop fetching a version; held pieces remain available to peers."""
         self._step(Drop(digest=name))
 
     def forget(self, name):
-        """Free the memory of some weights."""
+        """Stop fetching a version and free its pieces."""
         self.drop(name)
         self.weights_by_name.pop(name, None)
 
     def on_frame(self, link, frame):
-        """Answer a peer."""
+        """Handle a frame from a peer."""
         if frame.announce is not None:
             self._handle_announce(frame.announce)
         elif frame.chunk_ask is not None:
@@ -245,7 +246,7 @@
             self._responder.holdings(link, frame)
 
     def close(self):
-        """End all links and fetches."""
+        """Cancel all tasks and close all connections."""
         self._uploads.close()
         for task in self._tasks:
             task.cancel()
@@ -270,7 +271,7 @@
                 self._on_complete(weights)
 
     def spawn(self, coroutine):
-        """Run something until it or this exchange ends; failures are logged."""
+        """Run a coroutine as a task that ``close`` cancels; log its exception."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
--- a/hawthornspoke/spread/_fetches.py
+++ b/hawthornspoke/spread/_fetches.py
@@ -1,4 +1,4 @@
-"""Fetches of single pieces, and what is learned from each."""
+"""Fetching of single pieces from peers and the origin."""
 
 import asyncio
 
@@ -8,39 +8,40 @@
 from hawthornspoke.spread._uploads import PIECE_TIMEOUT
 from hawthornspoke.swarm import ChunkFailed, ChunkVerified
 
-#: Seconds for one piece from the origin, whose link all hosts share.
+#: Timeout of one piece from the origin, in seconds. All hosts share the origin's link.
 ORIGIN_TIMEOUT = 3.0
 
-#: Pieces asked of peers at once. Each waits its turn at its peer, so that fewer
-#: would leave some peers idle, and more fill this host's link with several at once.
+#: Maximum concurrent piece requests to peers. Each request waits in its peer's queue:
+#: fewer would leave some peers idle, and more would have several pieces arrive on this
+#: host's link at the same time.
 PEER_SLOTS = 6
 
-#: Fewest of them, on a link that has become narrow; and the seconds for a piece
-#: from which half as many, or one more, are asked for. Six at once on a sound link
-#: take 0.3 to 0.6 s each.
+#: Minimum concurrent requests, used on a congested link. A piece that takes longer than
+#: SLOW_PIECE_TIME seconds halves their number; one that takes less than FAST_PIECE_TIME
+#: adds one. With six at once, a piece on a healthy link takes 0.3 to 0.6 s.
 MIN_PEER_SLOTS = 1
 SLOW_PIECE_TIME = 1.0
 FAST_PIECE_TIME = 0.7
 
-#: Times that one piece didn't match before the list of digests itself is read
-#: again: it comes from the origin too, and a single digest in it may be wrong. The
-#: origin spoils one piece in fifty, so twice in a row is hardly its doing; and a
-#: peer that seems to send a wrong piece twice is not asked any more.
+#: Digest mismatches of one piece after which the manifest itself is read again. It
+#: comes from the origin too, and one digest in it may be corrupt. The origin corrupts
+#: one piece in fifty, so two corrupt copies of the same piece are unlikely; and a peer
+#: that appears to send a corrupt piece twice is no longer used.
 MAX_MISMATCHES = 2
 
 
 class PieceFetcher:
-    """Gets pieces and tells the swarm machine how it went.
+    """Fetches pieces and reports the results to the swarm machine.
 
     Parameters
     ----------
     swarm : Swarm
     step : callable
-        Steps it with a message and carries out what it decides.
+        Steps the machine with a message and carries out its outcomes.
     weights_by_name : dict of str to Weights
     links : PeerLinks
     source_of : callable
-        Returns how metrics name a peer's distance.
+        Returns the metrics label for a peer's distance.
     origin, log, metrics, on_piece, on_digests_rejected : object
         See ``Exchange``.
 
@@ -92,14 +93,14 @@
         self._mismatches_by_piece = {}
 
     async def fetch_from_peer(self, fetch):
-        """Ask a peer for a piece."""
+        """Fetch a piece from a peer."""
         link = await self._links.get(fetch.address, fetch.port)
         if isinstance(link, Failure):
             self._fail(fetch, "unreachable")
             return
         if fetch.digest not in self._swarm.by_digest:
-            # Dropped while the connection was waited for: a peer's link would carry
-            # a piece that nobody needs.
+            # The version was dropped while the connection was being made, and the piece
+            # would use a peer's link for nothing.
             return
         ask = ChunkAsk(digest=fetch.digest, index=fetch.index, node=self._swarm.node)
         asked_at = monotonic()
@@ -113,10 +114,10 @@
             self._handle_piece(fetch, answer.chunk.data, self._source_of(fetch.node))
 
     def _adjust_peer_slots(self, seconds):
-        """Ask for fewer pieces at once while they take long.
+        """Adapt the number of concurrent requests to the time that a piece took.
 
-        Where this host's own link has become narrow, pieces that are on their way
-        fill it, and requests to the engine wait behind them.
+        If this host's link is congested, pieces in transit fill it, and requests to the
+        engine are queued behind them.
         """
         if seconds > SLOW_PIECE_TIME:
             self._swarm.peer_slots = max(MIN_PEER_SLOTS, self._swarm.peer_slots // 2)
@@ -124,7 +125,7 @@
             self._swarm.peer_slots = min(PEER_SLOTS, self._swarm.peer_slots + 1)
 
     async def fetch_from_origin(self, fetch):
-        """Ask the origin for a piece."""
+        """Fetch a piece from the origin."""
         weights = self._weights_by_name.get(fetch.digest)
         if fetch.digest not in self._swarm.by_digest:
             return
@@ -137,7 +138,7 @@
                     self.origin_address, weights.model, weights.version, fetch.index
                 )
         except TimeoutError:
-            data = ORIGIN_FAILED.because("no answer in time")
+            data = ORIGIN_FAILED.because("the origin did not respond in time")
         if isinstance(data, Failure):
             self._log.decision("origin_failed", piece=fetch.index, reason=data.reason)
             self._fail(fetch, "failed")
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -200,7 +200,7 @@
             self._log.change("staged_piece_bad", weights=weights.name, piece=index)
 
     async def _send_order(self, weights, initial, is_order_valid, checked_deadline):
-        """Send the order to the incarnation whose pieces were verified; see ``install``.
+        """Send the order, if the engine is still the incarnation that was verified.
 
         An order carries only the number of orders before it, which each incarnation
         counts from zero, so the engine can't reject an order meant for another one.
--- a/hawthornspoke/spread/_link.py
+++ b/hawthornspoke/spread/_link.py
@@ -1,21 +1,22 @@
-"""How long a message waits on the link of this host: a pure state machine."""
+"""Estimate of the queueing delay on this host's link: a pure state machine."""
 
 from dataclasses import dataclass
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 
-#: Probes that count: to two entry hosts in turn, so that one that stands still is
-#: not taken for a full link.
+#: Number of latest probes that count. Probes alternate between entry hosts, so that one
+#: unresponsive host is not mistaken for a congested link.
 RECENT_PROBES = 2
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ProbeSent:
-    """A probe left.
+    """A probe was sent.
 
     Parameters
     ----------
     number : int
+        Sequence number of the probe.
     """
 
     number: int
@@ -23,12 +24,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ProbeEnded:
-    """A probe came back, or its connection ended.
+    """A probe was answered or failed.
 
     Parameters
     ----------
     number : int
     answered : bool
+        False if its connection was closed.
     """
 
     number: int
@@ -37,16 +39,16 @@
 
 @MACHINES.register("link")
 class LinkDelayEstimator(Machine):
-    """Tells the delay of this host's link from the times of probes.
+    """Estimates the queueing delay of this host's link from probe round-trip times.
 
-    A link that has become narrow, or that pieces fill, shows nowhere but in what
-    crosses it: requests reach the engine up to two seconds late, some after their
-    callers have left, while the engine itself reports few of them.
+    Congestion of the link, by reduced bandwidth or by pieces, can only be measured on
+    the traffic that crosses it: requests then reach the engine up to two seconds late,
+    some after their callers have left, while the engine itself reports a low load.
 
     Parameters
     ----------
     least_kept : float, default=30.0
-        Seconds after which the quickest probe is taken to be out of date.
+        Seconds after which the minimum round-trip time is measured anew.
     """
 
     __slots__ = (
@@ -66,12 +68,12 @@
         self._min_rtt_at = 0.0
 
     def on_probe_sent(self, message, *, now):
-        """Take that a probe left."""
+        """Record the time at which a probe was sent."""
         self._sent_at_by_number[message.number] = now
         return []
 
     def on_probe_ended(self, message, *, now):
-        """Take the end of a probe; one whose connection ended tells nothing."""
+        """Record a probe's round-trip time; a failed probe is ignored."""
         sent_at = self._sent_at_by_number.pop(message.number, None)
         if sent_at is None or not message.answered:
             return []
@@ -85,7 +87,7 @@
         return []
 
     def delay(self, now):
-        """Return the seconds that a message there and back waits.
+        """Return the queueing delay of a round trip in seconds.
 
         Parameters
         ----------
@@ -94,8 +96,7 @@
         Returns
         -------
         float
-            The least of the latest probes; one that is not back yet counts with
-            its age.
+            Minimum over the latest probes. An unanswered probe counts with its age.
         """
         delay_by_number = dict(self._recent_delays)
         for number, sent_at in self._sent_at_by_number.items():
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -1,4 +1,4 @@
-"""Digests of a version's pieces: read from the origin once for each region."""
+"""Manifests, the digests of a version's pieces: read once for each region."""
 
 import asyncio
 import contextlib
@@ -9,20 +9,20 @@
 from hawthornspoke.spread._ports import ORIGIN_FAILED
 from hawthornspoke.spread._stock import weights_name
 
-#: Hosts of the own region that read the list from the origin; the others ask both at
-#: once.
+#: Number of hosts of a region that read a manifest from the origin. The other hosts
+#: request it from all of these at once.
 READERS_PER_REGION = 2
 
-#: Seconds for which a question waits there, answered as soon as the list has come, and
-#: until it is given up: a host that stands still is not waited for.
+#: Seconds for which a reader holds a request until it has the manifest, and the timeout
+#: after which the requesting host gives up on an unresponsive reader.
 LONG_POLL_TIMEOUT = 0.5
 REQUEST_TIMEOUT = 0.7
 
-#: Questions in a row that were answered in vain after which a host reads the origin
-#: itself: both readers live, but may be cut off from it.
+#: Consecutive responses without a manifest after which a host reads the origin itself,
+#: as the readers may be running but unable to reach the origin.
 MAX_MISSES = 8
 
-#: Lists that are kept; older versions are of no use to anybody.
+#: Maximum number of manifests in memory. No host needs those of older versions.
 MAX_MANIFESTS = 4
 
 DIGEST = re.compile(r"[0-9a-f]{64}")
@@ -32,19 +32,19 @@
 
 
 class Manifests:
-    """Gets the list of digests of a version and passes it on.
+    """Fetches manifests and serves them to other hosts of the region.
 
-    The origin serves few connections at once. With 53 agents that each asked it,
-    it reset those over 48, some agents had no list for 15 s, and the lists took as
-    much of its link as a seventh of the pieces. One host of each region reads the
-    list, the others ask that host.
+    The origin accepts few connections at once. When each of 53 agents requested the
+    manifest, it reset the connections above 48, some agents had no manifest for 15 s,
+    and the manifests used as much of its link as a seventh of the pieces. So few hosts
+    of each region read the manifest, and the others request it from them.
 
     Parameters
     ----------
     origin : object
         ``await manifest(address, model, version)``.
     exchange : Exchange
-        Knows the peers and the links to them.
+        Provides the peers and the connections to them.
     log : EventLog
     """
 
@@ -82,7 +82,7 @@
         name = weights_name(model, version)
         digests = NOT_KNOWN
         preceding = self._preceding_readers(name)
-        # A list that proved wrong came to the neighbours from the same source.
+        # The neighbours may have a rejected manifest from the same source.
         if name not in self._rejected:
             digests = await self._request_from_all(name, preceding)
         if is_failure(digests) and self._may_read_origin(name, preceding, digests):
@@ -90,7 +90,7 @@
         if is_failure(digests):
             return digests
         if not all(DIGEST.fullmatch(digest) for digest in digests):
-            return ORIGIN_FAILED.because("what should be digests are none")
+            return ORIGIN_FAILED.because("the manifest contains a malformed digest")
         self._digests_by_name[name] = digests
         self._misses_by_name.pop(name, None)
         self._received.set()
@@ -100,12 +100,12 @@
         return digests
 
     def reject(self, name):
-        """Forget a list that pieces don't match."""
+        """Remove a manifest that pieces don't match."""
         self._digests_by_name.pop(name, None)
         self._rejected.add(name)
 
     def answer(self, link, frame):
-        """Answer a host that asks."""
+        """Respond to a host that requests a manifest."""
         self._exchange.spawn(self._send_manifest(link, frame))
 
     async def _send_manifest(self, link, frame):
@@ -121,7 +121,7 @@
         link.send(Frame(call=-frame.call, manifest=Manifest(digests=digests)))
 
     def _preceding_readers(self, name):
-        """Return the hosts that read a list before this one does."""
+        """Return the readers that precede this host in the order for a manifest."""
         nodes = self._exchange.region_nodes()
         readers = rendezvous_order(key=name, nodes=nodes)[:READERS_PER_REGION]
         if self._exchange.node in readers:
@@ -129,7 +129,7 @@
         return readers
 
     def _may_read_origin(self, name, preceding, failure):
-        """Tell whether this host reads the origin, having no list of others."""
+        """Tell whether this host reads the origin after others had no manifest."""
         if len(preceding) < READERS_PER_REGION or name in self._rejected:
             return True
         if failure == UNANSWERED:
@@ -139,7 +139,7 @@
         return misses >= MAX_MISSES
 
     async def _request_from_all(self, name, nodes):
-        """Ask some hosts at once and return the first list, or a Failure."""
+        """Request a manifest from several hosts; return the first one or a Failure."""
         failure = UNANSWERED
         requests = [
             asyncio.ensure_future(self._request_from(name, node)) for node in nodes
@@ -168,6 +168,6 @@
     async def _read_origin(self, model, version):
         address = self._exchange.origin_address
         if address is None:
-            return NOT_KNOWN.because("no origin is known")
+            return NOT_KNOWN.because("no directive has named an origin")
         self._log.decision("manifest", version=version, origin=address)
         return await self._origin.manifest(address, model, version)
--- a/hawthornspoke/spread/_peer_links.py
+++ b/hawthornspoke/spread/_peer_links.py
@@ -1,4 +1,4 @@
-"""Connections to other agents: one for each, made when it is needed."""
+"""Connections to other agents: one for each agent, opened on first use."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 
 
 class PeerLinks:
-    """Makes and keeps connections.
+    """Opens connections and reuses them.
 
     Parameters
     ----------
     on_frame : callable
-        Called with a connection and what the agent at its other end sent unasked.
+        Called with a connection and a frame received on it that is not a response.
     """
 
     __slots__ = ("_on_frame", "_link_by_address", "_dialing_by_address")
@@ -25,11 +25,11 @@
         self._dialing_by_address = {}
 
     def existing(self, address):
-        """Return the connection to an agent, None if there is none."""
+        """Return the open connection to an agent, or None."""
         return self._link_by_address.get(address)
 
     async def get(self, address, port):
-        """Return the connection to an agent, made if there is none, or a Failure."""
+        """Return the connection to an agent, opening it if needed, or a Failure."""
         link = self._link_by_address.get(address)
         if link is not None:
             return link
@@ -56,6 +56,6 @@
         return link
 
     def close(self):
-        """End all connections."""
+        """Close all connections."""
         for link in self._link_by_address.values():
             link.close()
--- a/hawthornspoke/spread/_peers.py
+++ b/hawthornspoke/spread/_peers.py
@@ -1,8 +1,8 @@
-"""Who exchanges the same weights, and how far away each is."""
+"""Hosts that exchange the same weights, and the region of each."""
 
 
 class Peer:
-    """A host of the same weights, as the swarm machine wants it."""
+    """A host that exchanges the same weights, as the swarm machine expects it."""
 
     __slots__ = ("failure_domain", "address", "port")
 
@@ -13,7 +13,7 @@
 
 
 class Peers:
-    """The hosts that take part, this one too.
+    """The hosts that exchange the same weights, including this one.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
         self._settings = settings
 
     def source_of(self, node):
-        """Return how metrics name a peer's distance: ``"region"`` or ``"far"``."""
+        """Return the metrics label for a peer's distance: ``"region"`` or ``"far"``."""
         region_by_domain = self._settings.region_by_failure_domain
         peer = self.peer_by_name.get(node)
         own = region_by_domain.get(self._settings.failure_domain)
@@ -40,5 +40,5 @@
         return "far"
 
     def region_nodes(self):
-        """Return the hosts of the own region, this one too."""
+        """Return the hosts of the own region, including this one."""
         return [node for node in self.peer_by_name if self.source_of(node) == "region"]
--- a/hawthornspoke/spread/_ports.py
+++ b/hawthornspoke/spread/_ports.py
@@ -1,11 +1,11 @@
-"""What an adapter gives to an agent: engine and origin, in the product's words."""
+"""Types and failures that adapters of engine and origin return to an agent."""
 
 from dataclasses import dataclass
 
 from hawthornspoke.base import Failure
 from hawthornspoke.catalog import UNKNOWN_START, Incarnation
 
-#: The engine is in another state than the order expects.
+#: The engine's state differs from the one that the order expects.
 ENGINE_CHANGED = Failure(code="engine_changed")
 ENGINE_UNREACHABLE = Failure(code="engine_unreachable")
 PIECE_MISSING = Failure(code="piece_missing")
@@ -14,23 +14,25 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EngineSnapshot:
-    """An engine's own word on its state, fresh.
+    """State of an engine as just reported by itself.
 
     Parameters
     ----------
     version : int or None
-        Of the weights it holds.
+        Version of the loaded weights.
     layers : tuple of (int, int) or None
+        Range of the loaded layers.
     busy : bool
-        An order is in progress.
+        Whether an order is in progress.
     sequence : int
-        Orders that it has begun; the next one names it, so that an order of
-        another, older agent can't be taken up. Each start counts anew.
+        Number of orders begun since the engine started. The next order carries it, so
+        that the engine rejects an order of an agent with an outdated snapshot.
     running, waiting : int
+        Number of running and of queued requests.
     pace : float
-        How many times slower than usual it works.
+        Factor by which the engine is slower than usual.
     incarnation : Incarnation
-        The start that all of this is about.
+        The incarnation of the engine that this snapshot describes.
     """
 
     version: int | None
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -1,4 +1,4 @@
-"""The agent beside an engine on one event loop: pieces, orders, its state."""
+"""The agent process: transfers pieces, orders the engine and reports its state."""
 
 import asyncio
 import itertools
@@ -23,21 +23,21 @@
 from hawthornspoke.spread._state import engine_state
 from hawthornspoke.spread._upgrade import EngineObserved
 
-#: Ticks between two lines on the engine's state, and how many of these there are for
-#: one of all counters.
+#: Ticks between two log lines with the engine's state, and the number of these lines
+#: for each line with all counters.
 SUMMARY_TICKS = 20
 SUMMARIES_PER_COUNTERS = 5
 
-#: Seconds after the engine was asked for its state in which that is told to entry
-#: hosts: one call to it, of a second at most, and the tick between two looks. What
-#: is older was seen before this process stood still.
+#: Seconds after the request for the engine's state for which that state is reported to
+#: entry hosts: one call to the engine, of a second at most, and the tick between two
+#: observations. An older state was observed before this process was suspended.
 STATE_TTL = 1.2
 
 FLUSH_TIMEOUT = 0.2
 
 
 class Agent:
-    """Brings declared weights to the engine on this host.
+    """Delivers declared weights to the engine on this host.
 
     Parameters
     ----------
@@ -121,21 +121,21 @@
 
     @property
     def exchange(self):
-        """Where pieces come from and go to."""
+        """The transfer of pieces from and to other hosts."""
         return self.delivery.exchange
 
     @property
     def installer(self):
-        """What orders the engine."""
+        """The client that stages pieces at the engine and orders it to load them."""
         return self.delivery.installer
 
     @property
     def upgrade(self):
-        """The plan of versions."""
+        """The machine that plans the versions of the engine."""
         return self.delivery.upgrade
 
     async def run(self):
-        """Work until SIGTERM.
+        """Run until SIGTERM or SIGINT.
 
         Returns
         -------
@@ -173,8 +173,8 @@
             failure_domain=self.settings.failure_domain,
         )
         try:
-            # A loop that ends has met a broken invariant; the platform starts the
-            # process again.
+            # A loop ends only if an invariant is broken. The process then exits, and
+            # the platform restarts it.
             await asyncio.wait(
                 [self._stopped, *tasks], return_when=asyncio.FIRST_COMPLETED
             )
@@ -245,8 +245,8 @@
         asked_at = contact_clock()
         observed = await self.engine.snapshot()
         if number < self._latest_observation:
-            # Answers on two connections overtake each other; the late one may be
-            # of an earlier start, which would then be taken for the next one.
+            # Responses on two connections can arrive out of order. A late one may
+            # describe the previous incarnation and would look like another restart.
             return
         self._latest_observation = number
         self._observed_at = asked_at
@@ -261,7 +261,11 @@
         self._report_state()
 
     def _update_incarnation(self, incarnation):
-        """Begin anew if the engine has: its own word, so its times need no order."""
+        """Reset the delivery if the engine has restarted.
+
+        Start times need not increase: any difference in what the engine itself reports
+        means a restart.
+        """
         if incarnation.differs_from(self._incarnation):
             self.log.change(
                 "engine_restarted",
@@ -286,9 +290,9 @@
 
     def _report_state(self):
         if contact_clock() >= self._observed_at + STATE_TTL:
-            # On waking, what entry hosts sent meanwhile is read before the engine is
-            # asked again. They would take the load and the weights of before for
-            # those of now; the next look tells them the truth.
+            # After a suspension, frames of entry hosts are read before the engine is
+            # observed again. They would take the outdated load and weights for current
+            # ones; the next observation reports the actual state.
             return
         self.entry_links.report(self._state(), monotonic())
 
--- a/hawthornspoke/spread/_settings.py
+++ b/hawthornspoke/spread/_settings.py
@@ -1,4 +1,4 @@
-"""What an agent on the event loop has to be told."""
+"""Settings of an agent on the event loop."""
 
 from hawthornspoke.base import Bounds, check_params
 
@@ -17,19 +17,19 @@
     region_by_failure_domain : dict of str to str
     ip : str
     port : int, default=7700
-        For entry hosts and other agents.
+        Port for entry hosts and other agents.
     operator_port : int, default=7701
-        Metrics and state dump.
+        Port for metrics and the state dump.
     engine_address : str
         ``IP:PORT`` of the engine on this host.
     link_rate : float
-        Bytes a second of this host's link.
+        Rate of this host's link, in bytes per second.
     origin_copies : int, default=1
-        Copies of a version that the origin sends for all hosts.
+        Number of copies of a version that the origin sends to all hosts together.
     strategy : str, default="regional"
-        Of the registry of burst strategies.
+        Name in the registry of burst strategies.
     first_start : bool, default=False
-        Whether all hosts start for the first time, so that nobody knows anything yet.
+        Whether all hosts start for the first time, so that no host has a directive yet.
     """
 
     __slots__ = (
@@ -87,11 +87,11 @@
         self.first_start = first_start
 
     def check(self):
-        """Check the values.
+        """Validate the settings.
 
         Raises
         ------
         ValueError
-            Naming the setting and what is accepted.
+            If a value is invalid; names the setting and the accepted values.
         """
         check_params(self, self.PARAMS)
--- a/hawthornspoke/spread/_state.py
+++ b/hawthornspoke/spread/_state.py
@@ -1,4 +1,4 @@
-"""What an agent tells entry hosts of its engine."""
+"""State of the engine as an agent reports it to entry hosts."""
 
 from hawthornspoke.protocol import EngineState
 
@@ -6,18 +6,18 @@
 def engine_state(
     *, observed, address, model, upgrade, contact_now, order_pending, links, ages
 ):
-    """Return the state of an engine as entry hosts are told it.
+    """Return the state of an engine as reported to entry hosts.
 
     Parameters
     ----------
     seen : EngineSnapshot or None
-        None while the engine can't be reached.
+        None while the engine is unreachable.
     address : str
-        Of the engine.
+        Address of the engine.
     model : str or None
     upgrade : Upgrade
     contact_now : float
-        The moment on the upgrade's clock.
+        Current time on the upgrade machine's clock.
     noticed : bool
         Whether an order is about to be sent.
     links : EntryLinks
--- a/hawthornspoke/spread/_stock.py
+++ b/hawthornspoke/spread/_stock.py
@@ -1,17 +1,17 @@
-"""Verified pieces of weights, in memory."""
+"""In-memory store of verified pieces."""
 
 from hawthornspoke.base import digest_of
 
 
 class Weights:
-    """Pieces of one version that are here and have the right digests.
+    """Verified pieces of one version.
 
     Parameters
     ----------
     model : str
     version : int
     digests : tuple of str
-        SHA-256 of each piece, hexadecimal.
+        SHA-256 digest of each piece, in hexadecimal.
     """
 
     __slots__ = ("model", "version", "digests", "_piece_by_index")
@@ -24,28 +24,28 @@
 
     @property
     def name(self):
-        """The name under which hosts exchange this version."""
+        """Name of this version in messages between hosts."""
         return weights_name(self.model, self.version)
 
     @property
     def is_complete(self):
-        """Whether all pieces are here."""
+        """Whether all pieces are held."""
         return len(self._piece_by_index) == len(self.digests)
 
     def held(self):
-        """Return the indices that are here."""
+        """Return the indices of the held pieces."""
         return tuple(sorted(self._piece_by_index))
 
     def get(self, index):
-        """Return a piece, None if it isn't here."""
+        """Return a piece, or None if it is not held."""
         return self._piece_by_index.get(index)
 
     def matches_digest(self, index, data):
-        """Tell whether some bytes are a piece."""
+        """Tell whether data matches the digest of a piece."""
         return digest_of(data) == self.digests[index]
 
     def put(self, index, data):
-        """Keep a piece if it is right.
+        """Store a piece if it matches its digest.
 
         Parameters
         ----------
@@ -55,6 +55,7 @@
         Returns
         -------
         bool
+            Whether the piece was stored.
         """
         if not 0 <= index < len(self.digests) or not self.matches_digest(index, data):
             return False
@@ -63,5 +64,5 @@
 
 
 def weights_name(model, version):
-    """Return the name of a version in messages between hosts."""
+    """Return the name of a model's version in messages between hosts."""
     return f"{model}@{version}"
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -1,4 +1,4 @@
-"""Which version an engine goes to next, and when: a pure state machine."""
+"""Which version an engine loads next, and when: a pure state machine."""
 
 from dataclasses import dataclass
 
@@ -6,13 +6,13 @@
 from hawthornspoke.catalog import SEND_MARGIN
 from hawthornspoke.spread._changeover import CHANGE_TIME, order_time
 
-#: Part of a transfer's time within which a version that is followed by another is
-#: dropped for it. With bound B and transfer time T, a version named a gap g before
-#: the next: dropping leaves nothing to serve for g + T - B, finishing it first for
-#: 2T - B - g. Both are equal at g = T/2.
+#: Fraction of the transfer time within which a version that is followed by another one
+#: is dropped in favour of it. With bound B, transfer time T and a gap g between the two
+#: declarations, no weights can be served for g + T - B if the first version is dropped,
+#: and for 2T - B - g if it is finished first. Both are equal at g = T/2.
 DROP_SHARE = 0.5
 
-#: Named versions that are remembered; older ones are of no use to anybody.
+#: Maximum number of declared versions in memory. Older ones are no longer needed.
 MAX_DECLARED_VERSIONS = 4
 
 
@@ -24,9 +24,9 @@
     ----------
     version : int
     at : float
-        When it was, as far as this host knows.
+        Time of the declaration, as far as this host knows.
     is_dated : bool, default=True
-        False if nobody told when; ``at`` is then the moment of hearing of it.
+        False if that time is unknown; ``at`` is then the time of receipt.
     """
 
     version: int
@@ -36,16 +36,16 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EngineObserved:
-    """The engine told its state.
+    """The engine's state was observed.
 
     Parameters
     ----------
     version : int or None
-        None if it holds no layers.
-    whole : bool
-        Whether it holds all layers.
+        None if the engine holds no layers.
+    is_complete : bool
+        Whether the engine holds all layers.
     busy : bool
-        An order is in progress.
+        Whether an order is in progress.
     """
 
     version: int | None
@@ -55,31 +55,31 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EngineRestarted:
-    """The engine has started again: it holds nothing, and no order is in progress."""
+    """The engine has restarted: it holds no layers and no order is in progress."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PiecesComplete:
-    """All pieces of a version are here and verified."""
+    """All pieces of a version are held and verified."""
 
     version: int
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class InstallEnded:
-    """An attempt to install a version ended, well or not."""
+    """An attempt to install a version ended, successfully or not."""
 
     version: int
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PositionAssigned:
-    """Where this host stands among those of its failure domain.
+    """This host was assigned a position in its failure domain.
 
     Parameters
     ----------
     position : int
-        Its number, from 0.
+        Zero-based position.
     """
 
     position: int
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StartTransfer:
-    """Get the pieces of a version; lower priorities go first."""
+    """Fetch the pieces of a version; lower priority values go first."""
 
     version: int
     priority: int
@@ -95,14 +95,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class CancelTransfer:
-    """Stop getting a version."""
+    """Stop fetching the pieces of a version."""
 
     version: int
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Install:
-    """Stage a version and order the engine to take it up."""
+    """Stage a version and order the engine to load it."""
 
     version: int
 
@@ -114,9 +114,9 @@
     Parameters
     ----------
     transfer_time : float, default=5.7
-        Seconds in which all hosts get all pieces of a version.
+        Seconds until all hosts hold all pieces of a version.
     version_bound : float, default=8.0
-        Seconds after which older versions may not begin to answer.
+        Seconds after a declaration from which no request may begin on older versions.
     """
 
     __slots__ = (
@@ -147,11 +147,11 @@
         self._complete_at_by_version = {}
 
     def on_version_declared(self, message, *, now):
-        """Record a newer declared version, or a later date for the newest one.
+        """Record a newer declared version, or a later time for the newest one.
 
-        Entry hosts tell of it one after the other. One that has just started does
-        not know when it was, and one that was cut off only that it was not before
-        it was; so the latest moment tells most.
+        Each entry host reports a declaration. One that has just started does not know
+        its time, and one that was disconnected knows only a lower bound; so the latest
+        time is the best estimate.
         """
         if self._declared and message.version <= self._declared[-1].version:
             self._update_newest_date(message)
@@ -164,8 +164,8 @@
     def on_engine_observed(self, message, *, now):
         """Update the engine's state.
 
-        While it takes up weights it holds none, or some; what it held before is
-        then still what counts for the versions to get.
+        While the engine loads weights it holds no layers or some. The versions to fetch
+        are then still chosen by what it held before.
         """
         if message.busy:
             message = EngineObserved(
@@ -177,7 +177,7 @@
         return self._plan(now)
 
     def on_engine_restarted(self, message, *, now):
-        """Forget what the engine held; its own word on that is still to come."""
+        """Clear the engine's state until the next observation."""
         self._engine = EngineObserved(version=None, is_complete=False, busy=True)
         return self._plan(now)
 
@@ -187,7 +187,7 @@
         return self._plan(now)
 
     def on_install_ended(self, message, *, now):
-        """Clear the install in progress, and plan the next one."""
+        """Clear the install in progress and plan the next one."""
         self._installing = None
         return self._plan(now)
 
@@ -197,7 +197,7 @@
         return []
 
     def is_order_valid(self, version, *, now):
-        """Tell whether an order for a version would still be right.
+        """Tell whether an order for a version would still be valid.
 
         Parameters
         ----------
@@ -207,7 +207,7 @@
         Returns
         -------
         bool
-            False once another version made it needless, or its bound has passed.
+            False if another version has superseded it, or its bound has passed.
         """
         current = self._engine.version or 0
         is_held = version <= current and self._engine.is_complete
@@ -215,11 +215,14 @@
         return is_wanted and not self._is_expired(version, now)
 
     def next_version(self):
-        """Return the newest version named, None if none was."""
+        """Return the newest declared version, or None."""
         return self._declared[-1].version if self._declared else None
 
     def ready_at(self, now):
-        """Return when the next version is expected to be in use, None if unknown."""
+        """Return the expected time of use of the newest version.
+
+        None if no version is declared, or if the newest one is already in use.
+        """
         if not self._declared:
             return None
         newest = self._declared[-1]
@@ -230,7 +233,7 @@
         return max(now + CHANGE_TIME, newest.at + self.transfer_time + CHANGE_TIME)
 
     def targets(self):
-        """Return the versions to get, the first one first.
+        """Return the versions to fetch or keep, in order of priority.
 
         Returns
         -------
@@ -238,16 +241,16 @@
         """
         current = self._engine.version or 0
         kept = []
-        for index, named in enumerate(self._declared):
-            if named.version < current:
+        for index, declared in enumerate(self._declared):
+            if declared.version < current:
                 continue
-            if named.version == current and self._engine.is_complete:
-                # Held for hosts that still lack it.
-                kept.append(named.version)
+            if declared.version == current and self._engine.is_complete:
+                # Kept for hosts that don't hold it yet.
+                kept.append(declared.version)
                 continue
             last = index == len(self._declared) - 1
             if last or not self._is_superseded(index):
-                kept.append(named.version)
+                kept.append(declared.version)
         return kept
 
     def dump(self, *, now):
@@ -271,20 +274,21 @@
         if message.version != newest.version or not message.is_dated:
             return
         if message.at > self._newest_received_at:
-            # False: a host that reached the platform again later than others dates
-            # from then what it finds, and an order would wait beyond the bound.
+            # Such a time is wrong: a host that reconnected to the platform later than
+            # others takes the time of reconnection for that of the declaration. The
+            # order would then be delayed beyond the bound.
             return
         if not newest.is_dated or message.at > newest.at:
             self._declared[-1] = message
 
     def _is_superseded(self, index):
-        named, following = self._declared[index], self._declared[index + 1]
-        if named.version in self._complete_at_by_version:
+        declared, following = self._declared[index], self._declared[index + 1]
+        if declared.version in self._complete_at_by_version:
             return False
         if self._engine.version is None:
-            # Nothing to bridge a gap for: the newest is there as soon.
+            # The engine serves nothing, and the newest version arrives as soon.
             return True
-        return following.at - named.at < DROP_SHARE * self.transfer_time
+        return following.at - declared.at < DROP_SHARE * self.transfer_time
 
     def _plan(self, now):
         outcomes = []
@@ -324,14 +328,14 @@
         return chosen.version
 
     def _is_expired(self, held, now):
-        """Tell whether requests may no longer begin on a version."""
-        for named in self._declared:
-            if named.version > held:
-                return now >= named.at + self.version_bound - SEND_MARGIN
+        """Tell whether requests may no longer begin on a version's weights."""
+        for declared in self._declared:
+            if declared.version > held:
+                return now >= declared.at + self.version_bound - SEND_MARGIN
         return False
 
     def _newest_arrives_in_time(self, chosen):
-        """Tell whether the newest is here before the engine's own is too old."""
+        """Tell whether the newest version is usable before the engine's own expires."""
         done = self._declared[-1].at + self.transfer_time + CHANGE_TIME
         return self._engine.is_complete and done < chosen.at + self.version_bound
 
@@ -340,9 +344,9 @@
         if not self._engine.is_complete:
             return complete_at
         expires_at = min(
-            named.at + self.version_bound
-            for named in self._declared
-            if named.version > self._engine.version
+            declared.at + self.version_bound
+            for declared in self._declared
+            if declared.version > self._engine.version
         )
         return order_time(
             complete_at=complete_at, expires_at=expires_at, position=self._position
--- a/hawthornspoke/spread/_uploads.py
+++ b/hawthornspoke/spread/_uploads.py
@@ -1,53 +1,54 @@
-"""Sends pieces to peers one after the other, slowly enough for live traffic."""
+"""Sends pieces to peers one by one, at a rate that leaves room for requests."""
 
 import asyncio
 import collections
 
 from hawthornspoke.base import contact_clock
 
-#: Bytes written at once. On the narrowest link we know (456 KB/s) this is 9 ms, the
-#: longest that an event of a live stream then waits behind a piece.
+#: Bytes written at once. On the narrowest known link (456 KB/s) a slice takes 9 ms,
+#: which is the longest that an event of a live stream waits behind a piece.
 SLICE_BYTES = 4096
 
-#: Share of the link that pieces take while the engine answers requests. Those take
-#: about a tenth of it at full load; without the pause between slices a stream's
-#: first event waited 300 ms and more behind pieces.
+#: Share of the link rate used for pieces while the engine serves requests. Requests use
+#: about a tenth of the link at full load. Without the delay between slices the first
+#: event of a stream waited 300 ms and more behind pieces.
 SHARE_BESIDE_REQUESTS = 0.86
 
-#: Share of it while the engine answers nothing.
+#: Share of the link rate used for pieces while the engine serves no requests.
 SHARE_WITHOUT_REQUESTS = 0.97
 
-#: Seconds that a late timer may be made up for by sending the next slices sooner.
+#: Maximum delay of a late timer, in seconds, that is compensated by sending the next
+#: slices sooner.
 MAX_CATCH_UP = 0.02
 
-#: Bytes that may wait at one peer's connection before the next slice. A link that
-#: has become narrower shows only here; its queue would delay all that is live.
+#: Maximum unsent bytes on a peer's connection before the next slice is written. Reduced
+#: bandwidth of the link shows only here, and a longer queue would delay live traffic.
 MAX_UNSENT_BYTES = 2 * SLICE_BYTES
 
-#: Seconds between two looks at those.
+#: Seconds between two checks of the unsent bytes.
 POLL_INTERVAL = 0.01
 
-#: Seconds without progress after which a peer is left to its own devices.
+#: Seconds without progress after which the connection to a peer is closed.
 STALL_TIMEOUT = 2.0
 
-#: Seconds for one piece, after which a peer asks elsewhere. On a link of 450 KB/s,
-#: shared by some dozen hosts with two fetches each, a piece of 24 KB takes 1.5 s at
-#: the worst.
+#: Timeout of one piece in seconds, after which the receiver requests it from another
+#: host. On a link of 450 KB/s, shared by about a dozen hosts with two fetches each, a
+#: piece of 24 KB takes up to 1.5 s.
 PIECE_TIMEOUT = 2.0
 
-#: Pieces that may wait here; a peer that asks for more is told to ask elsewhere.
+#: Maximum number of queued pieces. Further requests are rejected as busy.
 MAX_QUEUED = 6
 
 
 class UploadQueue:
-    """A queue of pieces and the task that sends them.
+    """Queue of pieces for peers and the task that sends them.
 
     Parameters
     ----------
     link_rate : float
-        Bytes a second.
+        Rate of this host's link, in bytes per second.
     is_serving : callable
-        Tells whether the engine answers requests now.
+        Tells whether the engine is serving requests now.
     """
 
     __slots__ = ("_link_rate", "_is_serving", "_waiting", "_task")
@@ -60,17 +61,17 @@
 
     @property
     def is_full(self):
-        """Whether no further piece is taken."""
+        """Whether the queue accepts no further piece."""
         return len(self._waiting) >= MAX_QUEUED
 
     def put(self, link, frame):
-        """Take a piece for a peer."""
+        """Queue a frame for a peer."""
         self._waiting.append((link, frame, contact_clock() + PIECE_TIMEOUT))
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._send_all())
 
     def close(self):
-        """Send nothing more."""
+        """Clear the queue and stop sending."""
         self._waiting.clear()
         if self._task is not None:
             self._task.cancel()
@@ -81,7 +82,7 @@
         while self._waiting:
             link, frame, deadline = self._waiting.popleft()
             if contact_clock() >= deadline:
-                # Sent now, it would only delay what is still waited for.
+                # The peer has given up on it; sending it would only delay later pieces.
                 continue
             data = memoryview(link.encode(frame))
             while data and link.is_open:
