--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -116,7 +116,7 @@
         """
         if self._settings.first_start:
             await asyncio.sleep(FIRST_START_DELAY)
-        pause = DIRECT_READ_INTERVAL
+        interval = DIRECT_READ_INTERVAL
         while self._directive is None:
             peers = await self._read_alone.peers()
             if is_failure(peers):
@@ -131,8 +131,8 @@
             for peer in random.sample(local, min(BOOTSTRAP_PEERS, len(local))):
                 if await self._request_directive(peer, peers):
                     return
-            await asyncio.sleep(pause * random.uniform(0.8, 1.2))
-            pause = min(2 * pause, MAX_BOOTSTRAP_INTERVAL)
+            await asyncio.sleep(interval * random.uniform(0.8, 1.2))
+            interval = min(2 * interval, MAX_BOOTSTRAP_INTERVAL)
 
     async def read_alone(self):
         """Read the platform while no entry host that reads it is connected.
@@ -158,13 +158,13 @@
 
     def answer(self, link, frame):
         """Send a new agent the current directive."""
-        known = copy.copy(self._directive)
-        if known is not None:
-            known.weights_version = self._upgrade.next_version()
+        current = copy.copy(self._directive)
+        if current is not None:
+            current.weights_version = self._upgrade.next_version()
             age = age_of(self.declared.since(self._delivery.model), contact_clock())
-            known.age_ms = None if age is None else int(1000 * age)
-            known.peers = None
-        link.send(Frame(call=-frame.call, directive=known))
+            current.age_ms = None if age is None else int(1000 * age)
+            current.peers = None
+        link.send(Frame(call=-frame.call, directive=current))
 
     def declared_ages(self):
         """Return the ages of recently declared versions, for entry hosts.
@@ -224,17 +224,17 @@
             else arrived_after - age - self._entry_links.delay(),
             heard_by=contact_clock(),
         )
-        named = VersionDeclared(
+        message = VersionDeclared(
             version=version,
             at=arrived_after - (age or 0.0),
             is_dated=age is not None,
         )
-        self._delivery.step(named)
+        self._delivery.step(message)
         if self._upgrade.next_version() != before:
             self._log.change("weights", version=version, age=age, before=before)
 
     def _set_peers(self, peers):
-        by_name = {
+        peer_by_name = {
             peer.address: Peer(
                 failure_domain=peer.failure_domain,
                 address=peer.address.rpartition(":")[0],
@@ -247,15 +247,15 @@
         # may have listed it in another failure domain, and this host would be missing
         # from its own.
         own = self._settings.engine_address
-        by_name[own] = Peer(
+        peer_by_name[own] = Peer(
             failure_domain=self._settings.failure_domain,
             address=self._settings.ip,
             port=self._settings.port,
         )
         neighbours = sorted(
             name
-            for name, peer in by_name.items()
+            for name, peer in peer_by_name.items()
             if peer.failure_domain == self._settings.failure_domain
         )
         self._delivery.step(PositionAssigned(position=neighbours.index(own)))
-        self._exchange.set_peers(by_name)
+        self._exchange.set_peers(peer_by_name)
--- a/hawthornspoke/spread/_state.py
+++ b/hawthornspoke/spread/_state.py
@@ -10,7 +10,7 @@
 
     Parameters
     ----------
-    seen : EngineSnapshot or None
+    observed : EngineSnapshot or None
         None while the engine is unreachable.
     address : str
         Address of the engine.
@@ -18,7 +18,7 @@
     upgrade : Upgrade
     contact_now : float
         Current time on the upgrade machine's clock.
-    noticed : bool
+    order_pending : bool
         Whether an order is about to be sent.
     links : EntryLinks
     ages : list of DeclaredAge
--- a/hawthornspoke/spread/tests/test_after_a_wait.py
+++ b/hawthornspoke/spread/tests/test_after_a_wait.py
@@ -81,7 +81,7 @@
     return Suspension(monkeypatch)
 
 
-def test_version_that_became_too_old_is_not_ordered():
+def test_version_that_expired_before_the_order_is_not_ordered():
     async def scenario():
         async with one_host() as (hosts, engine):
 
@@ -97,7 +97,7 @@
     asyncio.run(scenario())
 
 
-def test_version_that_became_too_old_while_the_host_was_suspended(suspension):
+def test_version_that_expired_during_a_suspension_is_not_ordered(suspension):
     """The newer version was named before, and only its bound passes meanwhile."""
 
     async def scenario():
@@ -116,7 +116,7 @@
     asyncio.run(scenario())
 
 
-def test_piece_that_turned_bad_while_the_process_stood_still():
+def test_piece_corrupted_during_a_suspension_is_not_loaded():
     """Symptom: an engine loaded bytes that have no digest of the list.
 
     Events: all pieces are read back and right; the process stands still for longer
@@ -139,22 +139,22 @@
     asyncio.run(scenario())
 
 
-async def states_of(hosts, *, age):
+async def connect_entry_host(hosts, *, age):
     """Connect as an entry host; return the link and the states it is told."""
     states = []
 
-    def take(link, frame):
+    def record_state(link, frame):
         if frame.engine_state is not None:
             states.append(frame.engine_state)
 
     link = await connect(
-        hosts.ips[0], PORT, on_frame=take, on_closed=lambda _: None, timeout=1.0
+        hosts.ips[0], PORT, on_frame=record_state, on_closed=lambda _: None, timeout=1.0
     )
     hosts.links.append(link)
-    return link, states, Frame(directive=told(hosts, age))
+    return link, states, Frame(directive=version_directive(hosts, age))
 
 
-def told(hosts, age, engine: EngineProfile = ENGINE):
+def version_directive(hosts, age, engine: EngineProfile = ENGINE):
     """Return what an entry host tells of version 1."""
     return directive(
         engine=engine,
@@ -167,7 +167,7 @@
     )
 
 
-def test_age_of_a_version_counts_the_suspension(suspension):
+def test_age_of_a_version_includes_a_suspension(suspension):
     """Symptom: an entry host that restarted sent to old weights for 5 s too long.
 
     Events: an agent hears of a version, its host is suspended for 5 s, and it tells
@@ -176,7 +176,7 @@
 
     async def scenario():
         async with one_host() as (hosts, _):
-            link, states, frame = await states_of(hosts, age=1.0)
+            link, states, frame = await connect_entry_host(hosts, age=1.0)
             link.send(frame)
             await asyncio.sleep(0.1)
             suspension.seconds += 5.0
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("is_known", [True, False])
-def test_directive_that_waited_unread_makes_a_declaration_no_younger(is_known):
+def test_directive_read_late_does_not_make_a_declaration_younger(is_known):
     """Entry hosts that had restarted sent to old weights beyond their bound.
 
     Events: a host with an agent stands still for 4 s; a version is declared meanwhile,
@@ -204,10 +204,10 @@
         async with one_host() as (hosts, _):
             agent = hosts.agents[0]
             if is_known:
-                link, _, frame = await states_of(hosts, age=1.0)
+                link, _, frame = await connect_entry_host(hosts, age=1.0)
                 link.send(frame)
                 await asyncio.sleep(0.1)
-            other, _, frame = await states_of(hosts, age=1.0)
+            other, _, frame = await connect_entry_host(hosts, age=1.0)
             sent_at = contact_clock()
             other.send(frame)
             time.sleep(1.0)
@@ -218,7 +218,7 @@
     asyncio.run(scenario())
 
 
-def test_state_of_before_is_not_told_after_standing_still():
+def test_outdated_state_is_not_reported_after_a_suspension():
     """Symptom: entry hosts sent to a full engine that had told them it was empty.
 
     Events: the process stands still for 1.5 s while the engine fills; what an entry
@@ -228,7 +228,7 @@
 
     async def scenario():
         async with one_host() as (hosts, engine):
-            link, states, frame = await states_of(hosts, age=1.0)
+            link, states, frame = await connect_entry_host(hosts, age=1.0)
             link.send(frame)
             await asyncio.sleep(0.3)
             before = len(states)
@@ -263,7 +263,7 @@
         self.is_open = False
 
 
-def test_piece_that_nobody_waits_for_is_not_sent():
+def test_expired_upload_is_not_sent():
     """Symptom: pieces that were asked for 9 s before filled a link on waking.
 
     Events: pieces wait to be sent one after the other; the process stands still for
@@ -288,11 +288,11 @@
 
     def __init__(self):
         super().__init__()
-        self.asked = asyncio.Event()
+        self.put_started = asyncio.Event()
 
     async def put_piece(self, model, index, data):
         if data == piece(1, 3):
-            self.asked.set()
+            self.put_started.set()
             while not self.agent._order_pending:
                 await asyncio.sleep(0.005)
         return await super().put_piece(model, index, data)
@@ -307,7 +307,7 @@
         return await super().piece(address, model, version, index)
 
 
-def test_piece_of_another_version_that_is_still_on_its_way_to_the_engine():
+def test_pending_put_of_the_previous_version_is_cancelled():
     """Symptom: an engine loaded pieces of two versions.
 
     Events: a piece of version 1 is on its way to a slow engine; version 2 is named, got
@@ -318,7 +318,7 @@
     async def scenario():
         async with one_host(SlowEngine(), SlowOrigin()) as (hosts, engine):
             await hosts.name(1)
-            await asyncio.wait_for(engine.asked.wait(), 3.0)
+            await asyncio.wait_for(engine.put_started.wait(), 3.0)
             await hosts.name(2)
             await hosts.wait_until_loaded(2, seconds=4.0)
             assert engine.orders == [2]
@@ -326,7 +326,7 @@
     asyncio.run(scenario())
 
 
-def test_install_that_is_cancelled_before_it_has_begun():
+def test_install_cancelled_before_its_first_step_ends():
     """An engine that had started again got no weights any more.
 
     Events: the process stands still while the last piece comes and the engine starts
--- a/hawthornspoke/spread/tests/test_agents.py
+++ b/hawthornspoke/spread/tests/test_agents.py
@@ -192,7 +192,7 @@
     async def name(self, version, *, age=0.0, bound=8.0, with_peers=True):
         """Let an entry host declare a version to all agents."""
         entries = self.entries()
-        told = directive(
+        declaration = directive(
             engine=ENGINE,
             version=version,
             age=age,
@@ -206,7 +206,7 @@
                 ip, PORT, on_frame=_ignore, on_closed=_ignore, timeout=1.0
             )
             self.links.append(link)
-            link.send(Frame(directive=told))
+            link.send(Frame(directive=declaration))
 
     async def wait_until_loaded(self, version, *, seconds=10.0):
         """Wait until each engine has loaded a version, whole and right."""
@@ -229,7 +229,7 @@
     asyncio.run(run())
 
 
-def test_version_reaches_all_and_the_origin_sends_one_copy():
+def test_version_reaches_all_hosts_with_one_copy_from_the_origin():
     async def scenario(hosts):
         await hosts.name(1)
         await hosts.wait_until_loaded(1)
@@ -239,7 +239,7 @@
     run_scenario(scenario)
 
 
-def test_wrong_pieces_are_never_loaded():
+def test_corrupt_pieces_are_never_loaded():
     """An engine answered from spoilt weights.
 
     Events: the origin sends wrong bytes; a staged piece turns bad before the order.
@@ -267,7 +267,7 @@
     run_scenario(scenario)
 
 
-def test_restarted_engine_gets_what_lies_there_without_the_origin():
+def test_restarted_engine_loads_staged_pieces_without_the_origin():
     """A crashed engine waited for a whole transfer though its pieces lay there."""
 
     async def scenario(hosts):
@@ -283,7 +283,7 @@
     run_scenario(scenario)
 
 
-def test_restarted_agent_takes_over_what_is_staged():
+def test_restarted_agent_reuses_staged_pieces():
     async def scenario(hosts):
         await hosts.name(1)
         await hosts.wait_until_loaded(1)
@@ -299,7 +299,7 @@
     run_scenario(scenario)
 
 
-def test_entry_host_that_restarts_hears_when_the_version_was_declared():
+def test_restarted_entry_host_receives_the_age_of_a_version():
     """An entry host that had just started counted a version's bound from its start.
 
     Events: a version is declared; an entry host restarts and reads it without a word
@@ -310,18 +310,18 @@
         await hosts.name(1, age=2.0)
         states = []
 
-        def take(link, frame):
+        def record_state(link, frame):
             if frame.engine_state is not None:
                 states.append(frame.engine_state)
 
         link = await connect(
-            hosts.ips[0], PORT, on_frame=take, on_closed=_ignore, timeout=1.0
+            hosts.ips[0], PORT, on_frame=record_state, on_closed=_ignore, timeout=1.0
         )
         hosts.links.append(link)
-        told = directive(
+        declaration = directive(
             engine=ENGINE, version=1, age=None, peers=None, origin=None, bound=8.0
         )
-        link.send(Frame(directive=told))
+        link.send(Frame(directive=declaration))
         async with asyncio.timeout(2.0):
             while not states:
                 await asyncio.sleep(0.02)
@@ -332,7 +332,7 @@
     run_scenario(scenario, count=1)
 
 
-def test_agent_that_nobody_told_the_age_tells_none():
+def test_unknown_age_is_not_reported():
     async def scenario(hosts):
         await hosts.name(1, age=None)
         await asyncio.sleep(0.2)
@@ -347,7 +347,7 @@
     run_scenario(scenario, count=1)
 
 
-def test_origin_that_is_down_is_waited_for():
+def test_transfer_continues_after_an_origin_outage():
     async def scenario(hosts):
         hosts.origin.down = True
         await hosts.name(1)
@@ -358,7 +358,7 @@
     run_scenario(scenario)
 
 
-def test_lost_host_does_not_stop_the_others():
+def test_failed_host_does_not_block_the_others():
     """A transfer waited for a host that was gone.
 
     Events: a host that has to read a part of the pieces dies at once. Cause: only
@@ -379,7 +379,7 @@
     run_scenario(scenario)
 
 
-def test_order_of_an_older_agent_is_refused_by_the_sequence():
+def test_order_with_an_outdated_sequence_is_refused():
     """An agent that woke late ordered an engine back to an old version.
 
     Events: an agent reads the engine's state and stands still; another one orders;
@@ -396,7 +396,7 @@
     asyncio.run(run())
 
 
-def test_list_of_digests_is_read_from_the_origin_once():
+def test_manifest_is_read_from_the_origin_once():
     """Some agents had no list of digests for 15 s.
 
     Events: a version is declared, 53 agents ask the origin for the list, and it
@@ -411,7 +411,7 @@
     run_scenario(scenario, count=6)
 
 
-def test_one_wrong_digest_does_not_stop_a_version():
+def test_one_corrupt_digest_does_not_block_a_version():
     """A version was never whole on any host.
 
     Events: one digest in the list was spoilt on its way from the origin. Cause: the
@@ -426,7 +426,7 @@
     run_scenario(scenario)
 
 
-def test_list_that_is_none_is_read_again():
+def test_malformed_manifest_is_read_again():
     async def scenario(hosts):
         hosts.origin.corrupt_digests = {4: "\u00e9 no digest"}
         await hosts.name(1)
@@ -435,7 +435,7 @@
     run_scenario(scenario)
 
 
-def test_version_is_taken_from_entry_hosts_that_tell_no_peers():
+def test_version_is_accepted_from_a_directive_without_peers():
     """Links of engines were full of lists of endpoints.
 
     Events: 21 endpoints came within five seconds; each of 34 entry hosts sent the
@@ -453,7 +453,7 @@
     run_scenario(scenario)
 
 
-def test_new_agent_learns_from_neighbours_what_it_has_to_load():
+def test_new_agent_gets_the_directive_from_neighbours():
     """Added engines took requests 7.4 s after their hosts started.
 
     Events: hosts are added; their agents run after 0.2 s and hear what to load
@@ -474,7 +474,7 @@
     run_scenario(scenario)
 
 
-def test_list_of_digests_that_is_asked_for_while_a_piece_is_sent():
+def test_manifest_requested_while_a_piece_is_being_sent():
     """Pieces of one version stopped coming when the next one was declared.
 
     Symptom: a connection between two agents ends, or brings nothing any more, and what
--- a/hawthornspoke/spread/tests/test_changeover.py
+++ b/hawthornspoke/spread/tests/test_changeover.py
@@ -7,10 +7,10 @@
 #: Seconds from a declaration to the bound of older weights, and in which all pieces
 #: come to all hosts.
 BOUND = 8.0
-SPREAD = 6.3
+TRANSFER_TIME = 6.3
 
 #: Seconds from an order until the engine answers again.
-CHANGES = 1.5
+SWITCH_TIME = 1.5
 
 STEP = 0.05
 
@@ -19,11 +19,11 @@
     """Return how many engines may take a request at a moment."""
     old_until = expires_at - DISPATCH_CUTOFF
     return sum(
-        now < min(order, old_until) or now >= order + CHANGES for order in orders
+        now < min(order, old_until) or now >= order + SWITCH_TIME for order in orders
     )
 
 
-def play(engines, *, bound=BOUND, spread=SPREAD):
+def min_serving_share(engines, *, bound=BOUND, spread=TRANSFER_TIME):
     """Return the least share of the engines that serve while the old weights may."""
     orders = [
         order_time(complete_at=spread, expires_at=bound, position=position)
@@ -32,8 +32,8 @@
     assert max(orders) <= max(spread, bound - DISPATCH_CUTOFF) + 1e-9
     moments = [spread + STEP * number for number in range(int((bound - spread) / STEP))]
     usable = [now for now in moments if now < bound - DISPATCH_CUTOFF]
-    least = min(serving(orders, expires_at=bound, now=now) for now in usable)
-    return least / engines
+    lowest = min(serving(orders, expires_at=bound, now=now) for now in usable)
+    return lowest / engines
 
 
 @pytest.mark.parametrize("engines", [2, 6, 25, 150])
@@ -47,14 +47,14 @@
     Cause: the order was sent at once where less than two seconds were left, so that
     each engine be done by the bound; it need only take nothing new from then on.
     """
-    assert play(engines) * engines >= engines // 2
+    assert min_serving_share(engines) * engines >= engines // 2
 
 
 @pytest.mark.parametrize("engines", [6, 25, 150])
-def test_more_time_leaves_more_engines(engines):
+def test_longer_bound_keeps_more_engines_serving(engines):
     """With a bound of 13.4 s and pieces after 7.5 s, a quarter changes at a time."""
-    assert play(engines, bound=13.4, spread=7.5) >= 0.66
+    assert min_serving_share(engines, bound=13.4, spread=7.5) >= 0.66
 
 
-def test_engine_whose_weights_are_too_old_is_ordered_at_once():
+def test_engine_with_expired_weights_is_ordered_at_once():
     assert order_time(complete_at=9.0, expires_at=8.0, position=1) == 9.0
--- a/hawthornspoke/spread/tests/test_digests_after_an_outage.py
+++ b/hawthornspoke/spread/tests/test_digests_after_an_outage.py
@@ -6,10 +6,10 @@
 
 #: Seconds from the return of the origin until each host must have begun its transfer.
 #: The pieces take 5 s at best, and old weights end while they come.
-SOON = 0.35
+MAX_DELAY = 0.35
 
 
-def test_all_hosts_begin_soon_after_the_origin_is_back():
+def test_all_hosts_get_the_manifest_soon_after_an_origin_outage():
     """Nothing could be served for a second longer than the links asked for.
 
     Symptom: after an outage of the origin transfers begin 0.5 to 1.6 s late.
@@ -35,7 +35,7 @@
                 )
                 now = asyncio.get_running_loop().time()
                 begun_after += [now - back_at] * (begun - len(begun_after))
-        assert max(begun_after) <= SOON
+        assert max(begun_after) <= MAX_DELAY
         assert hosts.origin.manifest_reads <= 2
 
     run_scenario(scenario, count=8)
--- a/hawthornspoke/spread/tests/test_entry_links.py
+++ b/hawthornspoke/spread/tests/test_entry_links.py
@@ -54,7 +54,7 @@
     return EngineState(endpoint_address="e:1", running=running, weights_version=1)
 
 
-def count_encoded(monkeypatch):
+def record_encoded(monkeypatch):
     """Return a list that grows by each frame that is made into bytes."""
     encoded = []
     real = peer_connection.encode
@@ -67,7 +67,7 @@
     return encoded
 
 
-def heard(link):
+def reported_loads(link):
     """Return the loads that one entry host was told."""
     return [
         decode(Frame, data[4:]).engine_state.running for data in link.transport.written
@@ -85,26 +85,26 @@
     """
     hosts = [connection() for _ in range(NEAR_HOSTS + FAR_HOSTS)]
     links = entry_links(hosts)
-    encoded = count_encoded(monkeypatch)
+    encoded = record_encoded(monkeypatch)
     links.report(state(1), now=10.0)
     first = len(encoded)
     links.report(state(2), now=10.1)
-    assert all(heard(link) == [1, 2] for link in hosts[:NEAR_HOSTS])
-    assert all(heard(link) == [1] for link in hosts[NEAR_HOSTS:])
+    assert all(reported_loads(link) == [1, 2] for link in hosts[:NEAR_HOSTS])
+    assert all(reported_loads(link) == [1] for link in hosts[NEAR_HOSTS:])
     assert (first, len(encoded) - first) == (1, 1)
 
 
-def test_nothing_is_encoded_while_nobody_is_due(monkeypatch):
+def test_nothing_is_encoded_while_no_host_is_due(monkeypatch):
     hosts = [connection() for _ in range(NEAR_HOSTS)]
     links = entry_links(hosts)
     links.report(state(1), now=10.0)
-    encoded = count_encoded(monkeypatch)
+    encoded = record_encoded(monkeypatch)
     links.report(state(1), now=10.1)
     assert encoded == []
-    assert all(heard(link) == [1] for link in hosts)
+    assert all(reported_loads(link) == [1] for link in hosts)
 
 
-def test_host_that_reads_nothing_is_cut_and_the_others_hear():
+def test_stalled_entry_host_is_disconnected_without_affecting_others():
     """One entry host stands still, and its frames would fill the agent's memory.
 
     Sequence: its connection stays open and takes no bytes; each state is put behind
@@ -115,10 +115,10 @@
     hosts[1].transport.waiting = peer_connection.MOST_WAITING + 1
     links.report(state(1), now=10.0)
     assert hosts[1].transport.closing
-    assert [heard(link) for link in hosts] == [[1], [], [1]]
+    assert [reported_loads(link) for link in hosts] == [[1], [], [1]]
 
 
-def test_closed_link_takes_nothing():
+def test_nothing_is_written_to_a_closed_link():
     hosts = [connection() for _ in range(2)]
     links = entry_links(hosts)
     hosts[0].transport.closing = True
@@ -127,14 +127,14 @@
     assert hosts[0].transport.written == []
 
 
-def test_state_is_no_question():
+def test_state_report_is_not_a_request():
     """The shared bytes carry no call number: no host may answer them."""
     host = connection()
     entry_links([host]).report(state(1), now=10.0)
     assert decode(Frame, host.transport.written[0][4:]).call is None
 
 
-def test_host_that_keeps_to_other_engines_hears_rarely_but_of_each_version(
+def test_host_that_does_not_follow_an_engine_gets_fewer_reports_but_each_version(
     monkeypatch,
 ):
     """Agents told 29,000 loads a second in all, at 99 entry hosts and 156 engines.
@@ -152,16 +152,16 @@
         links.set_follows(link, False)
     for tenth in range(31):
         links.report(state(tenth % 2), now=10.0 + tenth / 10)
-    assert len(heard(near)) == 4
-    assert len(heard(far)) == 2
+    assert len(reported_loads(near)) == 4
+    assert len(reported_loads(far)) == 2
     changed = state(0)
     changed.weights_version = 2
     links.report(changed, now=13.15)
-    assert len(heard(near)) == 5
-    assert len(heard(far)) == 3
+    assert len(reported_loads(near)) == 5
+    assert len(reported_loads(far)) == 3
 
 
-def test_host_that_begins_to_keep_to_an_engine_hears_its_load_at_the_next_look():
+def test_host_that_starts_to_follow_an_engine_gets_its_load_at_the_next_report():
     (host,) = hosts = [connection()]
     links = entry_links(hosts)
     links.set_follows(host, False)
@@ -169,10 +169,10 @@
     links.report(state(2), now=10.1)
     links.set_follows(host, True)
     links.report(state(2), now=10.2)
-    assert heard(host) == [1, 2]
+    assert reported_loads(host) == [1, 2]
 
 
-def test_entry_hosts_without_a_configuration_are_named_to_each_other():
+def test_entry_hosts_without_a_configuration_receive_each_others_addresses():
     """Guards against restarted hosts that have no neighbour to read it from."""
     links = EntryLinks(failure_domain="a", spawn=None)
     hosts = [connection() for _ in range(3)]
--- a/hawthornspoke/spread/tests/test_first_start.py
+++ b/hawthornspoke/spread/tests/test_first_start.py
@@ -7,7 +7,7 @@
 from hawthornspoke.spread.tests.test_agents import FakePlatform, Hosts
 
 
-def count_reads(hosts, monkeypatch):
+def record_reads(hosts, monkeypatch):
     """Return a list that grows with each call to the platform."""
     reads = []
     real_call, real_peers = FakePlatform.__call__, FakePlatform.peers
@@ -25,7 +25,7 @@
     return reads
 
 
-def test_agents_that_all_start_first_leave_the_platform_alone(monkeypatch):
+def test_agents_of_a_first_start_do_not_read_the_platform(monkeypatch):
     """The first start of 156 agents cost 600 calls to the platform.
 
     Sequence: each reads the list to ask its neighbours what to load, who know nothing,
@@ -35,7 +35,7 @@
 
     async def scenario(first_start, seconds):
         hosts = Hosts(2)
-        reads = count_reads(hosts, monkeypatch)
+        reads = record_reads(hosts, monkeypatch)
         monkeypatch.setattr(
             SpreadSettings.__init__,
             "__kwdefaults__",
@@ -49,7 +49,7 @@
     assert asyncio.run(scenario(False, 0.5)) == 2
 
 
-def test_agents_of_a_first_start_act_on_entry_hosts_at_once(monkeypatch):
+def test_agents_of_a_first_start_apply_a_directive_at_once(monkeypatch):
     monkeypatch.setattr(
         SpreadSettings.__init__,
         "__kwdefaults__",
--- a/hawthornspoke/spread/tests/test_frames.py
+++ b/hawthornspoke/spread/tests/test_frames.py
@@ -116,7 +116,7 @@
     made.exchange.close()
 
 
-def test_entry_of_another_writer_at_the_own_address_moves_no_agent():
+def test_entry_of_another_writer_at_the_own_address_is_ignored():
     """An agent ended again and again, or lost all its entry hosts.
 
     Events: another writer lists an endpoint at the address of an agent's engine, in
--- a/hawthornspoke/spread/tests/test_incarnations.py
+++ b/hawthornspoke/spread/tests/test_incarnations.py
@@ -116,7 +116,7 @@
     )
 
 
-def test_order_that_is_answered_by_the_next_start_is_no_success():
+def test_order_accepted_by_the_next_incarnation_fails():
     """An agent took an engine for loaded on the word of another start.
 
     Events: it looks at the engine, which has begun no order; the engine starts again,
@@ -136,8 +136,8 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("then", [SECOND, CLOCK_BACK])
-def test_order_is_sent_only_to_the_start_whose_pieces_were_read_back(then):
+@pytest.mark.parametrize("next_incarnation", [SECOND, CLOCK_BACK])
+def test_order_is_sent_only_to_the_verified_incarnation(next_incarnation):
     """An engine loaded what its power loss had left of the staged pieces.
 
     Events: all pieces are staged and read back; the entry hosts are told; the engine
@@ -150,7 +150,7 @@
 
         def on_order_pending(order_pending):
             if order_pending:
-                engine.restart(then)
+                engine.restart(next_incarnation)
 
         installer = installer_for(engine, on_order_pending=on_order_pending)
         failure = await installer.install(
@@ -162,7 +162,7 @@
     asyncio.run(run())
 
 
-def test_lower_number_of_orders_is_another_start_where_none_is_told():
+def test_decreased_sequence_means_a_restart_without_start_times():
     """The same events, on an engine that doesn't tell its start."""
 
     async def run():
@@ -178,7 +178,7 @@
     asyncio.run(run())
 
 
-def test_piece_staged_at_the_earlier_start_is_staged_again():
+def test_piece_staged_for_the_previous_incarnation_is_staged_again():
     """A piece was believed staged where nothing lay.
 
     Events: pieces are staged; the engine starts again while one more is put there;
@@ -209,7 +209,7 @@
     asyncio.run(run())
 
 
-def test_new_start_that_is_busy_holds_nothing_of_before():
+def test_busy_new_incarnation_holds_no_weights():
     """An engine got no weights after a restart.
 
     Events: it holds version 1; it starts again and is busy when it is seen first, so
@@ -229,9 +229,9 @@
     assert machine.step(InstallEnded(version=1), now=2.2) == outcomes
 
 
-@pytest.mark.parametrize("then", [SECOND, CLOCK_BACK])
+@pytest.mark.parametrize("next_incarnation", [SECOND, CLOCK_BACK])
 @pytest.mark.parametrize("lose_staged", [True, False])
-def test_agent_brings_the_weights_to_each_start(then, lose_staged):
+def test_agent_loads_the_weights_into_each_incarnation(next_incarnation, lose_staged):
     """An engine that was back held nothing for the time of an install.
 
     Events: an engine is restarted just when its agent installs; the agent waits for
@@ -248,15 +248,15 @@
         await hosts.name(1)
         await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
-        engine.restart(then, lose_staged=lose_staged)
+        engine.restart(next_incarnation, lose_staged=lose_staged)
         await hosts.wait_until_loaded(1, seconds=4.0)
         assert len(hosts.origin.reads) == reads
-        assert engine.ordered_from[-1] == (then, 0)
+        assert engine.ordered_from[-1] == (next_incarnation, 0)
 
     run_scenario(scenario, count=1)
 
 
-def test_agent_plans_for_a_start_that_is_busy_from_the_first_look():
+def test_agent_plans_for_an_incarnation_busy_from_the_first_snapshot():
     """An entry host refused callers without a time to come back.
 
     Events: an engine with weights restarts, and is busy when it is seen first. Cause:
@@ -283,7 +283,7 @@
     run_scenario(scenario, count=1)
 
 
-def test_running_install_ends_with_the_start_it_was_for():
+def test_running_install_ends_with_its_incarnation():
     async def scenario(hosts):
         engine = RestartingEngine()
         hosts.engines[0] = engine
@@ -302,7 +302,7 @@
     run_scenario(scenario, count=1)
 
 
-def test_staging_for_the_earlier_start_is_called_off():
+def test_staging_for_the_previous_incarnation_is_cancelled():
     """An engine that was back waited for calls to its earlier start.
 
     Events: the engine's host stands still while pieces are put there; the engine is
@@ -326,7 +326,7 @@
     run_scenario(scenario, count=1)
 
 
-def test_restart_while_an_install_ends_does_not_stop_the_next_one():
+def test_restart_while_an_install_ends_does_not_block_the_next_one():
     """An engine was never ordered again.
 
     Events: an install has failed, and the agent looks at the engine before it plans
@@ -340,50 +340,54 @@
         hosts.engines[0] = engine
         agent.engine = agent.installer._engine = engine
         await asyncio.sleep(0.2)
-        looking = asyncio.Event()
+        observing = asyncio.Event()
         observe_engine = agent._observe_engine
 
-        async def slow_look():
+        async def slow_observe():
             if asyncio.current_task() is agent.delivery.install:
-                looking.set()
+                observing.set()
                 await asyncio.sleep(0.5)
             await observe_engine()
 
-        class SlowLook(type(agent)):
+        class SlowObserver(type(agent)):
             __slots__ = ()
-            _observe_engine = staticmethod(slow_look)
+            _observe_engine = staticmethod(slow_observe)
 
-        agent.__class__ = SlowLook
+        agent.__class__ = SlowObserver
         engine.before_start = lambda: engine.restart(SECOND)
         await hosts.name(1)
-        await asyncio.wait_for(looking.wait(), 4.0)
+        await asyncio.wait_for(observing.wait(), 4.0)
         engine.restart(CLOCK_BACK)
         await hosts.wait_until_loaded(1, seconds=4.0)
 
     run_scenario(scenario, count=1)
 
 
-def test_agent_tells_the_start_that_its_word_is_about():
+def test_agent_reports_the_incarnation_of_the_state():
     async def scenario(hosts):
         engine = RestartingEngine()
         hosts.engines[0] = engine
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         states = []
 
-        def take(link, frame):
+        def record_state(link, frame):
             if frame.engine_state is not None:
                 states.append(frame.engine_state)
 
         link = await connect(
-            hosts.ips[0], PORT, on_frame=take, on_closed=lambda _: None, timeout=1.0
+            hosts.ips[0],
+            PORT,
+            on_frame=record_state,
+            on_closed=lambda _: None,
+            timeout=1.0,
         )
         hosts.links.append(link)
         await asyncio.sleep(0.2)
         await hosts.name(1)
-        told = directive(
+        declaration = directive(
             engine=ENGINE, version=1, age=None, peers=None, origin=None, bound=8.0
         )
-        link.send(Frame(directive=told))
+        link.send(Frame(directive=declaration))
         await hosts.wait_until_loaded(1)
         await asyncio.sleep(0.3)
         assert {state.started_ms for state in states} == {FIRST.started_ms}
@@ -398,7 +402,7 @@
     run_scenario(scenario, count=1)
 
 
-def test_late_look_at_the_earlier_start_changes_nothing():
+def test_late_snapshot_of_the_previous_incarnation_is_ignored():
     """An agent took a start for new twice and cancelled the install of the right one.
 
     Events: two looks at the engine are on their way at once; the engine restarts; the
--- a/hawthornspoke/spread/tests/test_link.py
+++ b/hawthornspoke/spread/tests/test_link.py
@@ -11,7 +11,7 @@
     link.step(ProbeEnded(number=number, answered=True), now=back)
 
 
-def test_calm_link_has_no_delay():
+def test_idle_link_has_no_delay():
     link = LinkDelayEstimator()
     assert link.delay(0.0) == 0.0
     for number in range(4):
@@ -19,7 +19,7 @@
     assert link.delay(4.0) == pytest.approx(0.0, abs=1e-6)
 
 
-def test_full_link_shows_in_what_comes_back_late():
+def test_congested_link_delays_answered_probes():
     link = LinkDelayEstimator()
     probe(link, 1, sent=0.0, back=0.004)
     probe(link, 2, sent=1.0, back=1.604)
@@ -27,7 +27,7 @@
     assert link.delay(2.0) == pytest.approx(0.55)
 
 
-def test_full_link_shows_before_anything_comes_back():
+def test_congested_link_is_detected_from_unanswered_probes():
     link = LinkDelayEstimator()
     probe(link, 1, sent=0.0, back=0.004)
     link.step(ProbeSent(number=2), now=1.0)
@@ -35,7 +35,7 @@
     assert link.delay(1.9) == pytest.approx(0.646)
 
 
-def test_one_host_that_stands_still_is_no_full_link():
+def test_one_unresponsive_host_is_not_a_congested_link():
     """All entry hosts left an engine alone because one of them was frozen."""
     link = LinkDelayEstimator()
     probe(link, 1, sent=0.0, back=0.004)
@@ -44,7 +44,7 @@
     assert link.delay(2.0) == pytest.approx(0.0, abs=1e-6)
 
 
-def test_lost_connection_tells_nothing():
+def test_closed_connection_does_not_count():
     link = LinkDelayEstimator()
     probe(link, 1, sent=0.0, back=0.004)
     link.step(ProbeSent(number=2), now=1.0)
--- a/hawthornspoke/spread/tests/test_peers_that_leave.py
+++ b/hawthornspoke/spread/tests/test_peers_that_leave.py
@@ -8,7 +8,7 @@
 from hawthornspoke.spread.tests.test_agents import PIECES, PORT, Hosts
 
 
-def test_list_of_digests_is_read_though_a_peer_leaves_meanwhile():
+def test_manifest_is_read_although_a_peer_leaves_meanwhile():
     """An engine never got a version that all others had.
 
     Symptom: an agent logs that its task for a version ended with a KeyError; its
--- a/hawthornspoke/spread/tests/test_upgrade.py
+++ b/hawthornspoke/spread/tests/test_upgrade.py
@@ -40,7 +40,7 @@
     assert installs(upgrade.step(seen, now=5.6)) == []
 
 
-def test_second_name_just_after_drops_the_first():
+def test_second_declaration_soon_after_drops_the_first():
     """Nothing could be served for seconds.
 
     Events: two versions are named 2 s apart; the first is finished first, so that
@@ -54,7 +54,7 @@
     assert upgrade.targets() == [1, 3]
 
 
-def test_second_name_later_keeps_the_first():
+def test_later_second_declaration_keeps_the_first():
     """Nothing could be served between the bound of the old and the newest weights.
 
     Events: two versions 4 s apart; the first is dropped for the second, which is
@@ -70,7 +70,7 @@
     ]
 
 
-def test_second_name_after_the_firsts_pieces_are_whole_keeps_the_first():
+def test_second_declaration_after_the_first_is_complete_keeps_the_first():
     upgrade = machine()
     upgrade.step(VersionDeclared(version=2, at=0.0), now=0.0)
     upgrade.step(PiecesComplete(version=2), now=1.0)
@@ -99,7 +99,7 @@
     assert installs(upgrade.step(PiecesComplete(version=2), now=5.5)) == []
 
 
-def test_older_name_that_comes_late_changes_nothing():
+def test_late_declaration_of_an_older_version_is_ignored():
     """An entry host that was cut off told agents of an older version.
 
     Cause: the last word was taken, not the newest.
@@ -110,7 +110,7 @@
     assert upgrade.next_version() == 3
 
 
-def test_date_behind_the_first_word_of_a_version_moves_no_order():
+def test_time_after_the_first_receipt_does_not_delay_an_order():
     """Engines were ordered 0.8 s late, when their old weights could answer no more.
 
     Symptom: after an outage of the platform half of the engines of a failure domain
@@ -130,7 +130,7 @@
     assert installs(outcomes) == [Install(version=2)]
 
 
-def test_later_date_that_can_be_true_is_taken():
+def test_later_time_before_the_first_receipt_is_used():
     """An entry host that has just started tells an earlier moment than others do."""
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
     upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
