--- a/hawthornspoke/spread/tests/test_after_a_wait.py
+++ b/hawthornspoke/spread/tests/test_after_a_wait.py
@@ -1,9 +1,9 @@
-"""An agent orders, tells and sends nothing on what a wait has made old.
+"""An agent does not order, report or send on state that expired during a wait.
 
-Symptom: an engine took up weights that were too old to answer by then.
-Events: an install is decided; the host stands still, or the engine is slow to answer;
-meanwhile a newer version is declared and the bound of this one passes. On waking the
-order goes out. Cause: what an order needs was looked at when it was decided.
+Guards against an engine that loads expired weights: an install is planned, then the
+host is suspended or the engine responds slowly, and meanwhile a newer version is
+declared and the bound of this one passes. The order was sent if its conditions were
+checked only when the install was planned.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class StallingEngine(FakeEngine):
-    """Runs something between the decision to order and the order."""
+    """Runs an action between the plan of an order and the order."""
 
     def __init__(self):
         super().__init__()
@@ -56,7 +56,7 @@
 
 @contextlib.asynccontextmanager
 async def one_host(engine=None, origin=None):
-    """Start an agent before an engine that can stall it."""
+    """Start an agent with an engine that can stall it."""
     hosts = Hosts(1)
     engine = hosts.engines[0] = engine or StallingEngine()
     hosts.origin = origin or hosts.origin
@@ -66,7 +66,7 @@
 
 
 class Suspension:
-    """Lets the host be suspended: only the clock that goes on counts it."""
+    """Simulates suspension of the host, which only ``contact_clock`` includes."""
 
     def __init__(self, monkeypatch):
         self.seconds = 0.0
@@ -98,7 +98,7 @@
 
 
 def test_version_that_expired_during_a_suspension_is_not_ordered(suspension):
-    """The newer version was named before, and only its bound passes meanwhile."""
+    """The newer version was declared before; only its bound passes meanwhile."""
 
     async def scenario():
         async with one_host() as (hosts, engine):
@@ -117,11 +117,10 @@
 
 
 def test_piece_corrupted_during_a_suspension_is_not_loaded():
-    """Symptom: an engine loaded bytes that have no digest of the list.
+    """Guards against an engine that loads a corrupt piece.
 
-    Events: all pieces are read back and right; the process stands still for longer
-    than the order may take; a piece turns bad where it lies. Cause: a check that was
-    made before the wait.
+    All pieces are verified, then the process is suspended for longer than the
+    verification is valid, and a staged piece becomes corrupt.
     """
 
     async def scenario():
@@ -140,7 +139,13 @@
 
 
 async def connect_entry_host(hosts, *, age):
-    """Connect as an entry host; return the link and the states it is told."""
+    """Connect as an entry host.
+
+    Returns
+    -------
+    tuple of (PeerConnection, list of EngineState, Frame)
+        The connection, a list that grows with each reported state, and the directive.
+    """
     states = []
 
     def record_state(link, frame):
@@ -155,7 +160,7 @@
 
 
 def version_directive(hosts, age, engine: EngineProfile = ENGINE):
-    """Return what an entry host tells of version 1."""
+    """Return an entry host's directive for version 1."""
     return directive(
         engine=engine,
         version=1,
@@ -168,10 +173,10 @@
 
 
 def test_age_of_a_version_includes_a_suspension(suspension):
-    """Symptom: an entry host that restarted sent to old weights for 5 s too long.
+    """Guards against a restarted entry host that uses old weights for 5 s too long.
 
-    Events: an agent hears of a version, its host is suspended for 5 s, and it tells
-    the age. Cause: the age was counted on the clock that stands still.
+    An agent receives a declaration, its host is suspended for 5 s, and it reports the
+    age of the version. The age must be measured on a clock that includes suspension.
     """
 
     async def scenario():
@@ -188,16 +193,13 @@
 
 @pytest.mark.parametrize("is_known", [True, False])
 def test_directive_read_late_does_not_make_a_declaration_younger(is_known):
-    """Entry hosts that had restarted sent to old weights beyond their bound.
-
-    Events: a host with an agent stands still for 4 s; a version is declared meanwhile,
-    or told by one more entry host; on waking the agent reads that this was just now,
-    and counts from here. It tells the later moment to all entry hosts. Those that have
-    just started have no word of the platform's own on it and take the latest that any
-    agent tells; and the engine beside that agent is the one that is late with the
-    version.
-    Cause: the age in a message counts from when it is read. It was true when it was
-    sent, and of two moments before which nothing was declared the later one wins.
+    """Guards against restarted entry hosts that use old weights beyond their bound.
+
+    A host with an agent is suspended for 4 s. Meanwhile a version is declared, or
+    reported by another entry host. The age in the directive is correct when it is sent;
+    if the agent counts it from when it reads the frame, the declaration appears too
+    young. The agent reports that time to all entry hosts. Those that have just started
+    don't know the time from the platform and use the latest one that any agent reports.
     """
 
     async def scenario():
@@ -219,11 +221,10 @@
 
 
 def test_outdated_state_is_not_reported_after_a_suspension():
-    """Symptom: entry hosts sent to a full engine that had told them it was empty.
+    """Guards against entry hosts that send requests to a full engine reported as empty.
 
-    Events: the process stands still for 1.5 s while the engine fills; what an entry
-    host said meanwhile is read first on waking, and is answered with the state that
-    was seen before. Cause: the state had no age.
+    The process is suspended for 1.5 s while the engine fills. The frame of an entry
+    host is read first afterwards and was answered with the state observed before.
     """
 
     async def scenario():
@@ -243,7 +244,7 @@
 
 
 class FakeLink:
-    """Takes what is uploaded."""
+    """Counts the bytes that are uploaded."""
 
     def __init__(self):
         self.is_open = True
@@ -264,10 +265,10 @@
 
 
 def test_expired_upload_is_not_sent():
-    """Symptom: pieces that were asked for 9 s before filled a link on waking.
+    """Guards against a link that is filled with pieces requested 9 s before.
 
-    Events: pieces wait to be sent one after the other; the process stands still for
-    longer than peers wait for a piece. Cause: what waits had no deadline.
+    Pieces are queued when the process is suspended for longer than peers wait for a
+    piece. Queued pieces need a deadline.
     """
 
     async def scenario():
@@ -284,7 +285,7 @@
 
 
 class SlowEngine(StallingEngine):
-    """Takes one piece of version 1 in only when an order is about to come."""
+    """Delays the put of one piece of version 1 until an order is pending."""
 
     def __init__(self):
         super().__init__()
@@ -299,7 +300,7 @@
 
 
 class SlowOrigin(FakeOrigin):
-    """Takes long for one piece of version 1, so that this is never whole."""
+    """Delays one piece of version 1, so that the version is never complete."""
 
     async def piece(self, address, model, version, index):
         if (version, index) == (1, 5):
@@ -308,11 +309,10 @@
 
 
 def test_pending_put_of_the_previous_version_is_cancelled():
-    """Symptom: an engine loaded pieces of two versions.
+    """Guards against an engine that loads pieces of two versions.
 
-    Events: a piece of version 1 is on its way to a slow engine; version 2 is named, got
-    and staged; all its pieces are read back and right; the old piece arrives; the
-    order follows. Cause: what was begun for the version before went on.
+    The put of a piece of version 1 is pending on a slow engine. Version 2 is declared,
+    fetched, staged and verified. Then the pending put completes before the order.
     """
 
     async def scenario():
@@ -327,13 +327,12 @@
 
 
 def test_install_cancelled_before_its_first_step_ends():
-    """An engine that had started again got no weights any more.
+    """Guards against a restarted engine that never gets weights again.
 
-    Events: the process stands still while the last piece comes and the engine starts
-    again; on waking both are read in one turn of the loop: the install is planned, and
-    the new start cancels it before its first step.
-    Cause: a task that is cancelled before its first step runs none of it, not the end
-    either that tells the plan that the engine can be ordered again.
+    The process is suspended while the last piece arrives and the engine restarts. Both
+    are then read in one iteration of the loop: the install is planned, and the restart
+    cancels it before its first step. Such a task runs no code, so InstallEnded must not
+    depend on its ``finally``.
     """
 
     async def scenario():
--- a/hawthornspoke/spread/tests/test_agents.py
+++ b/hawthornspoke/spread/tests/test_agents.py
@@ -1,4 +1,4 @@
-"""Agents on loopback before engines and an origin with faults, over real sockets."""
+"""Agents on loopback sockets, with fake engines and a fake origin that can fail."""
 
 import asyncio
 import random
@@ -28,12 +28,12 @@
 
 
 def piece(version, index):
-    """Return the right bytes of a piece."""
+    """Return the correct bytes of a piece."""
     return random.Random(f"{version}/{index}").randbytes(SIZE)
 
 
 class FakeOrigin:
-    """Serves pieces; some of them wrong, or none while it is down."""
+    """Serves pieces; some of them are corrupt, and none are served while it is down."""
 
     def __init__(self):
         self.reads = []
@@ -64,7 +64,7 @@
 
 
 class FakeEngine:
-    """Holds staged pieces and loads them as they are, without a check."""
+    """Holds staged pieces and loads them without verifying them."""
 
     def __init__(self):
         self.staged = {}
@@ -115,13 +115,13 @@
         self.busy = False
 
     def has_loaded(self, version):
-        """Tell whether exactly the right bytes of a version are loaded."""
+        """Tell whether exactly the correct bytes of a version are loaded."""
         right = {index: piece(version, index) for index in range(PIECES)}
         return self.version == version and self.loaded == right
 
 
 class FakePlatform:
-    """What an agent can read itself: the endpoints, if anything."""
+    """The platform as an agent reads it: it returns the endpoints only."""
 
     def __init__(self, hosts):
         self._hosts = hosts
@@ -134,7 +134,7 @@
 
 
 class Hosts:
-    """Some agents with their engines, and an entry host that tells them."""
+    """Agents with their engines, and an entry host that sends directives to them."""
 
     def __init__(self, count):
         self.origin = FakeOrigin()
@@ -190,7 +190,7 @@
         ]
 
     async def name(self, version, *, age=0.0, bound=8.0, with_peers=True):
-        """Let an entry host declare a version to all agents."""
+        """Send a declaration of a version from an entry host to all agents."""
         entries = self.entries()
         declaration = directive(
             engine=ENGINE,
@@ -209,7 +209,7 @@
             link.send(Frame(directive=declaration))
 
     async def wait_until_loaded(self, version, *, seconds=10.0):
-        """Wait until each engine has loaded a version, whole and right."""
+        """Wait until each engine has loaded the correct bytes of a version."""
         async with asyncio.timeout(seconds):
             while not all(engine.has_loaded(version) for engine in self.engines):
                 await asyncio.sleep(0.02)
@@ -240,10 +240,10 @@
 
 
 def test_corrupt_pieces_are_never_loaded():
-    """An engine answered from spoilt weights.
+    """Guards against an engine that serves corrupt weights.
 
-    Events: the origin sends wrong bytes; a staged piece turns bad before the order.
-    Cause: the engine loads what lies there and looks at no digest.
+    The origin sends corrupt bytes, and a staged piece becomes corrupt before the order.
+    The engine loads staged bytes without checking digests.
     """
 
     async def scenario(hosts):
@@ -268,7 +268,7 @@
 
 
 def test_restarted_engine_loads_staged_pieces_without_the_origin():
-    """A crashed engine waited for a whole transfer though its pieces lay there."""
+    """Guards against a transfer for a crashed engine whose pieces are still staged."""
 
     async def scenario(hosts):
         await hosts.name(1)
@@ -300,10 +300,10 @@
 
 
 def test_restarted_entry_host_receives_the_age_of_a_version():
-    """An entry host that had just started counted a version's bound from its start.
+    """Guards against an entry host that counts a version's bound from its own start.
 
-    Events: a version is declared; an entry host restarts and reads it without a word
-    on when that was; only the agents have heard of it before.
+    A version is declared, and an entry host restarts and reads it without its time,
+    which only the agents know.
     """
 
     async def scenario(hosts):
@@ -359,10 +359,10 @@
 
 
 def test_failed_host_does_not_block_the_others():
-    """A transfer waited for a host that was gone.
+    """Guards against a transfer that waits for a failed host.
 
-    Events: a host that has to read a part of the pieces dies at once. Cause: only
-    it would have read them; the next in order takes over.
+    A host that has to read some of the pieces from the origin fails at once. The next
+    host in order has to read them.
     """
 
     async def scenario(hosts):
@@ -380,10 +380,10 @@
 
 
 def test_order_with_an_outdated_sequence_is_refused():
-    """An agent that woke late ordered an engine back to an old version.
+    """Guards against a suspended agent that orders an engine back to an old version.
 
-    Events: an agent reads the engine's state and stands still; another one orders;
-    the first wakes and orders too. Cause: orders without the number they expect.
+    An agent reads the engine's state and is suspended; another agent sends an order;
+    the first one resumes and sends its own. The sequence it expects is outdated.
     """
 
     async def run():
@@ -397,10 +397,10 @@
 
 
 def test_manifest_is_read_from_the_origin_once():
-    """Some agents had no list of digests for 15 s.
+    """Guards against agents that have no manifest for 15 s.
 
-    Events: a version is declared, 53 agents ask the origin for the list, and it
-    resets the connections over those that it accepts. Cause: each agent asked.
+    A version is declared, 53 agents request its manifest, and the origin resets the
+    connections above its limit.
     """
 
     async def scenario(hosts):
@@ -412,10 +412,10 @@
 
 
 def test_one_corrupt_digest_does_not_block_a_version():
-    """A version was never whole on any host.
+    """Guards against a version that no host completes.
 
-    Events: one digest in the list was spoilt on its way from the origin. Cause: the
-    list was read again only as long as no piece at all had matched.
+    One digest in the manifest is corrupted on the way from the origin. The manifest
+    must be read again even if other pieces match.
     """
 
     async def scenario(hosts):
@@ -436,11 +436,11 @@
 
 
 def test_version_is_accepted_from_a_directive_without_peers():
-    """Links of engines were full of lists of endpoints.
+    """Guards against links of engines that are full of endpoint lists.
 
-    Events: 21 endpoints came within five seconds; each of 34 entry hosts sent the
-    whole list to each agent after each. Cause: all of them told all of it. Now most
-    tell only the version, and what was told of peers stays.
+    21 endpoints were added within five seconds, and each of 34 entry hosts sent the
+    full list to each agent after each addition. Most entry hosts now send only the
+    version, and an agent keeps the peers it has.
     """
 
     async def scenario(hosts):
@@ -454,11 +454,10 @@
 
 
 def test_new_agent_gets_the_directive_from_neighbours():
-    """Added engines took requests 7.4 s after their hosts started.
+    """Guards against added engines that serve only 7.4 s after their hosts started.
 
-    Events: hosts are added; their agents run after 0.2 s and hear what to load
-    after 1.4 s. Cause: entry hosts know of an agent only once its engine has
-    registered itself with the platform, and no one else told it.
+    Agents of added hosts run after 0.2 s but received a directive after 1.4 s: entry
+    hosts know of an agent only once its engine has registered with the platform.
     """
 
     async def scenario(hosts):
@@ -475,15 +474,12 @@
 
 
 def test_manifest_requested_while_a_piece_is_being_sent():
-    """Pieces of one version stopped coming when the next one was declared.
-
-    Symptom: a connection between two agents ends, or brings nothing any more, and what
-    was asked for on it is not answered.
-    Events: a host is sending a piece, a slice at a time, to another; a version is
-    declared; the other one asks on the same connection for its list of digests, which
-    is there and is answered at once.
-    Cause: the answer is written between two slices, so that it is read as bytes of the
-    piece, and what follows as the length of the next frame.
+    """Guards against a connection that breaks when the next version is declared.
+
+    A host is sending a piece in slices. The receiver requests a manifest on the same
+    connection, and it is available at once. If the response is written between two
+    slices, it is read as bytes of the piece and the rest as the length of a frame: the
+    connection is closed or stalls, and requests on it get no response.
     """
 
     async def scenario():
--- a/hawthornspoke/spread/tests/test_digests_after_an_outage.py
+++ b/hawthornspoke/spread/tests/test_digests_after_an_outage.py
@@ -1,22 +1,21 @@
-"""How soon all hosts have a version's digests once the origin is back."""
+"""Time until all hosts have a version's manifest after an outage of the origin."""
 
 import asyncio
 
 from hawthornspoke.spread.tests.test_agents import run_scenario
 
-#: Seconds from the return of the origin until each host must have begun its transfer.
-#: The pieces take 5 s at best, and old weights end while they come.
+#: Maximum seconds from the recovery of the origin until each host has the manifest. The
+#: pieces take 5 s at best, and the old weights expire during the transfer.
 MAX_DELAY = 0.35
 
 
 def test_all_hosts_get_the_manifest_soon_after_an_origin_outage():
-    """Nothing could be served for a second longer than the links asked for.
+    """Guards against transfers that begin 0.5 to 1.6 s late after an origin outage.
 
-    Symptom: after an outage of the origin transfers begin 0.5 to 1.6 s late.
-    Sequence: a version is named and the origin goes; each host asks two others for
-    the digests in turn, for 0.6 s each, then the origin, and rests; when it is back
-    one host reads them at its next try, and the others hear of it at theirs.
-    Cause: only a question that waits at the right host at that moment is answered.
+    A version is declared and the origin fails. Each host requested the manifest from
+    two others in turn, for 0.6 s each, then from the origin, and waited. After the
+    recovery one host read it on its next attempt and the others got it on theirs, as
+    only a request pending at the right host at that time is answered.
     """
 
     async def scenario(hosts):
--- a/hawthornspoke/spread/tests/test_entry_links.py
+++ b/hawthornspoke/spread/tests/test_entry_links.py
@@ -1,4 +1,4 @@
-"""What an agent's word to entry hosts costs, and that all of them hear the same."""
+"""Reports of an agent to entry hosts: their cost, schedule and recipients."""
 
 import hawthornspoke.peering._connection as peer_connection
 from hawthornspoke.peering import PeerConnection
@@ -11,7 +11,7 @@
 
 
 class Transport:
-    """Takes the bytes that are written."""
+    """Records the bytes that are written."""
 
     def __init__(self):
         self.closing = False
@@ -32,14 +32,14 @@
 
 
 def connection():
-    """Return a connection that is open."""
+    """Return an open connection."""
     made = PeerConnection(on_frame=None, on_closed=None)
     made.transport = Transport()
     return made
 
 
 def entry_links(hosts):
-    """Return the links of an agent whose entry hosts have introduced themselves."""
+    """Return the links of an agent that has a directive of each entry host."""
     made = EntryLinks(failure_domain="a", spawn=None)
     for number, link in enumerate(hosts):
         domain = "a" if number < NEAR_HOSTS else "b"
@@ -50,12 +50,12 @@
 
 
 def state(running):
-    """Return an engine's state."""
+    """Return the state of an engine with some running requests."""
     return EngineState(endpoint_address="e:1", running=running, weights_version=1)
 
 
 def record_encoded(monkeypatch):
-    """Return a list that grows by each frame that is made into bytes."""
+    """Return a list that grows with each encoded frame."""
     encoded = []
     real = peer_connection.encode
 
@@ -68,20 +68,18 @@
 
 
 def reported_loads(link):
-    """Return the loads that one entry host was told."""
+    """Return the loads that were reported to one entry host."""
     return [
         decode(Frame, data[4:]).engine_state.running for data in link.transport.written
     ]
 
 
 def test_state_is_encoded_once_for_all_entry_hosts(monkeypatch):
-    """An agent's processor time grows with the entry hosts of its failure domain.
+    """Guards against CPU time that grows with the number of entry hosts.
 
-    Symptom: one agent makes 113 frames a second into bytes, most of them alike.
-    Sequence: an engine's load changes at each look, ten times a second; each entry
-    host is due, and the state is made into bytes for each. Cause: a link is handed
-    the message and not its bytes. Figure: 34 frames encoded for the first state and
-    12 for the next before, 1 each after.
+    An engine's load changes up to ten times a second, and each local entry host is due
+    for a report. Encoding the state for each of them took 113 encodings a second in one
+    agent: 34 for the first state and 12 for the next, now 1 each.
     """
     hosts = [connection() for _ in range(NEAR_HOSTS + FAR_HOSTS)]
     links = entry_links(hosts)
@@ -105,10 +103,10 @@
 
 
 def test_stalled_entry_host_is_disconnected_without_affecting_others():
-    """One entry host stands still, and its frames would fill the agent's memory.
+    """Guards against the memory growth that one stalled entry host causes.
 
-    Sequence: its connection stays open and takes no bytes; each state is put behind
-    those that wait. Cause: a write without a look at what waits already.
+    Its connection stays open but accepts no bytes, so that each report is added to the
+    write buffer unless the size of the buffer is checked first.
     """
     hosts = [connection() for _ in range(3)]
     links = entry_links(hosts)
@@ -128,7 +126,7 @@
 
 
 def test_state_report_is_not_a_request():
-    """The shared bytes carry no call number: no host may answer them."""
+    """The shared bytes carry no call number, so that no host responds to them."""
     host = connection()
     entry_links([host]).report(state(1), now=10.0)
     assert decode(Frame, host.transport.written[0][4:]).call is None
@@ -137,11 +135,11 @@
 def test_host_that_does_not_follow_an_engine_gets_fewer_reports_but_each_version(
     monkeypatch,
 ):
-    """Agents told 29,000 loads a second in all, at 99 entry hosts and 156 engines.
+    """Guards against 29,000 reports a second in all, at 99 entry hosts and 156 engines.
 
-    Sequence: each change of the load is told to each host of the failure domain, ten
-    times a second, and to all others each second; a host has a request for one of
-    them every other second. Cause: nobody said who needs to hear of it.
+    Each change of the load was reported to each local host, ten times a second, and to
+    all others every second, although a host sends a request to any one engine only
+    every other second.
     """
     monkeypatch.setattr(_entry_links, "REMOTE_JITTER", (1.0, 1.0))
     near, far = connection(), connection()
@@ -173,7 +171,7 @@
 
 
 def test_entry_hosts_without_a_configuration_receive_each_others_addresses():
-    """Guards against restarted hosts that have no neighbour to read it from."""
+    """Guards against restarted hosts that know no neighbour to read it from."""
     links = EntryLinks(failure_domain="a", spawn=None)
     hosts = [connection() for _ in range(3)]
     links.set_failure_domain(hosts[0], "a")
--- a/hawthornspoke/spread/tests/test_far_loads.py
+++ b/hawthornspoke/spread/tests/test_far_loads.py
@@ -12,7 +12,7 @@
 
 
 class FarPlay(Play):
-    """A play in which all engines report load on the schedule for far hosts."""
+    """A simulation in which all engines report load on the schedule of remote hosts."""
 
     def _fleet(self, place, hosts, engines):
         fleet = Fleet(failure_domain="a", seed=place)
@@ -51,7 +51,7 @@
 
 
 def share_on_time():
-    """Return the share of callers answered on time over all seeds."""
+    """Return the share of callers answered on time, over all seeds."""
     random.seed(1)
     plays = [
         FarPlay(taken=0.8, keeps=True, hosts=13, engines=18, seed=seed).run()
@@ -64,8 +64,8 @@
 def test_overflow_is_not_concentrated_on_the_engine_that_reported_last():
     """Guards against all hosts sending to one engine after it reports its load.
 
-    Share on time: 0.68 with simultaneous reports, 0.93 now with jitter. Load: 13 hosts
-    in a failure domain without engines, 18 engines in another one, eight slots in ten
+    Share on time: 0.68 with simultaneous reports, 0.93 with jitter. Load: 13 hosts in a
+    failure domain without engines, 18 engines in another one, and 80 % of the slots
     needed.
     """
     assert share_on_time() >= 0.9
--- a/hawthornspoke/spread/tests/test_first_start.py
+++ b/hawthornspoke/spread/tests/test_first_start.py
@@ -1,4 +1,4 @@
-"""Agents of a fleet that starts for the first time."""
+"""Agents of a fleet in which all hosts start for the first time."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def record_reads(hosts, monkeypatch):
-    """Return a list that grows with each call to the platform."""
+    """Return a list that grows with each read of the platform."""
     reads = []
     real_call, real_peers = FakePlatform.__call__, FakePlatform.peers
 
@@ -26,11 +26,11 @@
 
 
 def test_agents_of_a_first_start_do_not_read_the_platform(monkeypatch):
-    """The first start of 156 agents cost 600 calls to the platform.
+    """Guards against 600 platform calls when 156 agents start for the first time.
 
-    Sequence: each reads the list to ask its neighbours what to load, who know nothing,
-    and 2 s later reads it all itself, just before entry hosts connect. Cause: an agent
-    that is new among others, and one among as many new ones, did the same.
+    Each agent read the list of endpoints to ask its neighbours for a directive, which
+    none of them has, and 2 s later read everything itself, just before entry hosts
+    connect. Agents of a first start must wait instead.
     """
 
     async def scenario(first_start, seconds):
--- a/hawthornspoke/spread/tests/test_frames.py
+++ b/hawthornspoke/spread/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Messages with anything in them, and lists with odd endpoints, at an agent."""
+"""An agent that receives arbitrary frames and unexpected entries in endpoint lists."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class Origin:
-    """Has nothing."""
+    """Fails all requests."""
 
     async def manifest(self, address, model, version):
         return DOWN
@@ -25,7 +25,7 @@
 
 
 class Link:
-    """Takes frames."""
+    """Accepts frames."""
 
     address = "127.0.0.9"
     is_open = True
@@ -45,7 +45,7 @@
 
 
 def directive(*peers):
-    """Return what an entry host tells."""
+    """Return an entry host's directive."""
     return Directive(
         model="m",
         weights_version=2,
@@ -61,7 +61,7 @@
 
 
 async def agent():
-    """Return an agent that gets a version of four pieces."""
+    """Return an agent that fetches a version of four pieces."""
     made = Agent(
         settings=SpreadSettings(
             node="n",
@@ -92,7 +92,7 @@
         @given(structs(Frame))
         def check(frame):
             if frame.call is None:
-                # A connection hands on no question without a number.
+                # A connection passes on no request without a call number.
                 frame = Frame(
                     announce=frame.announce,
                     directive=frame.directive,
@@ -106,22 +106,22 @@
 
 
 async def feed(made, frame):
-    """Hand a message to an agent."""
+    """Pass a frame to an agent."""
     made._on_frame(Link(), frame)
 
 
 async def close(made):
-    """End what an agent began."""
+    """Stop the tasks of an agent."""
     made.delivery.close()
     made.exchange.close()
 
 
 def test_entry_of_another_writer_at_the_own_address_is_ignored():
-    """An agent ended again and again, or lost all its entry hosts.
+    """Guards against an agent that exits repeatedly or loses all its entry hosts.
 
-    Events: another writer lists an endpoint at the address of an agent's engine, in
-    another failure domain. The agent looks for itself among the hosts of its own and
-    isn't there. Cause: the list's word on this host went before its own settings.
+    Another writer lists an endpoint at the address of the agent's engine, in another
+    failure domain. The agent is then missing from the hosts of its own failure domain
+    unless its settings override the list.
     """
 
     async def scenario():
--- a/hawthornspoke/spread/tests/test_incarnations.py
+++ b/hawthornspoke/spread/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""An engine that starts again while its agent stages, orders and looks."""
+"""An engine that restarts while its agent stages, orders and observes."""
 
 import asyncio
 
@@ -33,12 +33,12 @@
 FIRST = Incarnation(started_ms=1_000_000)
 SECOND = Incarnation(started_ms=1_060_000)
 
-#: A start after which the host's clock was put back.
+#: An incarnation that started after the host's clock was set back.
 CLOCK_BACK = Incarnation(started_ms=1_000)
 
 
 class RestartingEngine(FakeEngine):
-    """An engine that can start again, with or without what was staged."""
+    """An engine that can restart, with or without its staged pieces."""
 
     def __init__(self, *, incarnation=FIRST):
         super().__init__()
@@ -50,7 +50,7 @@
         self.ordered_from = []
 
     def restart(self, incarnation, *, lose_staged=True):
-        """Forget everything, as a start does."""
+        """Reset the state as a restart does."""
         self.incarnation = incarnation
         self.version = None
         self.loaded = {}
@@ -93,7 +93,7 @@
         return "begun"
 
     def _end_at(self, incarnation, version):
-        # What a start that is over was loading is in no other.
+        # An incarnation does not finish the load of an earlier one.
         if incarnation == self.incarnation:
             self._end(version)
 
@@ -110,18 +110,18 @@
 
 
 def installer_for(engine, *, on_order_pending=lambda order_pending: None):
-    """Return an installer of an engine."""
+    """Return an installer for an engine."""
     return Installer(
         engine=engine, log=EventLog(node="n"), on_order_pending=on_order_pending
     )
 
 
 def test_order_accepted_by_the_next_incarnation_fails():
-    """An agent took an engine for loaded on the word of another start.
+    """Guards against an install that succeeds on the state of another incarnation.
 
-    Events: it looks at the engine, which has begun no order; the engine starts again,
-    has begun none either, takes up the order and loads whatever lies staged. Cause:
-    the number of orders is the same at each start.
+    The engine has begun no order when the agent reads its state. It restarts, has again
+    begun none, accepts the order and loads whatever is staged: the sequence is the same
+    in both incarnations.
     """
 
     async def run():
@@ -138,11 +138,11 @@
 
 @pytest.mark.parametrize("next_incarnation", [SECOND, CLOCK_BACK])
 def test_order_is_sent_only_to_the_verified_incarnation(next_incarnation):
-    """An engine loaded what its power loss had left of the staged pieces.
+    """Guards against an engine that loads an incomplete set of staged pieces.
 
-    Events: all pieces are staged and read back; the entry hosts are told; the engine
-    starts again without what was staged; the order goes out with the number of the
-    new start. Cause: only the number was looked at anew, not the start.
+    All pieces are staged and verified, and the entry hosts are notified. The engine
+    restarts without its staged pieces, as after a power loss. If only the sequence is
+    read again, the order is sent with that of the new incarnation.
     """
 
     async def run():
@@ -163,7 +163,7 @@
 
 
 def test_decreased_sequence_means_a_restart_without_start_times():
-    """The same events, on an engine that doesn't tell its start."""
+    """The same events, on an engine that doesn't report its start time."""
 
     async def run():
         engine = RestartingEngine(incarnation=UNKNOWN_START)
@@ -179,11 +179,11 @@
 
 
 def test_piece_staged_for_the_previous_incarnation_is_staged_again():
-    """A piece was believed staged where nothing lay.
+    """Guards against a piece that is recorded as staged but missing.
 
-    Events: pieces are staged; the engine starts again while one more is put there;
-    the answer of the earlier start comes after the agent has seen the new one. Cause:
-    what was staged was remembered for the engine, not for its start.
+    Pieces are staged, and the engine restarts while another put is pending. The
+    response of the previous incarnation arrives after the agent has observed the new
+    one.
     """
 
     async def run():
@@ -210,10 +210,11 @@
 
 
 def test_busy_new_incarnation_holds_no_weights():
-    """An engine got no weights after a restart.
+    """Guards against an engine that gets no weights after a restart.
 
-    Events: it holds version 1; it starts again and is busy when it is seen first, so
-    that what it held before still counts. Cause: that rule is for one start.
+    It holds version 1, restarts and is busy when it is first observed. The rule that a
+    busy engine counts as holding its previous weights is valid within one incarnation
+    only.
     """
     machine = Upgrade()
     machine.step(VersionDeclared(version=1, at=0.0), now=0.0)
@@ -232,12 +233,11 @@
 @pytest.mark.parametrize("next_incarnation", [SECOND, CLOCK_BACK])
 @pytest.mark.parametrize("lose_staged", [True, False])
 def test_agent_loads_the_weights_into_each_incarnation(next_incarnation, lose_staged):
-    """An engine that was back held nothing for the time of an install.
+    """Guards against a restarted engine without weights for the time of an install.
 
-    Events: an engine is restarted just when its agent installs; the agent waits for
-    the end of an order of which the new start knows nothing. The start is seen by the
-    agent only, later or, after its clock was put back, earlier than the one before.
-    Cause: a running install outlived the start it was for.
+    An engine restarts while its agent installs, and the agent waits for the end of an
+    order that the new incarnation does not know. Only the agent observes the restart;
+    the start time is later than the previous one, or earlier if the clock was set back.
     """
 
     async def scenario(hosts):
@@ -257,10 +257,10 @@
 
 
 def test_agent_plans_for_an_incarnation_busy_from_the_first_snapshot():
-    """An entry host refused callers without a time to come back.
+    """Guards against an entry host that rejects callers without a retry time.
 
-    Events: an engine with weights restarts, and is busy when it is seen first. Cause:
-    the agent planned as if it still held them, and told no time for the next ones.
+    An engine with weights restarts and is busy when it is first observed. If the agent
+    plans as if the engine still held them, it reports no time for the next ones.
     """
 
     async def scenario(hosts):
@@ -296,17 +296,17 @@
                 await asyncio.sleep(0.01)
         engine.load_time = 0.05
         engine.restart(SECOND)
-        # An order that never ends is waited for much longer.
+        # The install would wait much longer for an order that never ends.
         await hosts.wait_until_loaded(1, seconds=3.0)
 
     run_scenario(scenario, count=1)
 
 
 def test_staging_for_the_previous_incarnation_is_cancelled():
-    """An engine that was back waited for calls to its earlier start.
+    """Guards against an install that waits for calls to the previous incarnation.
 
-    Events: the engine's host stands still while pieces are put there; the engine is
-    started again, and the answers to these calls never come.
+    The engine's host is suspended while pieces are staged; the engine restarts, and the
+    responses to these calls never arrive.
     """
 
     async def scenario(hosts):
@@ -327,11 +327,11 @@
 
 
 def test_restart_while_an_install_ends_does_not_block_the_next_one():
-    """An engine was never ordered again.
+    """Guards against an engine that is never ordered again.
 
-    Events: an install has failed, and the agent looks at the engine before it plans
-    the next; just then another look sees that the engine has started again. Cause:
-    the end of the install was called off with it, so that it seemed to run for ever.
+    An install has failed, and the agent observes the engine before it plans the next
+    one. Just then another observation shows that the engine has restarted. If that also
+    cancels the end of the install, the install appears to run forever.
     """
 
     async def scenario(hosts):
@@ -403,11 +403,10 @@
 
 
 def test_late_snapshot_of_the_previous_incarnation_is_ignored():
-    """An agent took a start for new twice and cancelled the install of the right one.
+    """Guards against a restart that is detected twice and cancels the current install.
 
-    Events: two looks at the engine are on their way at once; the engine restarts; the
-    answer to the first look comes after that to the second. Cause: answers on two
-    connections overtake each other.
+    Two snapshots are requested at the same time and the engine restarts. The response
+    to the first one arrives last, as responses on two connections can be reordered.
     """
 
     async def scenario(hosts):
--- a/hawthornspoke/spread/tests/test_link.py
+++ b/hawthornspoke/spread/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The delay of a link from probes."""
+"""The delay of a link as estimated from probes."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 def probe(link, number, *, sent, back):
-    """Let one probe go there and back."""
+    """Send one probe and receive its answer."""
     link.step(ProbeSent(number=number), now=sent)
     link.step(ProbeEnded(number=number, answered=True), now=back)
 
@@ -36,7 +36,7 @@
 
 
 def test_one_unresponsive_host_is_not_a_congested_link():
-    """All entry hosts left an engine alone because one of them was frozen."""
+    """Guards against an engine that is not used because one entry host is suspended."""
     link = LinkDelayEstimator()
     probe(link, 1, sent=0.0, back=0.004)
     link.step(ProbeSent(number=2), now=1.0)
--- a/hawthornspoke/spread/tests/test_peers_that_leave.py
+++ b/hawthornspoke/spread/tests/test_peers_that_leave.py
@@ -1,4 +1,4 @@
-"""Peers that are gone from the list while one of them is asked."""
+"""Peers that are removed from the list while another one is being asked."""
 
 import asyncio
 
@@ -9,15 +9,13 @@
 
 
 def test_manifest_is_read_although_a_peer_leaves_meanwhile():
-    """An engine never got a version that all others had.
-
-    Symptom: an agent logs that its task for a version ended with a KeyError; its
-    engine keeps the old weights, and answers nothing from their bound on.
-    Events: a version is declared; the agent asks a host of its region for the list of
-    digests, which takes up to 0.6 s; meanwhile another host of the region leaves; the
-    first one has no list, and the one that left is asked next.
-    Cause: whom to ask was looked up before the wait, and where they are after it. The
-    version counts as being got, so nothing begins it again.
+    """Guards against an engine that never gets a version that all others have.
+
+    An agent requests a manifest from a host of its region, which takes up to 0.6 s.
+    Meanwhile another host of the region leaves, and it is the next one to be asked. Its
+    address was looked up after the wait, and the KeyError ended the task that fetches
+    the version. Nothing started the task again, and the engine served nothing once its
+    old weights had expired.
     """
 
     async def scenario():
@@ -34,7 +32,7 @@
             agent.exchange.set_peers(peers)
             version = _version_that_others_read_first(own, peers)
             asking = asyncio.create_task(agent.delivery.manifests.get("m", version))
-            # The first of the two is asked: a connection is tried.
+            # The first of the two is asked: a connection attempt begins.
             await asyncio.sleep(0)
             agent.exchange.set_peers({own: peers[own]})
             digests = await asking
--- a/hawthornspoke/spread/tests/test_upgrade.py
+++ b/hawthornspoke/spread/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Which version an engine goes to next: replayed sequences of names and pieces."""
+"""Which version an engine loads next: sequences of declarations and pieces."""
 
 from hawthornspoke.spread._changeover import DISPATCH_CUTOFF
 from hawthornspoke.spread._upgrade import (
@@ -17,7 +17,7 @@
 
 
 def machine(version=1, *, is_complete=True):
-    """Return a machine whose engine holds a version, with that version named."""
+    """Return a machine whose engine holds a declared version."""
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
     upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
     seen = EngineObserved(version=version, is_complete=is_complete, busy=False)
@@ -26,7 +26,7 @@
 
 
 def installs(outcomes):
-    """Return the orders among some outcomes."""
+    """Return the installs among the outcomes."""
     return [item for item in outcomes if isinstance(item, Install)]
 
 
@@ -41,11 +41,11 @@
 
 
 def test_second_declaration_soon_after_drops_the_first():
-    """Nothing could be served for seconds.
+    """Guards against seconds in which no weights can be served.
 
-    Events: two versions are named 2 s apart; the first is finished first, so that
-    the second comes long after the bound of the old weights. Cause: the transfer of
-    the first took link time that only delayed the second.
+    Two versions are declared 2 s apart. If the transfer of the first one is finished,
+    it uses link capacity and delays the second one until long after the bound of the
+    old weights.
     """
     upgrade = machine()
     upgrade.step(VersionDeclared(version=2, at=0.0), now=0.0)
@@ -55,10 +55,10 @@
 
 
 def test_later_second_declaration_keeps_the_first():
-    """Nothing could be served between the bound of the old and the newest weights.
+    """Guards against a gap between the bound of the old and the newest weights.
 
-    Events: two versions 4 s apart; the first is dropped for the second, which is
-    there 2 s after the bound of the old weights. Cause: always the newest only.
+    Two versions are declared 4 s apart. If the first is dropped in favour of the
+    second, that one arrives 2 s after the bound of the old weights.
     """
     upgrade = machine()
     upgrade.step(VersionDeclared(version=2, at=0.0), now=0.0)
@@ -100,10 +100,7 @@
 
 
 def test_late_declaration_of_an_older_version_is_ignored():
-    """An entry host that was cut off told agents of an older version.
-
-    Cause: the last word was taken, not the newest.
-    """
+    """Guards against a disconnected entry host that reports an older version."""
     upgrade = machine()
     upgrade.step(VersionDeclared(version=3, at=0.0), now=0.0)
     assert upgrade.step(VersionDeclared(version=2, at=1.0), now=1.0) == []
@@ -111,14 +108,12 @@
 
 
 def test_time_after_the_first_receipt_does_not_delay_an_order():
-    """Engines were ordered 0.8 s late, when their old weights could answer no more.
-
-    Symptom: after an outage of the platform half of the engines of a failure domain
-    wait with their orders, all pieces being there, and the bound passes meanwhile.
-    Events: a version is found when the platform is back; 1.4 s later one more entry
-    host reaches it and tells that the version is from just then.
-    Cause: of two moments the later one was taken, also where it is behind the moment
-    at which the version was heard of, so that the order seemed to have time.
+    """Guards against orders that are 0.8 s late, after the old weights have expired.
+
+    A version is read when the platform recovers from an outage. 1.4 s later another
+    entry host reconnects and reports that the version was declared just then. If this
+    later time is used although the version was received before it, half of the engines
+    of a failure domain delay their orders beyond the bound, with all pieces held.
     """
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
     upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
@@ -131,7 +126,7 @@
 
 
 def test_later_time_before_the_first_receipt_is_used():
-    """An entry host that has just started tells an earlier moment than others do."""
+    """An entry host that has just started reports an earlier time than others do."""
     upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
     upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
     upgrade.step(EngineObserved(version=1, is_complete=True, busy=False), now=0.0)
