--- a/hawthornspoke/spread/_entry_links.py
+++ b/hawthornspoke/spread/_entry_links.py
@@ -110,7 +110,7 @@
         return self.link.delay(monotonic())
 
     def receive(self, link, directive):
-        """Record what a directive tells about its sender."""
+        """Record what a directive says about its sender."""
         self.set_failure_domain(link, directive.failure_domain)
         self._host_by_link[link].reads_platform = directive.peers is not None
         self._update_no_reader_since()
--- a/hawthornspoke/spread/_evidence.py
+++ b/hawthornspoke/spread/_evidence.py
@@ -29,16 +29,16 @@
         frame : Frame
         """
         now = monotonic()
-        heard = EvidenceHeard(items=read_evidence(frame.evidence, now=now))
-        for news in self.exchange.step(heard, now=now):
-            told = Frame(evidence=write_evidence(news.items, now=now))
-            data = PeerConnection.encode(told)
+        received = EvidenceHeard(items=read_evidence(frame.evidence, now=now))
+        for outcome in self.exchange.step(received, now=now):
+            update = Frame(evidence=write_evidence(outcome.items, now=now))
+            data = PeerConnection.encode(update)
             for other in self._links:
                 other.send_encoded(data)
         if link not in self._links:
             self._links.add(link)
-            known = write_evidence(self.exchange.evidence(now=now), now=now)
-            link.send(Frame(evidence=known))
+            current = write_evidence(self.exchange.evidence(now=now), now=now)
+            link.send(Frame(evidence=current))
 
     def drop(self, link):
         """Remove a closed connection."""
--- a/hawthornspoke/spread/_fetches.py
+++ b/hawthornspoke/spread/_fetches.py
@@ -103,9 +103,9 @@
             # would use a peer's link for nothing.
             return
         ask = ChunkAsk(digest=fetch.digest, index=fetch.index, node=self._swarm.node)
-        asked_at = monotonic()
+        requested_at = monotonic()
         answer = await link.ask(Frame(chunk_ask=ask), timeout=PIECE_TIMEOUT)
-        self._adjust_peer_slots(monotonic() - asked_at)
+        self._adjust_peer_slots(monotonic() - requested_at)
         if isinstance(answer, Failure):
             self._fail(fetch, "failed")
         elif answer.chunk is None or answer.chunk.data is None:
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -162,12 +162,12 @@
             failure = await self._stage_all(weights)
             if failure is not None:
                 return failure
-            checked_deadline = contact_clock() + VERIFICATION_TTL
+            verified_until = contact_clock() + VERIFICATION_TTL
             try:
                 self._on_order_pending(True)
                 await asyncio.sleep(NOTICE_DELAY)
                 result = await self._send_order(
-                    weights, initial, is_order_valid, checked_deadline
+                    weights, initial, is_order_valid, verified_until
                 )
             finally:
                 self._on_order_pending(False)
@@ -199,7 +199,7 @@
             self._staged.discard(index)
             self._log.change("staged_piece_bad", weights=weights.name, piece=index)
 
-    async def _send_order(self, weights, initial, is_order_valid, checked_deadline):
+    async def _send_order(self, weights, initial, is_order_valid, verified_until):
         """Send the order, if the engine is still the incarnation that was verified.
 
         An order carries only the number of orders before it, which each incarnation
@@ -212,7 +212,7 @@
             return ENGINE_RESTARTED
         if before.busy:
             return ORDER_FAILED.because("another order is in progress")
-        failure = self._check_order(is_order_valid, checked_deadline)
+        failure = self._check_order(is_order_valid, verified_until)
         if failure is not None:
             self._log.change(
                 "order_not_sent", weights=weights.name, reason=str(failure)
@@ -230,13 +230,13 @@
         )
         return await self._wait_until_loaded(weights, before, result)
 
-    def _check_order(self, is_order_valid, checked_deadline):
+    def _check_order(self, is_order_valid, verified_until):
         # Checked directly before the order is sent: the host may have been suspended
         # since the install was planned, and an engine that loads expired weights
-        # serves nothing until the next switch.
+        # serves nothing until it has switched again.
         if not is_order_valid():
             return ORDER_FAILED.because("the version was superseded or has expired")
-        if contact_clock() >= checked_deadline:
+        if contact_clock() >= verified_until:
             return PROCESS_STALLED.because("the pieces must be verified again")
         return None
 
@@ -244,7 +244,7 @@
         """Wait until the engine's state, which alone is conclusive, has the weights."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + INSTALL_TIMEOUT
-        begin_deadline = loop.time() + ORDER_TIMEOUT
+        start_deadline = loop.time() + ORDER_TIMEOUT
         while loop.time() < deadline:
             observed = await self._engine.snapshot()
             if not is_failure(observed):
@@ -253,22 +253,22 @@
                     return ENGINE_RESTARTED
                 if observed.version == weights.version and not observed.busy:
                     return None
-                begun = observed.busy or observed.sequence != before.sequence
-                if not begun and loop.time() >= begin_deadline:
+                has_begun = observed.busy or observed.sequence != before.sequence
+                if not has_begun and loop.time() >= start_deadline:
                     break
-            if is_failure(result) and loop.time() >= begin_deadline:
+            if is_failure(result) and loop.time() >= start_deadline:
                 break
             await asyncio.sleep(POLL_INTERVAL)
         return ORDER_FAILED.because(str(result))
 
     async def _for_each(self, indices, call):
-        gate = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
-        async def one(index):
-            async with gate:
+        async def limited_call(index):
+            async with semaphore:
                 await call(index)
 
-        await asyncio.gather(*(one(index) for index in indices))
+        await asyncio.gather(*(limited_call(index) for index in indices))
 
 
 def _has_restarted(before, after):
--- a/hawthornspoke/spread/_link.py
+++ b/hawthornspoke/spread/_link.py
@@ -78,8 +78,10 @@
         if sent_at is None or not message.answered:
             return []
         rtt = now - sent_at
-        known = self._min_rtt is not None and now < self._min_rtt_at + self.least_kept
-        if not known or rtt <= self._min_rtt:
+        is_current = (
+            self._min_rtt is not None and now < self._min_rtt_at + self.least_kept
+        )
+        if not is_current or rtt <= self._min_rtt:
             self._min_rtt, self._min_rtt_at = rtt, now
         self._recent_delays[message.number] = rtt - self._min_rtt
         for number in sorted(self._recent_delays)[:-RECENT_PROBES]:
@@ -100,9 +102,9 @@
         """
         delay_by_number = dict(self._recent_delays)
         for number, sent_at in self._sent_at_by_number.items():
-            waited = now - sent_at - (self._min_rtt or 0.0)
-            if waited > 0:
-                delay_by_number[number] = waited
+            overdue = now - sent_at - (self._min_rtt or 0.0)
+            if overdue > 0:
+                delay_by_number[number] = overdue
         latest = sorted(delay_by_number)[-RECENT_PROBES:]
         return min((delay_by_number[number] for number in latest), default=0.0)
 
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -242,14 +242,14 @@
     async def _observe_engine(self):
         self._observations_started += 1
         number = self._observations_started
-        asked_at = contact_clock()
+        requested_at = contact_clock()
         observed = await self.engine.snapshot()
         if number < self._latest_observation:
             # Responses on two connections can arrive out of order. A late one may
             # describe the previous incarnation and would look like another restart.
             return
         self._latest_observation = number
-        self._observed_at = asked_at
+        self._observed_at = requested_at
         down = is_failure(observed)
         if down != self._engine_down:
             self._engine_down = down
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -282,13 +282,13 @@
             self._declared[-1] = message
 
     def _is_superseded(self, index):
-        declared, following = self._declared[index], self._declared[index + 1]
+        declared, successor = self._declared[index], self._declared[index + 1]
         if declared.version in self._complete_at_by_version:
             return False
         if self._engine.version is None:
             # The engine serves nothing, and the newest version arrives as soon.
             return True
-        return following.at - declared.at < DROP_SHARE * self.transfer_time
+        return successor.at - declared.at < DROP_SHARE * self.transfer_time
 
     def _plan(self, now):
         outcomes = []
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -336,7 +336,7 @@
     Mutation(
         name="after a wait: orders are not looked at",
         file="spread/_installer.py",
-        old="        failure = self._check_order(is_order_valid, checked_deadline)\n",
+        old="        failure = self._check_order(is_order_valid, verified_until)\n",
         new="        failure = None\n",
         test="hawthornspoke/spread/tests/test_after_a_wait.py -k version_that_expired",
     ),
