--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -82,7 +82,7 @@
         name = weights_name(model, version)
         digests = NOT_KNOWN
         preceding = self._preceding_readers(name)
-        # The neighbours may have a rejected manifest from the same source.
+        # Neighbours have the rejected manifest from the same source.
         if name not in self._rejected:
             digests = await self._request_from_all(name, preceding)
         if is_failure(digests) and self._may_read_origin(name, preceding, digests):
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -149,9 +149,9 @@
     def on_version_declared(self, message, *, now):
         """Record a newer declared version, or a later time for the newest one.
 
-        Each entry host reports a declaration. One that has just started does not know
-        its time, and one that was disconnected knows only a lower bound; so the latest
-        time is the best estimate.
+        Entry hosts report a declaration one after the other. One that has just started
+        does not know its time, and one that was disconnected knows only a lower bound;
+        so the latest time is the best estimate.
         """
         if self._declared and message.version <= self._declared[-1].version:
             self._update_newest_date(message)
