--- a/hawthornspoke/swarm/__init__.py
+++ b/hawthornspoke/swarm/__init__.py
@@ -1,4 +1,4 @@
-"""Spreading weights between hosts: the planner, its strategies, the store."""
+"""Peer-to-peer distribution of weights: planner, strategies and chunk store."""
 
 from hawthornspoke.swarm._link import Link
 from hawthornspoke.swarm._messages import (
--- a/hawthornspoke/swarm/_link.py
+++ b/hawthornspoke/swarm/_link.py
@@ -1,4 +1,4 @@
-"""Pacing of weights on a host's link."""
+"""Rate limiting of weight transfers on a host's link."""
 
 import threading
 
@@ -13,7 +13,7 @@
     rate : float
         Bytes a second; 0 for no limit.
     burst : float, default=65536.0
-        Bytes that may go at once after a quiet time.
+        Bytes that may be sent without delay after an idle period.
     """
 
     __slots__ = ("rate", "burst", "sent", "_free_at", "_lock")
@@ -26,18 +26,18 @@
         self._lock = threading.Lock()
 
     def reserve(self, size, *, now=None):
-        """Take the link for some bytes.
+        """Reserve link capacity for some bytes.
 
         Parameters
         ----------
         size : int
         now : float or None, default=None
-            Monotonic time; None reads the clock.
+            Monotonic time in seconds; None reads the clock.
 
         Returns
         -------
         float
-            Seconds that the caller has to wait until the bytes are through.
+            Seconds until the bytes have been transmitted; the caller waits this long.
         """
         now = monotonic() if now is None else now
         with self._lock:
--- a/hawthornspoke/swarm/_messages.py
+++ b/hawthornspoke/swarm/_messages.py
@@ -1,11 +1,11 @@
-"""Messages of the swarm machine, and what it decides."""
+"""Messages and outcomes of the swarm state machine."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Want:
-    """Some weights have to be here.
+    """Request to transfer some weights to this host.
 
     Parameters
     ----------
@@ -13,9 +13,9 @@
     chunks : int
     size : int
     held : tuple of int
-        Chunks that are here already.
+        Chunks that this host already holds.
     participants : dict of str to HostEntry
-        All hosts that have to load them, this one too, with their addresses.
+        All hosts that load these weights, including this one, with their addresses.
     region_by_domain : dict of str to str
     priority : int
     strategy : str
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Participants:
-    """The hosts that have to load some weights changed."""
+    """The set of hosts that load some weights has changed."""
 
     digest: str
     participants: dict
@@ -46,14 +46,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Drop:
-    """Some weights are not wanted any more; the transfer stops at once."""
+    """Some weights are no longer needed; their transfer stops immediately."""
 
     digest: str
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Announced:
-    """A peer told which chunks it holds.
+    """A peer has announced which chunks it holds.
 
     Parameters
     ----------
@@ -61,8 +61,9 @@
     node : str
     indices : tuple of int
     held : int
-        The peer's total; more than the chunks known of it means lost news. 0 from a
-        peer that tells this host only of some.
+        Total number of chunks the peer holds. If it exceeds the number known to this
+        host, an announcement was lost. 0 if the peer announces only some of its
+        chunks to this host.
     """
 
     digest: str
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PeerUnreachable:
-    """A question to a peer did not reach it.
+    """A holdings query did not reach a peer.
 
     Parameters
     ----------
@@ -87,7 +88,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ChunkVerified:
-    """A chunk arrived and has the right digest."""
+    """A chunk was received and its digest matches the manifest."""
 
     digest: str
     index: int
@@ -95,7 +96,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ChunkFailed:
-    """A fetch ended without the chunk.
+    """A fetch of a chunk has failed.
 
     Parameters
     ----------
@@ -113,12 +114,12 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Tick:
-    """Time passed."""
+    """Periodic timer event."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class FetchFromOrigin:
-    """Read a chunk from the origin."""
+    """Fetch a chunk from the origin."""
 
     digest: str
     index: int
@@ -126,7 +127,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class FetchFromPeer:
-    """Read a chunk from a peer."""
+    """Fetch a chunk from a peer."""
 
     digest: str
     index: int
@@ -137,14 +138,16 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AnnounceChunks:
-    """Tell peers of new chunks.
+    """Announce newly held chunks to peers.
 
     Parameters
     ----------
     digest : str
     indices : tuple of int
     held : int
+        Total number of chunks this host holds; 0 if only some are announced.
     targets : tuple of (str, int)
+        Address and port of each peer.
     """
 
     digest: str
@@ -155,7 +158,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AskHoldings:
-    """Ask a peer for all it holds."""
+    """Query a peer for the chunks it holds."""
 
     digest: str
     node: str
@@ -165,7 +168,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Complete:
-    """All chunks of some weights are here and verified."""
+    """This host holds all chunks of some weights, verified.
+
+    Parameters
+    ----------
+    digest : str
+    elapsed : float
+        Seconds since the transfer started.
+    """
 
     digest: str
     elapsed: float
--- a/hawthornspoke/swarm/_planner.py
+++ b/hawthornspoke/swarm/_planner.py
@@ -1,4 +1,4 @@
-"""The planner of a host's transfers, as a pure state machine."""
+"""Transfer planner of one host, as a pure state machine."""
 
 import itertools
 
@@ -20,7 +20,7 @@
 )
 from hawthornspoke.swarm._transfer import Participant, Transfer
 
-#: What the machine takes.
+#: Message classes that the machine handles.
 MESSAGES = (
     Announced,
     ChunkFailed,
@@ -32,37 +32,42 @@
     Want,
 )
 
-#: Digests whose announcements are kept before this host wants them.
-EARLY_KEPT = 4
+#: Maximum number of digests whose announcements are stored before a transfer of
+#: them starts on this host.
+MAX_EARLY_DIGESTS = 4
 
-#: Seconds between two questions to peers about what they hold.
-ASK_EVERY = 0.25
+#: Minimum seconds between two holdings queries of a transfer.
+QUERY_INTERVAL = 0.25
 
-#: Corrupt chunks after which a peer is not asked again in this transfer.
+#: Corrupt chunks after which a peer is avoided for CORRUPT_PEER_BACKOFF seconds, in
+#: practice for the rest of the transfer.
 CORRUPT_LIMIT = 2
-SET_ASIDE = 3600.0
+CORRUPT_PEER_BACKOFF = 3600.0
 
 
 @MACHINES.register("swarm")
 class Swarm(Machine):
-    """Decides which chunk to read from where, and whom to tell.
+    """Decides which chunks to fetch from which source, and which peers to notify.
 
     Parameters
     ----------
     node : str, default="node"
     peer_slots : int, default=8
-        Chunks fetched from peers at once.
+        Maximum concurrent fetches from peers.
     origin_slots : int, default=2
-        Chunks fetched from the origin at once.
+        Maximum concurrent fetches from the origin.
     announce_every : float, default=0.5
-        Seconds over which new chunks are gathered into one announcement.
+        Seconds over which new chunks are batched into one announcement.
     stall_after : float, default=3.0
-        Seconds without news after which a chunk's next owner takes over.
+        Minimum seconds without an announcement after which the next owner of a chunk
+        takes over.
     avoid_for : float, default=1.0
-        Seconds a peer is left alone after a fetch from it failed.
+        Seconds for which a peer is avoided after a failed fetch.
     origin_avoid_for : float, default=1.0
-        The same for the origin; news of a chunk that nobody had ends it sooner.
+        The same for the origin. An announcement of a chunk that no host held before
+        ends this period early.
     seed : int, default=0
+        Seed of the order in which missing chunks are fetched.
     """
 
     __slots__ = (
@@ -75,7 +80,7 @@
         "origin_avoid_for",
         "seed",
         "by_digest",
-        "_early",
+        "_early_announcements",
         "_peer_fetches",
         "_origin_fetches",
         "_origin_avoid_deadline",
@@ -113,7 +118,7 @@
         self.origin_avoid_for = origin_avoid_for
         self.seed = seed
         self.by_digest = {}
-        self._early = {}
+        self._early_announcements = {}
         self._peer_fetches = 0
         self._origin_fetches = 0
         self._origin_avoid_deadline = 0.0
@@ -147,28 +152,28 @@
             now=now,
         )
         self.by_digest[message.digest] = transfer
-        people = _participants(message.participants, message.region_by_domain)
-        transfer.set_participants(people, now=now)
+        hosts = _participants(message.participants, message.region_by_domain)
+        transfer.set_participants(hosts, now=now)
         for index in message.held:
-            transfer.take(index, now=now, brought=True)
-        for early in self._early.pop(message.digest, {}).values():
-            transfer.learn(early.node, early.indices, early.held, now=now)
+            transfer.mark_held(index, now=now, injected=True)
+        for early in self._early_announcements.pop(message.digest, {}).values():
+            transfer.record_holdings(early.node, early.indices, early.held, now=now)
         outcomes = [Complete(digest=message.digest, elapsed=0.0)]
         if not transfer.complete:
-            outcomes = self._ask(transfer, count=2, now=now)
+            outcomes = self._query_peers(transfer, count=2, now=now)
         return outcomes + self._plan(now=now)
 
     def on_participants(self, message, *, now):
-        """Take a changed set of hosts."""
+        """Update the set of participating hosts."""
         transfer = self.by_digest.get(message.digest)
         if transfer is None or self.node not in message.participants:
             return []
-        people = _participants(message.participants, message.region_by_domain)
-        transfer.set_participants(people, now=now)
+        hosts = _participants(message.participants, message.region_by_domain)
+        transfer.set_participants(hosts, now=now)
         return self._plan(now=now)
 
     def on_drop(self, message, *, now):
-        """Stop a transfer; fetches on their way are not counted when they end."""
+        """Stop a transfer; results of its in-flight fetches are ignored."""
         transfer = self.by_digest.pop(message.digest, None)
         if transfer is not None:
             for source in transfer.in_flight_by_index.values():
@@ -176,36 +181,40 @@
         return self._plan(now=now)
 
     def on_announced(self, message, *, now):
-        """Take a peer's news."""
+        """Record the chunks a peer has announced and fetch those that are missing."""
         transfer = self.by_digest.get(message.digest)
         if transfer is None:
-            self._keep_early(message)
+            self._store_early_announcement(message)
             return []
         transfer.now = now
-        seen_before = transfer.seen
-        transfer.learn(message.node, message.indices, message.held, now=now)
+        chunks_seen_before = transfer.chunks_seen
+        transfer.record_holdings(message.node, message.indices, message.held, now=now)
         outcomes = []
-        if transfer.seen > seen_before and now < self._origin_avoid_deadline:
-            # Somebody has read a chunk that nobody had: the origin is back.
+        if (
+            transfer.chunks_seen > chunks_seen_before
+            and now < self._origin_avoid_deadline
+        ):
+            # A host holds a chunk that none held before, so the origin is reachable
+            # again.
             self._origin_avoid_deadline = now
             outcomes += self._plan_origin(transfer, now=now)
         peer = transfer.participants.get(message.node)
         if peer is not None and peer.known < peer.held and not transfer.complete:
-            outcomes += self._ask_one(transfer, message.node, now=now)
+            outcomes += self._query_peer(transfer, message.node, now=now)
         if transfer.complete:
             return outcomes
-        # Only the announced chunks have become available: looking through all
-        # missing ones at each of the many announcements would cost more
-        # processor time than the chunks themselves.
+        # Only the announced chunks have become available. Scanning all missing chunks
+        # on each of the many announcements would cost more processor time than the
+        # chunks themselves.
         return outcomes + self._plan_peers(transfer, message.indices, now=now)
 
     def on_chunk_verified(self, message, *, now):
-        """Take a chunk that arrived."""
+        """Mark a received chunk as held and plan further fetches."""
         transfer = self.by_digest.get(message.digest)
         if transfer is None:
             return []
         source = self._end_fetch(transfer, message.index)
-        transfer.take(message.index, now=now, brought=source is None)
+        transfer.mark_held(message.index, now=now, injected=source is None)
         if source in transfer.participants:
             transfer.participants[source].failures = 0
         if transfer.complete:
@@ -219,7 +228,7 @@
         return self._plan_peers(transfer, transfer.missing, now=now)
 
     def on_chunk_failed(self, message, *, now):
-        """Take a fetch that failed; another source is chosen at once."""
+        """Record a failed fetch and choose another source immediately."""
         count = self.failed_by_cause.get(message.cause, 0)
         self.failed_by_cause[message.cause] = count + 1
         transfer = self.by_digest.get(message.digest)
@@ -229,27 +238,27 @@
         if source is None:
             self._origin_avoid_deadline = now + self.origin_avoid_for
         else:
-            self._blame(transfer, source, message, now=now)
+            self._record_peer_failure(transfer, source, message, now=now)
         return self._plan(now=now)
 
     def on_tick(self, message, *, now):
-        """Announce what is due, look for stalled owners, ask if stuck."""
+        """Send due announcements, probe silent owners and query peers if idle."""
         outcomes = []
         for transfer in self.by_digest.values():
             transfer.now = now
-            if transfer.fresh and now >= transfer.announce_deadline:
+            if transfer.fresh and now >= transfer.next_announcement_at:
                 outcomes += self._announce(transfer, now=now)
         outcomes += self._plan(now=now)
         for transfer in self.by_digest.values():
             if transfer.complete:
                 continue
-            outcomes += self._probe(transfer, now=now)
+            outcomes += self._probe_owner(transfer, now=now)
             if not transfer.in_flight_by_index:
-                outcomes += self._ask(transfer, count=1, now=now)
+                outcomes += self._query_peers(transfer, count=1, now=now)
         return outcomes
 
     def on_peer_unreachable(self, message, *, now):
-        """Take that a peer could not even be asked."""
+        """Mark a peer as unreachable and avoid it for ``avoid_for`` seconds."""
         transfer = self.by_digest.get(message.digest)
         if transfer is None or message.node not in transfer.participants:
             return []
@@ -259,7 +268,7 @@
         return self._plan(now=now)
 
     def progress(self):
-        """Return per mille of each unfinished transfer.
+        """Return the progress of each incomplete transfer, in per mille.
 
         Returns
         -------
@@ -301,13 +310,13 @@
             "started_at": transfer.started_at,
             "completed_at": transfer.completed_at,
             "age": round(now - transfer.started_at, 3),
-            "news_age": round(now - transfer.news_at, 3),
+            "news_age": round(now - transfer.last_progress_at, 3),
         }
 
     def _plan(self, *, now):
-        """Fill free slots, most urgent and smallest transfers first."""
+        """Fill free slots, ordered by priority and then by size of the transfer."""
         outcomes = []
-        for transfer in sorted(self.by_digest.values(), key=_urgency):
+        for transfer in sorted(self.by_digest.values(), key=_transfer_sort_key):
             if transfer.complete:
                 continue
             transfer.now = now
@@ -317,10 +326,12 @@
 
     def _plan_peers(self, transfer, indices, *, now):
         if self._peer_fetches >= self.peer_slots:
-            # Usual at each of the many announcements while a transfer runs.
+            # The common case for most announcements during a transfer.
             return []
         outcomes = []
-        for index in itertools.chain(transfer.strategy.urgent(transfer), indices):
+        for index in itertools.chain(
+            transfer.strategy.priority_chunks(transfer), indices
+        ):
             if self._peer_fetches >= self.peer_slots:
                 break
             if index in transfer.in_flight_by_index or index in transfer.held:
@@ -377,7 +388,7 @@
         if peer is not None:
             peer.outstanding = max(0, peer.outstanding - 1)
 
-    def _blame(self, transfer, source, message, *, now):
+    def _record_peer_failure(self, transfer, source, message, *, now):
         peer = transfer.participants.get(source)
         if peer is None:
             return
@@ -385,24 +396,24 @@
             peer.avoid_deadline = now + self.avoid_for / 10
             return
         if message.cause == "missing":
-            transfer.unlearn(source, message.index)
+            transfer.remove_holding(source, message.index)
             return
         peer.avoid_deadline = now + self.avoid_for
         peer.failures += 1
         if message.cause == "unreachable":
             peer.unreachable = True
         if message.cause == "corrupt":
-            # A peer whose memory or link corrupts bytes would cost a whole
-            # fetch each time; every chunk is verified, so it does no harm else.
+            # Every chunk is verified, so a peer whose memory or link corrupts data
+            # does no harm beyond the cost of a wasted fetch each time.
             peer.corrupt += 1
             if peer.corrupt >= CORRUPT_LIMIT:
-                peer.avoid_deadline = now + SET_ASIDE
+                peer.avoid_deadline = now + CORRUPT_PEER_BACKOFF
 
     def _announce(self, transfer, *, now):
-        transfer.announce_deadline = now + self.announce_every
-        news = transfer.strategy.news(transfer)
+        transfer.next_announcement_at = now + self.announce_every
+        announcements = transfer.strategy.announcements(transfer)
         transfer.fresh = []
-        transfer.brought = set()
+        transfer.injected = set()
         return [
             AnnounceChunks(
                 digest=transfer.digest,
@@ -413,50 +424,50 @@
                         transfer.participants[name].address,
                         transfer.participants[name].port,
                     )
-                    for name in item.names
+                    for name in item.host_names
                 ),
             )
-            for item in news
-            if item.names
+            for item in announcements
+            if item.host_names
         ]
 
-    def _ask(self, transfer, *, count, now):
-        """Ask the peers that are known to hold more than was heard, or any."""
-        names = [
+    def _query_peers(self, transfer, *, count, now):
+        """Query some peers, rotating over those that are not avoided."""
+        host_names = [
             name
             for name, peer in transfer.participants.items()
             if name != self.node and now >= peer.avoid_deadline
         ]
-        if not names or now < transfer.ask_deadline:
+        if not host_names or now < transfer.next_query_at:
             return []
-        transfer.ask_deadline = now + ASK_EVERY
-        start = int(now / ASK_EVERY) + len(self.node)
-        chosen = [names[(start + step) % len(names)] for step in range(count)]
-        return [self._question(transfer, name) for name in dict.fromkeys(chosen)]
-
-    def _probe(self, transfer, *, now):
-        """Ask a silent owner whether it is there: it may be dead, not slow."""
-        name = transfer.silent_before_me(now=now)
+        transfer.next_query_at = now + QUERY_INTERVAL
+        start = int(now / QUERY_INTERVAL) + len(self.node)
+        chosen = [host_names[(start + step) % len(host_names)] for step in range(count)]
+        return [self._holdings_query(transfer, name) for name in dict.fromkeys(chosen)]
+
+    def _probe_owner(self, transfer, *, now):
+        """Query an owner without announcements, which may be dead and not just slow."""
+        name = transfer.owner_to_probe(now=now)
         if name is None:
             return []
         peer = transfer.participants[name]
-        peer.probe_deadline = now + self.stall_after
-        return [self._question(transfer, name)]
+        peer.next_probe_at = now + self.stall_after
+        return [self._holdings_query(transfer, name)]
 
-    def _ask_one(self, transfer, name, *, now):
-        if now < transfer.ask_deadline:
+    def _query_peer(self, transfer, name, *, now):
+        if now < transfer.next_query_at:
             return []
-        transfer.ask_deadline = now + ASK_EVERY
-        return [self._question(transfer, name)]
+        transfer.next_query_at = now + QUERY_INTERVAL
+        return [self._holdings_query(transfer, name)]
 
-    def _question(self, transfer, name):
+    def _holdings_query(self, transfer, name):
         peer = transfer.participants[name]
         return AskHoldings(
             digest=transfer.digest, node=name, address=peer.address, port=peer.port
         )
 
-    def _keep_early(self, message):
-        kept = self._early.setdefault(message.digest, {})
+    def _store_early_announcement(self, message):
+        kept = self._early_announcements.setdefault(message.digest, {})
         before = kept.get(message.node)
         indices = message.indices
         if before is not None:
@@ -467,11 +478,11 @@
             indices=indices,
             held=message.held,
         )
-        while len(self._early) > EARLY_KEPT:
-            self._early.pop(next(iter(self._early)))
+        while len(self._early_announcements) > MAX_EARLY_DIGESTS:
+            self._early_announcements.pop(next(iter(self._early_announcements)))
 
 
-def _urgency(transfer):
+def _transfer_sort_key(transfer):
     return transfer.priority, transfer.size, transfer.digest
 
 
--- a/hawthornspoke/swarm/_store.py
+++ b/hawthornspoke/swarm/_store.py
@@ -1,4 +1,4 @@
-"""Chunks held in memory: hosts have no disk."""
+"""In-memory chunk store; hosts have no disk."""
 
 import threading
 
@@ -8,7 +8,7 @@
 CORRUPT = Failure(code="corrupt_chunk")
 
 
-class _Held:
+class _HeldWeights:
     __slots__ = ("manifest", "chunk_by_index")
 
     def __init__(self, *, manifest):
@@ -17,18 +17,18 @@
 
 
 class ChunkStore:
-    """Verified chunks by digest, within a bound.
+    """Verified chunks by weights digest, bounded in size.
 
     Parameters
     ----------
     capacity : int
-        Bytes of weights held at most, counted when a transfer starts, so that a
-        host short of memory says so before it takes part and not half-way.
+        Maximum bytes of weights. The full size is reserved when a transfer starts,
+        so that a host short of memory fails before the transfer and not midway.
 
     Notes
     -----
-    Written by the control actor, read by the tasks that serve chunks to peers;
-    a lock covers the short dictionary work.
+    Written by the control actor and read by the tasks that serve chunks to peers;
+    a lock protects the dictionary operations.
     """
 
     __slots__ = ("capacity", "_held_by_digest", "_lock")
@@ -39,7 +39,7 @@
         self._lock = threading.Lock()
 
     def reserve(self, manifest):
-        """Make room for some weights.
+        """Reserve space for some weights.
 
         Parameters
         ----------
@@ -56,11 +56,11 @@
             if manifest.size > free:
                 reason = f"{manifest.size} bytes wanted, {free} free"
                 return NO_MEMORY.because(reason)
-            self._held_by_digest[manifest.digest] = _Held(manifest=manifest)
+            self._held_by_digest[manifest.digest] = _HeldWeights(manifest=manifest)
         return None
 
     def add(self, digest, index, data):
-        """Keep a chunk if its bytes are the right ones.
+        """Store a chunk if its digest matches the manifest.
 
         Parameters
         ----------
@@ -71,19 +71,20 @@
         Returns
         -------
         None or Failure
-            ``CORRUPT`` if the bytes have another digest than the manifest says.
+            ``CORRUPT`` if the digest of the bytes differs from the manifest, or if
+            the chunk does not belong to reserved weights.
         """
         held = self._held_by_digest.get(digest)
         if held is None or not 0 <= index < len(held.manifest.chunks):
-            return CORRUPT.because(f"chunk {index} of {digest[:12]} is not wanted")
+            return CORRUPT.because(f"unexpected chunk {index} of {digest[:12]}")
         if digest_of(data) != held.manifest.chunks[index]:
-            return CORRUPT.because(f"chunk {index} of {digest[:12]}")
+            return CORRUPT.because(f"digest mismatch in chunk {index} of {digest[:12]}")
         with self._lock:
             held.chunk_by_index[index] = data
         return None
 
     def get(self, digest, index):
-        """Return a held chunk.
+        """Return a stored chunk, or None if it is not held.
 
         Parameters
         ----------
@@ -98,7 +99,7 @@
         return None if held is None else held.chunk_by_index.get(index)
 
     def indices(self, digest):
-        """Return which chunks are held.
+        """Return the indices of the chunks held, in ascending order.
 
         Parameters
         ----------
@@ -115,7 +116,7 @@
             return sorted(held.chunk_by_index)
 
     def manifest(self, digest):
-        """Return the manifest of some weights that are held or wanted.
+        """Return the manifest of weights that are held or reserved.
 
         Parameters
         ----------
@@ -129,7 +130,7 @@
         return None if held is None else held.manifest
 
     def is_complete(self, digest):
-        """Tell whether every chunk is held.
+        """Return whether every chunk is held.
 
         Parameters
         ----------
@@ -145,7 +146,7 @@
         return len(held.chunk_by_index) == len(held.manifest.chunks)
 
     def drop(self, digest):
-        """Forget some weights.
+        """Remove some weights and free their space.
 
         Parameters
         ----------
@@ -155,7 +156,7 @@
             self._held_by_digest.pop(digest, None)
 
     def digests(self):
-        """Return the digests held or wanted, oldest first.
+        """Return the digests held or reserved, oldest first.
 
         Returns
         -------
--- a/hawthornspoke/swarm/_strategies.py
+++ b/hawthornspoke/swarm/_strategies.py
@@ -1,8 +1,8 @@
-"""Strategies for spreading weights, by name.
+"""Distribution strategies for weights, by name.
 
-Each answers three questions about a missing chunk: may this host read it from the
-origin now, from which peers may it be had, and whose silence matters for it; how many
-hosts read from the origin; and who is told of chunks that have come.
+For each missing chunk a strategy decides whether this host may read it from the origin
+now, from which peers it may be fetched, and which owners come before this host. It also
+determines how many hosts read from the origin and which peers receive announcements.
 """
 
 from dataclasses import dataclass
@@ -11,79 +11,79 @@
 
 STRATEGIES = Registry(kind="burst strategy")
 
-#: Hosts in rendezvous order that are remembered for each chunk. The next one
-#: takes over when an owner stalls, and more than this many at once means that
-#: the origin itself is out of reach.
-OWNERS_KEPT = 8
+#: Hosts in rendezvous order that are kept as owners of each chunk. The next one takes
+#: over when an owner stalls; if more than this many stall at once, the origin itself
+#: is unreachable.
+OWNERS_PER_CHUNK = 8
 
-#: Hosts in that order that look after the one before them.
-PROBED_OWNERS = 2
+#: Leading owners of a chunk that probe the owners before them.
+PROBING_OWNERS = 2
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class ChunkNews:
-    """Chunks that have come, and who is told of them.
+class ChunkAnnouncement:
+    """Newly held chunks and the hosts to announce them to.
 
     Parameters
     ----------
     indices : tuple of int
-    names : tuple of str
-        Hosts.
+    host_names : tuple of str
     held : int
-        How many this host holds in all; 0 if these hosts aren't told of all.
+        Total number of chunks this host holds; 0 if it does not announce all its
+        chunks to these hosts.
     """
 
     indices: tuple
-    names: tuple
+    host_names: tuple
     held: int
 
 
-class _TellsAll:
-    """Tells every host that lacks chunks of every new one, and treats all alike."""
+class _BroadcastAnnouncements:
+    """Announces every new chunk to all incomplete peers, without priority chunks."""
 
     __slots__ = ()
 
-    def urgent(self, transfer):
-        """Return the chunks that others wait for this host to read."""
+    def priority_chunks(self, transfer):
+        """Return the chunks to fetch first because other hosts wait for them."""
         return ()
 
-    def news(self, transfer):
-        """Return who is told of the chunks that have come, as ChunkNews."""
+    def announcements(self, transfer):
+        """Return the announcements of newly held chunks, as ChunkAnnouncement."""
         return [
-            ChunkNews(
+            ChunkAnnouncement(
                 indices=tuple(transfer.fresh),
-                names=tuple(transfer.uninformed()),
+                host_names=tuple(transfer.incomplete_peers()),
                 held=len(transfer.held),
             )
         ]
 
 
 @STRATEGIES.register("origin")
-class OriginOnly(_TellsAll):
-    """Every host reads everything from the origin: the baseline."""
+class OriginOnly(_BroadcastAnnouncements):
+    """Every host reads all chunks from the origin; used as a baseline."""
 
     __slots__ = ()
 
     def may_read_origin(self, transfer, index, *, now):
-        """Tell whether this host may read a chunk from the origin."""
+        """Return whether this host may read a chunk from the origin now."""
         return True
 
     def holders(self, transfer, index):
-        """Return the peers from which a chunk may be had."""
+        """Return the peers from which a chunk may be fetched."""
         return ()
 
     def owners_before(self, transfer, index):
-        """Return the hosts whose silence makes a chunk this host's to read."""
+        """Return the owners that this host takes over from if they are silent."""
         return ()
 
-    def count_readers(self, transfer):
-        """Return how many hosts may wait for the origin at once."""
+    def count_origin_readers(self, transfer):
+        """Return the maximum number of hosts that read from the origin."""
         return len(transfer.participants)
 
 
 @STRATEGIES.register("chain")
-class Chain(_TellsAll):
-    """Each host reads from the one before it, the first from the origin."""
+class Chain(_BroadcastAnnouncements):
+    """Each host fetches from its predecessor, and the first one from the origin."""
 
     __slots__ = ("_order",)
 
@@ -91,22 +91,22 @@
         self._order = None
 
     def may_read_origin(self, transfer, index, *, now):
-        """Tell whether this host may read a chunk from the origin."""
+        """Return whether this host may read a chunk from the origin now."""
         return self._predecessor(transfer) is None
 
     def holders(self, transfer, index):
-        """Return the peers from which a chunk may be had."""
+        """Return the peers from which a chunk may be fetched."""
         predecessor = self._predecessor(transfer)
         if predecessor in transfer.holders_by_index[index]:
             return (predecessor,)
         return ()
 
     def owners_before(self, transfer, index):
-        """Return the hosts whose silence makes a chunk this host's to read."""
+        """Return the owners that this host takes over from if they are silent."""
         return ()
 
-    def count_readers(self, transfer):
-        """Return how many hosts may wait for the origin at once."""
+    def count_origin_readers(self, transfer):
+        """Return the maximum number of hosts that read from the origin."""
         return len(transfer.participants)
 
     def _predecessor(self, transfer):
@@ -114,24 +114,24 @@
             transfer.participants,
             key=lambda node: (transfer.participants[node].failure_domain, node),
         )
-        place = order.index(transfer.node)
-        for node in reversed(order[:place]):
+        own_position = order.index(transfer.node)
+        for node in reversed(order[:own_position]):
             if not transfer.is_stalled(node):
                 return node
         return None
 
 
 @STRATEGIES.register("scatter")
-class Scatter(_TellsAll):
-    """Each chunk has one owner that reads it from the origin; all exchange.
+class Scatter(_BroadcastAnnouncements):
+    """One owner reads each chunk from the origin, and all hosts exchange chunks.
 
     Notes
     -----
-    The owner is the first of the chunk's rendezvous order among the hosts of a
-    group. The number of groups is the number of copies that the origin is to
-    send: one for the fleet, one for each region or failure domain. When an
-    owner brings no news for a while, the next in order is the owner, so that a
-    dead owner's chunks are read by one other host and not by all.
+    The owner is the first host of a group in the rendezvous order of the chunk. The
+    number of groups is the number of copies that the origin sends: one for the fleet,
+    or one for each region or failure domain. When an owner has announced nothing for
+    the stall timeout, the next host in order becomes the owner, so that the chunks of
+    a dead owner are read by one other host and not by all.
     """
 
     __slots__ = ("_owners_by_index", "_group")
@@ -141,7 +141,7 @@
         self._group = None
 
     def may_read_origin(self, transfer, index, *, now):
-        """Tell whether this host may read a chunk from the origin."""
+        """Return whether this host may read a chunk from the origin now."""
         holders = transfer.holders_by_index[index]
         if not all(transfer.is_lost(node) for node in holders):
             return False
@@ -153,18 +153,18 @@
         return False
 
     def holders(self, transfer, index):
-        """Return the peers from which a chunk may be had."""
+        """Return the peers from which a chunk may be fetched."""
         return transfer.holders_by_index[index]
 
     def owners_before(self, transfer, index):
-        """Return the hosts whose silence makes a chunk this host's to read."""
-        owners = self._owners(transfer, index)[:PROBED_OWNERS]
+        """Return the owners that this host takes over from if they are silent."""
+        owners = self._owners(transfer, index)[:PROBING_OWNERS]
         if transfer.node not in owners:
             return ()
         return owners[: owners.index(transfer.node)]
 
-    def count_readers(self, transfer):
-        """Return how many hosts may wait for the origin at once."""
+    def count_origin_readers(self, transfer):
+        """Return the maximum number of hosts that read from the origin."""
         return len(transfer.participants)
 
     def _owners(self, transfer, index):
@@ -175,155 +175,171 @@
         if owners is None:
             key = f"{transfer.digest}/{index}"
             order = rendezvous_order(key=key, nodes=self._group)
-            owners = self._owners_by_index[index] = order[:OWNERS_KEPT]
+            owners = self._owners_by_index[index] = order[:OWNERS_PER_CHUNK]
         return owners
 
 
 @STRATEGIES.register("regional")
 class Regional(Scatter):
-    """Scatter in which each chunk crosses into a region once.
+    """Scatter strategy in which each chunk is transferred into a region once.
 
     Notes
     -----
-    With plain scatter every host that lacks a chunk may read it from another
-    region before a host of its own has it: links between regions are narrow and
-    carry live traffic. Here one host of each region, the first of the chunk's
-    rendezvous order there, reads it from afar; the others wait for that host, but
-    not for long, since it may be dead or cut off.
-
-    Each host tells its own region of each chunk. Others hear only of those that it
-    brought from the origin: the hosts that read from there too, and those that read
-    the chunk for their region. Where all told all, news grew with the square of the
-    hosts, so that it had to be gathered for 0.8 s at 133 of them; by then the others
-    of a region had given up waiting for their reader.
+    Links between regions are narrow and carry live traffic, but with plain scatter
+    every host that lacks a chunk may fetch it from another region before a host of its
+    own region has it. Here one host of each region, the first in the region's
+    rendezvous order for the chunk (the region reader), fetches it from another region.
+    The other hosts wait for the region reader for a limited time, since it may be dead
+    or partitioned.
+
+    Each host announces every chunk within its own region. Hosts of other regions only
+    receive announcements of chunks that the sender read from the origin; these go to
+    the other origin readers and to the region readers of the chunk. When every host
+    announced to all others, the traffic grew with the square of the number of hosts, so
+    that announcements had to be batched over 0.8 s at 133 hosts; by then the other
+    hosts of a region had given up waiting for their region reader.
     """
 
     __slots__ = (
-        "_far_deadline_by_index",
-        "_order_by_index",
-        "_readers_of_origin",
+        "_cross_region_deadline_by_index",
+        "_owner_order_by_index",
+        "_origin_readers",
         "_nodes_by_region",
-        "_far_order_by_key",
-        "_read_for_region",
+        "_region_readers_by_key",
+        "_region_reader_chunks",
     )
 
-    #: Seconds for which a chunk that only other regions hold is left to the host
-    #: that reads it for this region: a queue of a dozen chunks at a link of 450 KB/s,
-    #: and the way of the news. With 0.8 a chunk crossed into a region 1.27 times, with
-    #: 1.2 1.16 times (60 hosts, as played in the tests).
-    FAR_PATIENCE = 1.2
-
-    #: Hosts that read from the origin. It may accept no more than 48 connections,
-    #: and resets those beyond: with 53 readers a version took 15 s, since some of
-    #: them never got their pieces. Its link carries a piece in 45 ms; with 24
-    #: readers the first ones all came after 1.1 s, when the next owners thought
-    #: these had stalled and read the same, 1.7 copies in all. With 12 they come
-    #: after half a second, and there are enough for the loss of a region.
+    #: Seconds for which a chunk that only other regions hold is left to the region
+    #: reader. Covers a queue of a dozen chunks at a link of 450 KB/s plus the delay of
+    #: the announcement. With 0.8 s a chunk was transferred into a region 1.27 times on
+    #: average, with 1.2 s 1.16 times (simulation with 60 hosts in the tests).
+    CROSS_REGION_DELAY = 1.2
+
+    #: Number of hosts that read from the origin. The origin may accept no more than 48
+    #: connections and resets the others: with 53 readers a version took 15 s, since
+    #: some of them never got their chunks. Its link carries a chunk in 45 ms. With 24
+    #: readers the first chunks all arrived after 1.1 s, when the next owners had taken
+    #: the owners for stalled and read the same chunks, 1.7 copies in total. With 12
+    #: readers they arrive after 0.5 s, and enough remain after the loss of a region.
     ORIGIN_READERS = 12
 
-    #: Hosts of each other region that are told of a chunk: the one that reads it
-    #: there, and the one that does if that one doesn't.
-    TOLD_AFAR = 2
+    #: Hosts of each other region that receive the announcement of a chunk: its region
+    #: reader and the backup of that reader.
+    REMOTE_RECIPIENTS = 2
 
     def __init__(self):
         super().__init__()
-        self._far_deadline_by_index = {}
-        self._order_by_index = []
-        self._readers_of_origin = ()
+        self._cross_region_deadline_by_index = {}
+        self._owner_order_by_index = []
+        self._origin_readers = ()
         self._nodes_by_region = {}
-        self._far_order_by_key = {}
-        self._read_for_region = None
+        self._region_readers_by_key = {}
+        self._region_reader_chunks = None
 
     def holders(self, transfer, index):
-        """Return the peers from which a chunk may be had."""
+        """Return the peers from which a chunk may be fetched."""
         holders = transfer.holders_by_index[index]
         region = transfer.participants[transfer.node].region
-        near = [
+        local_nodes = [
             node
             for node in holders
             if node in transfer.participants
             and transfer.participants[node].region == region
             and not transfer.is_lost(node)
         ]
-        if near or not holders:
-            return near
-        deadline = self._far_deadline_by_index.setdefault(
-            index, transfer.now + self.FAR_PATIENCE
+        if local_nodes or not holders:
+            return local_nodes
+        deadline = self._cross_region_deadline_by_index.setdefault(
+            index, transfer.now + self.CROSS_REGION_DELAY
         )
-        if transfer.now >= deadline or self._reads_for_region(transfer, index, region):
+        if transfer.now >= deadline or self._is_region_reader(transfer, index, region):
             return holders
         return ()
 
-    def count_readers(self, transfer):
-        """Return how many hosts may wait for the origin at once."""
-        self._choose_readers(transfer)
-        return len(self._readers_of_origin)
+    def count_origin_readers(self, transfer):
+        """Return the maximum number of hosts that read from the origin."""
+        self._refresh_readers(transfer)
+        return len(self._origin_readers)
 
-    def news(self, transfer):
-        """Return who is told of the chunks that have come, as ChunkNews."""
-        self._choose_readers(transfer)
-        uninformed = transfer.uninformed()
+    def announcements(self, transfer):
+        """Return the announcements of newly held chunks, as ChunkAnnouncement."""
+        self._refresh_readers(transfer)
+        incomplete_peers = transfer.incomplete_peers()
         region = transfer.participants[transfer.node].region
-        near = [
-            name for name in uninformed if transfer.participants[name].region == region
+        local_nodes = [
+            name
+            for name in incomplete_peers
+            if transfer.participants[name].region == region
         ]
-        whole = ChunkNews(
-            indices=tuple(transfer.fresh), names=tuple(near), held=len(transfer.held)
+        local = ChunkAnnouncement(
+            indices=tuple(transfer.fresh),
+            host_names=tuple(local_nodes),
+            held=len(transfer.held),
+        )
+        # Origin readers take over from each other, and detect stalled ones by their
+        # announcements.
+        remote_origin_readers = set(self._origin_readers).difference(
+            local_nodes, (transfer.node,)
         )
-        # They take over from each other, and judge by each other's news.
-        told = set(self._readers_of_origin).difference(near, (transfer.node,))
-        afar = [
-            ChunkNews(
+        remote = [
+            ChunkAnnouncement(
                 indices=(index,),
-                names=tuple(told.union(self._told_afar(transfer, index, region))),
+                host_names=tuple(
+                    remote_origin_readers.union(
+                        self._remote_recipients(transfer, index, region)
+                    )
+                ),
                 held=0,
             )
-            for index in sorted(transfer.brought)
+            for index in sorted(transfer.injected)
         ]
-        return [whole, *afar]
+        return [local, *remote]
 
-    def urgent(self, transfer):
-        """Return the chunks that others wait for this host to read.
+    def priority_chunks(self, transfer):
+        """Return the chunks for which this host is the region reader.
 
-        Behind others of its own region they were so late that a third of them crossed
-        into a region twice.
+        When these were fetched in the same order as chunks of the own region, they
+        arrived so late that a third of them was transferred into a region twice.
         """
-        self._choose_readers(transfer)
-        if self._read_for_region is None:
+        self._refresh_readers(transfer)
+        if self._region_reader_chunks is None:
             region = transfer.participants[transfer.node].region
-            self._read_for_region = tuple(
+            self._region_reader_chunks = tuple(
                 index
                 for index in range(transfer.chunks)
-                if self._far_order(transfer, index, region)[:1] == [transfer.node]
+                if self._region_readers(transfer, index, region)[:1] == [transfer.node]
             )
         return [
             index
-            for index in self._read_for_region
+            for index in self._region_reader_chunks
             if index not in transfer.held and transfer.holders_by_index[index]
         ]
 
-    def _told_afar(self, transfer, index, own_region):
+    def _remote_recipients(self, transfer, index, own_region):
         return [
             name
             for region in self._nodes_by_region
             if region != own_region
-            for name in self._far_order(transfer, index, region)[: self.TOLD_AFAR]
+            for name in self._region_readers(transfer, index, region)[
+                : self.REMOTE_RECIPIENTS
+            ]
         ]
 
-    def _reads_for_region(self, transfer, index, region):
-        self._choose_readers(transfer)
-        return self._far_order(transfer, index, region)[:1] == [transfer.node]
+    def _is_region_reader(self, transfer, index, region):
+        self._refresh_readers(transfer)
+        return self._region_readers(transfer, index, region)[:1] == [transfer.node]
 
-    def _far_order(self, transfer, index, region):
-        """Return the hosts that read a chunk for their region, the first one first."""
-        order = self._far_order_by_key.get((region, index))
+    def _region_readers(self, transfer, index, region):
+        """Return the reachable hosts of a region in region reader order of a chunk."""
+        order = self._region_readers_by_key.get((region, index))
         if order is None:
             order = rendezvous_order(
                 key=f"{transfer.digest}/{index}/far",
                 nodes=self._nodes_by_region.get(region, ()),
-            )[:OWNERS_KEPT]
-            self._far_order_by_key[region, index] = order
-        # The order is kept while the own group stays; others may leave meanwhile.
+            )[:OWNERS_PER_CHUNK]
+            self._region_readers_by_key[region, index] = order
+        # The order is cached while this host's group is unchanged; hosts of other
+        # groups may have left in the meantime.
         return [
             node
             for node in order
@@ -332,46 +348,52 @@
         ]
 
     def _owners(self, transfer, index):
-        self._choose_readers(transfer)
-        return self._order_by_index[index]
+        self._refresh_readers(transfer)
+        return self._owner_order_by_index[index]
 
-    def _choose_readers(self, transfer):
-        """Choose the readers again if the hosts that take part have changed."""
+    def _refresh_readers(self, transfer):
+        """Select the readers again if the hosts of this group have changed."""
         if self._group == transfer.group_nodes():
             return
         self._group = transfer.group_nodes()
-        self._readers_of_origin = self._readers(transfer, self._group)
-        self._order_by_index = _even_orders(transfer, self._readers_of_origin)
-        self._far_order_by_key = {}
-        self._read_for_region = None
+        self._origin_readers = self._select_origin_readers(transfer, self._group)
+        self._owner_order_by_index = _balanced_owner_orders(
+            transfer, self._origin_readers
+        )
+        self._region_readers_by_key = {}
+        self._region_reader_chunks = None
         self._nodes_by_region = {}
         for name, peer in transfer.participants.items():
             self._nodes_by_region.setdefault(peer.region, []).append(name)
 
-    def _readers(self, transfer, nodes):
-        """Return the hosts that read from the origin, evenly over the regions."""
+    def _select_origin_readers(self, transfer, nodes):
+        """Return the origin readers, distributed evenly over the regions."""
         nodes_by_region = {}
         for node in rendezvous_order(key=f"{transfer.digest}/origin", nodes=nodes):
             region = transfer.participants[node].region
             nodes_by_region.setdefault(region, []).append(node)
-        share = -(-self.ORIGIN_READERS // max(1, len(nodes_by_region)))
-        chosen = [node for names in nodes_by_region.values() for node in names[:share]]
+        readers_per_region = -(-self.ORIGIN_READERS // max(1, len(nodes_by_region)))
+        chosen = [
+            node
+            for host_names in nodes_by_region.values()
+            for node in host_names[:readers_per_region]
+        ]
         return sorted(chosen)
 
 
-def _even_orders(transfer, nodes):
-    """Return the owners of each chunk, with as many first places for each host.
+def _balanced_owner_orders(transfer, nodes):
+    """Return the owner order of each chunk, with first places balanced over hosts.
 
-    Hashing alone gives some hosts twice the mean number of chunks. These read them
-    from the origin one after the other, and the whole transfer waits for the last.
+    Hashing alone assigns some hosts twice the mean number of chunks. They read these
+    from the origin sequentially, and the whole transfer waits for the last one.
     """
-    most = -(-transfer.chunks // max(1, len(nodes)))
+    limit = -(-transfer.chunks // max(1, len(nodes)))
     count_by_node = dict.fromkeys(nodes, 0)
     orders = []
     for index in range(transfer.chunks):
         order = rendezvous_order(key=f"{transfer.digest}/{index}", nodes=nodes)
-        first = next(node for node in order if count_by_node[node] < most)
+        first = next(node for node in order if count_by_node[node] < limit)
         count_by_node[first] += 1
         order.remove(first)
-        orders.append([first, *order][:OWNERS_KEPT])
+        orders.append([first, *order][:OWNERS_PER_CHUNK])
     return orders
--- a/hawthornspoke/swarm/_transfer.py
+++ b/hawthornspoke/swarm/_transfer.py
@@ -1,4 +1,4 @@
-"""State of one digest's transfer on one host."""
+"""State of the transfer of one digest on one host."""
 
 import random
 
@@ -6,18 +6,20 @@
 
 from hawthornspoke.swarm._strategies import STRATEGIES
 
-#: Fetches at one peer at a time: two keep its link busy while one is verified.
-PER_PEER = 2
+#: Maximum concurrent fetches from one peer. Two keep its link busy while a chunk is
+#: being verified.
+MAX_FETCHES_PER_PEER = 2
 
-#: Times the mean interval of an owner's news that it may be silent.
-PATIENCE = 3.0
+#: Multiple of the mean time between announcements of an owner after which an owner
+#: without announcements counts as stalled.
+STALL_FACTOR = 3.0
 
-#: Fetches in a row that fail at a host before it counts as lost.
-LOST_AFTER = 2
+#: Consecutive failed fetches after which a host counts as lost.
+LOST_AFTER_FAILURES = 2
 
 
 class Participant:
-    """One host that has to load the weights.
+    """One host that loads the weights.
 
     Parameters
     ----------
@@ -25,6 +27,21 @@
     region : str
     address : str
     port : int
+
+    Attributes
+    ----------
+    held : int
+        Chunks the host holds, by its own announcements.
+    known : int
+        Chunks of the host of which this host knows the indices.
+    last_heard_at : float
+        When the host last announced something new.
+    outstanding : int
+        Fetches from the host in flight.
+    failures : int
+        Consecutive failed fetches from the host.
+    corrupt : int
+        Corrupt chunks received from the host.
     """
 
     __slots__ = (
@@ -34,10 +51,10 @@
         "port",
         "held",
         "known",
-        "heard_at",
+        "last_heard_at",
         "unreachable",
         "failures",
-        "probe_deadline",
+        "next_probe_at",
         "avoid_deadline",
         "outstanding",
         "corrupt",
@@ -50,17 +67,17 @@
         self.port = port
         self.held = 0
         self.known = 0
-        self.heard_at = 0.0
+        self.last_heard_at = 0.0
         self.unreachable = False
         self.failures = 0
-        self.probe_deadline = 0.0
+        self.next_probe_at = 0.0
         self.avoid_deadline = 0.0
         self.outstanding = 0
         self.corrupt = 0
 
 
 class Transfer:
-    """Which chunks are here, where the others are, what is on its way.
+    """Chunks held by this host, holders of the others, and fetches in flight.
 
     Parameters
     ----------
@@ -70,7 +87,7 @@
     chunks : int
     size : int
     priority : int
-        0 goes first.
+        0 is the highest.
     strategy : str
     origin_copies : int
     origin_scope : str
@@ -94,14 +111,14 @@
         "holders_by_index",
         "in_flight_by_index",
         "missing",
-        "seen",
+        "chunks_seen",
         "fresh",
-        "brought",
-        "announce_deadline",
-        "ask_deadline",
+        "injected",
+        "next_announcement_at",
+        "next_query_at",
         "started_at",
         "completed_at",
-        "news_at",
+        "last_progress_at",
         "now",
         "complete",
         "_group_nodes",
@@ -137,20 +154,20 @@
         self.in_flight_by_index = {}
         self.missing = list(range(chunks))
         random.Random(f"{seed}/{node}/{digest}").shuffle(self.missing)
-        self.seen = 0
+        self.chunks_seen = 0
         self.fresh = []
-        self.brought = set()
-        self.announce_deadline = now
-        self.ask_deadline = now
+        self.injected = set()
+        self.next_announcement_at = now
+        self.next_query_at = now
         self.started_at = now
         self.completed_at = None
-        self.news_at = now
+        self.last_progress_at = now
         self.now = now
         self.complete = False
         self._group_nodes = ()
 
     def set_participants(self, participants, *, now):
-        """Take who has to load the weights, keeping what is known of each.
+        """Replace the participating hosts, keeping the state of those that remain.
 
         Parameters
         ----------
@@ -160,14 +177,14 @@
         for name, participant in participants.items():
             known = self.participants.get(name)
             if known is None:
-                participant.heard_at = now
-                participant.probe_deadline = now + self.stall_after
+                participant.last_heard_at = now
+                participant.next_probe_at = now + self.stall_after
                 continue
             known.address = participant.address
             known.port = participant.port
             participants[name] = known
         self.participants = participants
-        self._group_nodes = self._find_group()
+        self._group_nodes = self._compute_group()
 
     def group_nodes(self):
         """Return the hosts among which chunk owners are chosen.
@@ -179,7 +196,7 @@
         return self._group_nodes
 
     def is_stalled(self, node):
-        """Tell whether a host has brought no news for too long.
+        """Return whether a host has announced nothing new for the stall timeout.
 
         Parameters
         ----------
@@ -192,10 +209,10 @@
         participant = self.participants.get(node)
         if participant is None or participant.unreachable:
             return True
-        return self.now >= participant.heard_at + self.patience()
+        return self.now >= participant.last_heard_at + self.stall_timeout()
 
     def is_lost(self, node):
-        """Tell whether a host can't be asked for what it is known to hold.
+        """Return whether the chunks of a host can't be fetched from it.
 
         Parameters
         ----------
@@ -204,43 +221,42 @@
         Returns
         -------
         bool
-            A chunk whose holders are all lost is read from the origin again:
-            a host may die between its announcement and the first fetch.
+            A chunk whose holders are all lost is fetched from the origin again,
+            since a host may fail between its announcement and the first fetch.
         """
         participant = self.participants.get(node)
         if participant is None or participant.unreachable:
             return True
-        return participant.failures >= LOST_AFTER
+        return participant.failures >= LOST_AFTER_FAILURES
 
-    def patience(self):
-        """Return the seconds without news after which an owner is replaced.
+    def stall_timeout(self):
+        """Return the seconds without an announcement after which an owner is replaced.
 
         Returns
         -------
         float
-            At least ``stall_after``, and a few times what an owner needs for
-            one chunk at the rate at which new chunks appear anywhere: on a
-            narrow origin link the owners queue, and one that waits its turn is
-            not to be replaced, since its chunk would be read twice. Only those
-            that read from the origin queue there. Reckoned with all of 51 hosts
-            where 12 read, it was more than the time that had passed, whatever of
-            96 chunks was seen, and 5 owners that the origin refused kept their
-            chunks for good.
+            At least ``stall_after``, and ``STALL_FACTOR`` times the time an owner
+            needs per chunk at the observed rate of new chunks. Owners queue at a slow
+            origin link, and replacing a queued one would fetch its chunk twice. Only
+            hosts that read from the origin are counted: with all of 51 hosts counted
+            where 12 read, the timeout exceeded the elapsed time however many of 96
+            chunks had been seen, and 5 owners that the origin refused were never
+            replaced.
         """
         elapsed = max(self.now - self.started_at, 0.001)
-        per_chunk = elapsed / max(1, self.seen)
-        readers = self.strategy.count_readers(self)
-        return max(self.stall_after, PATIENCE * per_chunk * readers)
+        per_chunk = elapsed / max(1, self.chunks_seen)
+        readers = self.strategy.count_origin_readers(self)
+        return max(self.stall_after, STALL_FACTOR * per_chunk * readers)
 
-    def learn(self, node, indices, held, *, now):
-        """Take news of chunks that a peer holds.
+    def record_holdings(self, node, indices, held, *, now):
+        """Record chunks that a peer has announced.
 
         Parameters
         ----------
         node : str
         indices : iterable of int
         held : int
-            The peer's total.
+            Total number of chunks the peer holds.
         now : float
         """
         participant = self.participants.get(node)
@@ -253,19 +269,19 @@
             holders = self.holders_by_index[index]
             if node not in holders:
                 if not holders and index not in self.held:
-                    self.seen += 1
+                    self.chunks_seen += 1
                 holders.append(node)
                 participant.known += 1
                 fresh = True
         participant.unreachable = False
         participant.failures = 0
         if held > participant.held or fresh:
-            participant.heard_at = now
-            self.news_at = now
+            participant.last_heard_at = now
+            self.last_progress_at = now
         participant.held = max(held, participant.held)
 
-    def unlearn(self, node, index):
-        """Drop a chunk that a peer turned out not to hold.
+    def remove_holding(self, node, index):
+        """Remove a peer from the holders of a chunk that it turned out to lack.
 
         Parameters
         ----------
@@ -277,48 +293,50 @@
             holders.remove(node)
             peer = self.participants[node]
             peer.known -= 1
-            # A host that has restarted holds none of what it had announced. While
-            # it counted as complete, nothing that came since was announced to it.
+            # A restarted host holds none of the chunks it had announced. While it
+            # counts as complete, no new chunks are announced to it.
             peer.held = min(peer.held, self.chunks - 1)
 
-    def take(self, index, *, now, brought):
-        """Count a chunk as held.
+    def mark_held(self, index, *, now, injected):
+        """Mark a chunk as held by this host.
 
         Parameters
         ----------
         index : int
         now : float
         brought : bool
-            Whether it comes from no peer, so that perhaps nobody else holds it.
+            Whether the chunk did not come from a peer, so that possibly no other host
+            holds it.
         """
         if index in self.held:
             return
         if not self.holders_by_index[index]:
-            self.seen += 1
+            self.chunks_seen += 1
         self.held.add(index)
         self.missing.remove(index)
         self.fresh.append(index)
-        if brought:
-            self.brought.add(index)
-        self.news_at = now
+        if injected:
+            self.injected.add(index)
+        self.last_progress_at = now
         self.complete = len(self.held) == self.chunks
         if self.complete:
             self.completed_at = now
 
-    def holder_for(self, index, *, now, limit=PER_PEER):
-        """Choose a peer for a chunk.
+    def holder_for(self, index, *, now, limit=MAX_FETCHES_PER_PEER):
+        """Choose the peer from which to fetch a chunk.
 
         Parameters
         ----------
         index : int
         now : float
         limit : int, default=2
-            Fetches at one peer at a time.
+            Maximum concurrent fetches from one peer.
 
         Returns
         -------
         str or None
-            The least used peer, one of the own failure domain among equals.
+            The peer with the fewest fetches in flight; ties prefer this host's own
+            failure domain. None if no peer is eligible.
         """
         own = self.participants[self.node].failure_domain
         best, best_rank = None, None
@@ -336,8 +354,8 @@
                 best, best_rank = node, rank
         return best
 
-    def silent_before_me(self, *, now):
-        """Return an owner whose chunks this host would have to take over.
+    def owner_to_probe(self, *, now):
+        """Return an owner whose chunks this host would take over if it were dead.
 
         Parameters
         ----------
@@ -346,19 +364,19 @@
         Returns
         -------
         str or None
-            One that has told nothing so far and is due to be asked.
+            An owner that has announced nothing so far and is due for a probe.
         """
         for index in self.missing:
             if self.holders_by_index[index] or index in self.in_flight_by_index:
                 continue
             for name in self.strategy.owners_before(self, index):
                 peer = self.participants[name]
-                if peer.known == 0 and now >= peer.probe_deadline:
+                if peer.known == 0 and now >= peer.next_probe_at:
                     return name
         return None
 
-    def uninformed(self):
-        """Return the peers that still lack chunks.
+    def incomplete_peers(self):
+        """Return the peers that lack chunks, by their own announcements.
 
         Returns
         -------
@@ -370,30 +388,32 @@
             if name != self.node and peer.held < self.chunks
         ]
 
-    def _find_group(self):
+    def _compute_group(self):
         own = self.participants[self.node]
         if self.origin_scope == "region":
-            names = self._where(lambda peer: peer.region == own.region)
+            names = self._select_names(lambda peer: peer.region == own.region)
         elif self.origin_scope == "failure_domain":
-            names = self._where(lambda peer: peer.failure_domain == own.failure_domain)
+            names = self._select_names(
+                lambda peer: peer.failure_domain == own.failure_domain
+            )
         else:
             names = list(self.participants)
-        return tuple(sorted(self._split(names)))
+        return tuple(sorted(self._split_by_origin_copy(names)))
 
-    def _where(self, accepts):
+    def _select_names(self, accepts):
         return [name for name, peer in self.participants.items() if accepts(peer)]
 
-    def _split(self, names):
+    def _split_by_origin_copy(self, names):
         if self.origin_copies <= 1:
             return names
         copies = min(self.origin_copies, len(names))
-        ordered = sorted(names, key=self._domain_first)
-        place = ordered.index(self.node) * copies // len(ordered)
+        ordered = sorted(names, key=self._domain_sort_key)
+        own_copy = ordered.index(self.node) * copies // len(ordered)
         return [
             name
             for position, name in enumerate(ordered)
-            if position * copies // len(ordered) == place
+            if position * copies // len(ordered) == own_copy
         ]
 
-    def _domain_first(self, name):
+    def _domain_sort_key(self, name):
         return self.participants[name].failure_domain, name
--- a/hawthornspoke/swarm/tests/test_exchange.py
+++ b/hawthornspoke/swarm/tests/test_exchange.py
@@ -38,12 +38,12 @@
             name: HostEntry(
                 host=name,
                 role="agent",
-                failure_domain=f"domain-{place % 3}",
+                failure_domain=f"domain-{position % 3}",
                 address=name,
                 port=1,
                 leaving=False,
             )
-            for place, name in enumerate(self.names)
+            for position, name in enumerate(self.names)
         }
         self.by_name = {
             name: Swarm(node=name, stall_after=2.0, announce_every=0.1)
@@ -67,10 +67,10 @@
                 participants=self.entries,
                 strategy=strategy,
             )
-            self.later(0.0, name, want)
-            self.later(TICK, name, Tick())
+            self.schedule(0.0, name, want)
+            self.schedule(TICK, name, Tick())
 
-    def later(self, delay, name, message):
+    def schedule(self, delay, name, message):
         self.count += 1
         heapq.heappush(self.queue, (self.now + delay, self.count, name, message))
 
@@ -81,7 +81,7 @@
             if name in self.dead:
                 continue
             if isinstance(message, Tick):
-                self.later(TICK, name, Tick())
+                self.schedule(TICK, name, Tick())
             if isinstance(message, ChunkVerified):
                 self.held[name].add(message.index)
             for outcome in self.by_name[name].step(message, now=self.now):
@@ -94,18 +94,18 @@
             self.complete.add(name)
         elif isinstance(outcome, FetchFromOrigin) and name in self.refused:
             failed = ChunkFailed(digest="d", index=outcome.index, cause="failed")
-            self.later(NEWS_SECONDS, name, failed)
+            self.schedule(NEWS_SECONDS, name, failed)
         elif isinstance(outcome, FetchFromOrigin):
             self.origin_reads += 1
             self.readers.add(name)
             start = max(self.now, self.origin_free_at)
             self.origin_free_at = start + CHUNK_SECONDS / 2
             done = ChunkVerified(digest="d", index=outcome.index)
-            self.later(self.origin_free_at - self.now, name, done)
+            self.schedule(self.origin_free_at - self.now, name, done)
         elif isinstance(outcome, FetchFromPeer):
-            self.later(CHUNK_SECONDS, name, self.fetched(outcome))
+            self.schedule(CHUNK_SECONDS, name, self.fetched(outcome))
         elif isinstance(outcome, AskHoldings):
-            self.later(NEWS_SECONDS, name, self.holdings(outcome))
+            self.schedule(NEWS_SECONDS, name, self.holdings(outcome))
         elif isinstance(outcome, AnnounceChunks):
             self.announce(name, outcome)
 
@@ -128,7 +128,7 @@
         )
         for target, _ in outcome.targets:
             if self.rng.random() >= self.loss:
-                self.later(NEWS_SECONDS, target, message)
+                self.schedule(NEWS_SECONDS, target, message)
 
 
 @pytest.mark.parametrize("count", [2, 8, 24])
@@ -183,7 +183,7 @@
     and resets those beyond; their pieces were read by nobody for some seconds.
     """
     regions = {"a": "north", "b": "north", "c": "south"}
-    people = {
+    hosts = {
         f"host-{number:02d}": HostEntry(
             host=f"host-{number:02d}",
             role="agent",
@@ -195,13 +195,13 @@
         for number in range(60)
     }
     readers_by_region = {"north": set(), "south": set()}
-    for name, entry in people.items():
+    for name, entry in hosts.items():
         swarm = Swarm(node=name, origin_slots=96)
         want = Want(
             digest="d",
             chunks=96,
             size=96,
-            participants=people,
+            participants=hosts,
             region_by_domain=regions,
             strategy="regional",
         )
@@ -222,12 +222,12 @@
     Cause: the time after which an owner gives way was reckoned as if all 51 hosts
     read from the origin, and so grew faster than time passed.
     """
-    sound = Network(51, 96, strategy="regional")
-    sound.run(60)
-    assert len(sound.readers) == 12
+    baseline = Network(51, 96, strategy="regional")
+    baseline.run(60)
+    assert len(baseline.readers) == 12
 
     network = Network(51, 96, strategy="regional")
-    network.refused = set(sorted(sound.readers)[:5])
+    network.refused = set(sorted(baseline.readers)[:5])
     network.run(30)
     assert network.complete == set(network.names)
     # The chunks of the 5, 8 each, are read by at most two others.
--- a/hawthornspoke/swarm/tests/test_origin_is_back.py
+++ b/hawthornspoke/swarm/tests/test_origin_is_back.py
@@ -50,7 +50,7 @@
 def test_chunk_that_others_had_already_shows_nothing():
     swarm, first = refused_swarm()
     other = (first + 1) % CHUNKS
-    swarm.by_digest["d"].learn(NAMES[1], (other,), 1, now=1.5)
+    swarm.by_digest["d"].record_holdings(NAMES[1], (other,), 1, now=1.5)
     again = Announced(digest="d", node=NAMES[2], indices=(other,), held=1)
     assert origin_reads(swarm.step(again, now=1.6)) == []
     assert len(origin_reads(swarm.step(Tick(), now=1.0 + AVOID_FOR))) == 1
--- a/hawthornspoke/swarm/tests/test_regional_news.py
+++ b/hawthornspoke/swarm/tests/test_regional_news.py
@@ -31,7 +31,7 @@
 MOST_WAITING = 6
 
 
-class Links(Network):
+class LinkNetwork(Network):
     """Hosts of several regions, whose links carry one chunk after the other.
 
     Parameters
@@ -47,24 +47,24 @@
         self.down_free_at = {}
         self.waiting = {}
         self.crossed = 0
-        self.told_afar = 0
+        self.cross_region_announcements = 0
         self.kept = held_by or {}
         super().__init__(0, CHUNKS, strategy="regional")
-        for place in range(count):
-            name = f"host-{place:03d}"
+        for position in range(count):
+            name = f"host-{position:03d}"
             self.names.append(name)
             self.entries[name] = HostEntry(
                 host=name,
                 role="agent",
-                failure_domain=f"domain-{place % REGIONS}",
+                failure_domain=f"domain-{position % REGIONS}",
                 address=name,
                 port=1,
                 leaving=False,
             )
-        for place, name in enumerate(self.names):
+        for position, name in enumerate(self.names):
             self.held[name] = set(self.kept.get(name, ()))
             self._begin(name)
-            self.later(TICK * place / count, name, Tick())
+            self.schedule(TICK * position / count, name, Tick())
 
     def _begin(self, name):
         self.by_name[name] = Swarm(
@@ -83,10 +83,11 @@
             participants=self.entries,
             strategy="regional",
             region_by_domain={
-                f"domain-{place}": f"region-{place}" for place in range(REGIONS)
+                f"domain-{position}": f"region-{position}"
+                for position in range(REGIONS)
             },
         )
-        self.later(0.0, name, want)
+        self.schedule(0.0, name, want)
 
     def restart(self, name):
         """Start a host again with nothing."""
@@ -102,13 +103,13 @@
             self.origin_reads += 1
             self.origin_free_at = max(self.now, self.origin_free_at) + ORIGIN
             done = ChunkVerified(digest="d", index=outcome.index)
-            self.later(self.origin_free_at - self.now, name, done)
+            self.schedule(self.origin_free_at - self.now, name, done)
         elif isinstance(outcome, FetchFromPeer):
             self.fetch(name, outcome)
         else:
             if isinstance(outcome, AnnounceChunks):
                 here = self.entries[name].failure_domain
-                self.told_afar += sum(
+                self.cross_region_announcements += sum(
                     self.entries[target].failure_domain != here
                     for target, _ in outcome.targets
                 )
@@ -119,7 +120,7 @@
         if isinstance(answer, ChunkVerified) and self._is_full(fetch.node):
             answer = ChunkFailed(digest="d", index=fetch.index, cause="busy")
         if isinstance(answer, ChunkFailed):
-            self.later(NEWS_SECONDS, name, answer)
+            self.schedule(NEWS_SECONDS, name, answer)
             return
         peer = self.entries[fetch.node]
         self.crossed += peer.failure_domain != self.entries[name].failure_domain
@@ -127,7 +128,7 @@
         self.up_free_at[fetch.node] = sent_at
         done_at = max(sent_at, self.down_free_at.get(name, 0.0) + DOWN)
         self.down_free_at[name] = done_at
-        self.later(done_at - self.now, name, answer)
+        self.schedule(done_at - self.now, name, answer)
 
     def _is_full(self, name):
         return self.up_free_at.get(name, 0.0) > self.now + MOST_WAITING * UP
@@ -148,14 +149,14 @@
     Figures: 4.8 crossings of a piece into a region and 71,000 announcements between
     regions before at 78 hosts, 1.1 and 1,800 after.
     """
-    network = Links(60)
+    network = LinkNetwork(60)
     network.run(20)
     assert network.complete == network.living()
     assert network.origin_reads == CHUNKS
     assert network.crossed <= 1.25 * (REGIONS - 1) * CHUNKS
     readers = Regional.ORIGIN_READERS + REGIONS
-    told = Regional.TOLD_AFAR * (REGIONS - 1)
-    assert network.told_afar <= CHUNKS * (readers + told)
+    told = Regional.REMOTE_RECIPIENTS * (REGIONS - 1)
+    assert network.cross_region_announcements <= CHUNKS * (readers + told)
 
 
 def test_region_whose_readers_of_a_piece_are_dead_gets_it_all_the_same():
@@ -164,7 +165,7 @@
     Events: the two hosts that read a piece for their region die before it is there.
     Cause to be avoided: only these two were told who holds it.
     """
-    network = Links(30)
+    network = LinkNetwork(30)
     region = [name for name in network.names if int(name[-3:]) % REGIONS == 0]
     order = rendezvous_order(key="d/0/far", nodes=region)
     network.dead.update(order[:2])
@@ -179,7 +180,7 @@
     Events: all but one host have restarted with nothing, and the origin is away.
     """
     kept = {"host-007": range(CHUNKS)}
-    network = Links(30, held_by=kept)
+    network = LinkNetwork(30, held_by=kept)
     network.refused = set(network.names)
     network.run(60)
     assert network.complete == network.living()
@@ -191,7 +192,7 @@
 
     What was told to them before is lost, and nobody tells it again.
     """
-    network = Links(30)
+    network = LinkNetwork(30)
     network.run(at)
     for name in network.names:
         if int(name[-3:]) % REGIONS == 2:
@@ -202,7 +203,7 @@
 
 def test_stand_in_asks_for_holdings():
     """The stand-in answers what the planner asks, or the tests above show nothing."""
-    network = Links(5, held_by={"host-001": (3,)})
+    network = LinkNetwork(5, held_by={"host-001": (3,)})
     ask = AskHoldings(digest="d", node="host-001", address="x", port=1)
     answer = network.holdings(ask)
     assert answer == Announced(digest="d", node="host-001", indices=(3,), held=1)
@@ -215,15 +216,17 @@
     group leaves the list, and a piece comes that hosts afar are told of. Cause: whom
     to tell was kept for as long as the own group stayed the same.
     """
-    network = Links(10)
-    people = network.entries
-    regions = {f"domain-{place}": f"region-{place}" for place in range(REGIONS)}
+    network = LinkNetwork(10)
+    hosts = network.entries
+    regions = {
+        f"domain-{position}": f"region-{position}" for position in range(REGIONS)
+    }
     shared = {"digest": "d", "region_by_domain": regions}
     swarm = Swarm(node="host-000", announce_every=0.0, origin_slots=CHUNKS)
     want = Want(
         chunks=CHUNKS,
         size=CHUNKS,
-        participants=people,
+        participants=hosts,
         strategy="regional",
         origin_copies=2,
         **shared,
@@ -232,11 +235,11 @@
     group = swarm.by_digest["d"].group_nodes()
     for index in range(CHUNKS):
         swarm.step(ChunkVerified(digest="d", index=index), now=0.1)
-    leaving = next(name for name in people if name not in group)
-    left = {name: entry for name, entry in people.items() if name != leaving}
+    leaving = next(name for name in hosts if name not in group)
+    left = {name: entry for name, entry in hosts.items() if name != leaving}
     swarm.step(Participants(participants=left, **shared), now=0.2)
     assert swarm.by_digest["d"].group_nodes() == group
-    swarm.by_digest["d"].brought = set(range(CHUNKS))
+    swarm.by_digest["d"].injected = set(range(CHUNKS))
     swarm.by_digest["d"].fresh = list(range(CHUNKS))
     told = swarm.step(Tick(), now=0.3)
     addresses = {address for item in told for address, _ in item.targets}
--- a/hawthornspoke/swarm/tests/test_restarted_peer.py
+++ b/hawthornspoke/swarm/tests/test_restarted_peer.py
@@ -41,8 +41,8 @@
     for good, so that nothing was announced to it any more.
     """
     swarm = Swarm(node="host-0", announce_every=0.1)
-    people = {name: host(name) for name in NAMES}
-    want = Want(digest="d", chunks=CHUNKS, size=CHUNKS, participants=people)
+    hosts = {name: host(name) for name in NAMES}
+    want = Want(digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts)
     swarm.step(want, now=0.0)
     news = Announced(
         digest="d", node="host-1", indices=tuple(range(CHUNKS)), held=CHUNKS
@@ -65,8 +65,8 @@
     Cause to be ruled out: that a lower total is passed over as an old word.
     """
     swarm = Swarm(node="host-0", announce_every=0.1)
-    people = {name: host(name) for name in NAMES}
-    want = Want(digest="d", chunks=CHUNKS, size=CHUNKS, participants=people)
+    hosts = {name: host(name) for name in NAMES}
+    want = Want(digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts)
     swarm.step(want, now=0.0)
     news = Announced(
         digest="d", node="host-1", indices=tuple(range(CHUNKS)), held=CHUNKS
