--- a/hawthornspoke/swarm/tests/test_exchange.py
+++ b/hawthornspoke/swarm/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Planners that exchange chunks over a fake network, with losses and deaths."""
+"""Planners exchanging chunks over a simulated network with losses and dead hosts."""
 
 import heapq
 import random
@@ -22,12 +22,12 @@
 )
 
 CHUNK_SECONDS = 0.05
-NEWS_SECONDS = 0.01
+MESSAGE_SECONDS = 0.01
 TICK = 0.1
 
 
 class Network:
-    """A queue of events in time order; every fetch takes the same time."""
+    """Discrete event simulation in which every fetch takes the same time."""
 
     def __init__(self, count, chunks, *, strategy="scatter", seed=1, loss=0.0):
         self.rng = random.Random(seed)
@@ -75,7 +75,7 @@
         heapq.heappush(self.queue, (self.now + delay, self.count, name, message))
 
     def run(self, until):
-        """Run until all living hosts are complete or the time is over."""
+        """Run until all living hosts are complete or the time limit is reached."""
         while self.queue and self.now < until:
             self.now, _, name, message = heapq.heappop(self.queue)
             if name in self.dead:
@@ -85,16 +85,16 @@
             if isinstance(message, ChunkVerified):
                 self.held[name].add(message.index)
             for outcome in self.by_name[name].step(message, now=self.now):
-                self.act(name, outcome)
+                self.handle_outcome(name, outcome)
             if set(self.names) - self.dead <= self.complete:
                 return
 
-    def act(self, name, outcome):
+    def handle_outcome(self, name, outcome):
         if isinstance(outcome, Complete):
             self.complete.add(name)
         elif isinstance(outcome, FetchFromOrigin) and name in self.refused:
             failed = ChunkFailed(digest="d", index=outcome.index, cause="failed")
-            self.schedule(NEWS_SECONDS, name, failed)
+            self.schedule(MESSAGE_SECONDS, name, failed)
         elif isinstance(outcome, FetchFromOrigin):
             self.origin_reads += 1
             self.readers.add(name)
@@ -103,20 +103,20 @@
             done = ChunkVerified(digest="d", index=outcome.index)
             self.schedule(self.origin_free_at - self.now, name, done)
         elif isinstance(outcome, FetchFromPeer):
-            self.schedule(CHUNK_SECONDS, name, self.fetched(outcome))
+            self.schedule(CHUNK_SECONDS, name, self.fetch_result(outcome))
         elif isinstance(outcome, AskHoldings):
-            self.schedule(NEWS_SECONDS, name, self.holdings(outcome))
+            self.schedule(MESSAGE_SECONDS, name, self.query_holdings(outcome))
         elif isinstance(outcome, AnnounceChunks):
             self.announce(name, outcome)
 
-    def fetched(self, fetch):
+    def fetch_result(self, fetch):
         if fetch.node in self.dead:
             return ChunkFailed(digest="d", index=fetch.index, cause="unreachable")
         if fetch.index not in self.held[fetch.node]:
             return ChunkFailed(digest="d", index=fetch.index, cause="missing")
         return ChunkVerified(digest="d", index=fetch.index)
 
-    def holdings(self, ask):
+    def query_holdings(self, ask):
         if ask.node in self.dead:
             return PeerUnreachable(digest="d", node=ask.node)
         held = self.held[ask.node]
@@ -128,11 +128,11 @@
         )
         for target, _ in outcome.targets:
             if self.rng.random() >= self.loss:
-                self.schedule(NEWS_SECONDS, target, message)
+                self.schedule(MESSAGE_SECONDS, target, message)
 
 
 @pytest.mark.parametrize("count", [2, 8, 24])
-def test_every_host_completes_and_the_origin_sends_one_copy(count):
+def test_all_hosts_complete_with_one_origin_copy(count):
     network = Network(count, 60)
     network.run(60)
     assert network.complete == set(network.names)
@@ -140,11 +140,11 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_lost_news_and_hosts_that_die(seed):
-    """Symptom: a burst stops, or the origin sends many copies, when hosts die.
+def test_lost_announcements_and_dead_hosts(seed):
+    """Transfers complete with a tenth of announcements lost and three hosts dead.
 
-    Events: a tenth of the announcements is lost; three hosts die in mid-burst.
-    Cause: waiting for an owner that is gone, or everybody reading in its place.
+    Guards against waiting for a dead owner, and against all hosts reading its chunks
+    from the origin.
     """
     network = Network(16, 60, seed=seed, loss=0.1)
     for at in (0.3, 0.6, 0.9):
@@ -164,8 +164,8 @@
     assert network.origin_reads == 20 * copies
 
 
-def test_a_dropped_transfer_frees_its_slots():
-    """Symptom: after superseded bursts a host fetches nothing any more."""
+def test_dropped_transfer_frees_its_slots():
+    """Leaked slots would stop all fetches of a host after superseded transfers."""
     from hawthornspoke.swarm import Drop
 
     network = Network(3, 20)
@@ -176,11 +176,12 @@
     assert (dump["peer_fetches"], dump["origin_fetches"]) == (0, 0)
 
 
-def test_few_hosts_read_from_the_origin_and_of_every_region():
-    """A version took 15 s on 53 hosts and 6 s on 16.
+def test_origin_readers_are_few_and_spread_over_regions():
+    """The number of origin readers stays below the connection limit of the origin.
 
-    Cause: every host read its share from the origin, which accepts 48 connections
-    and resets those beyond; their pieces were read by nobody for some seconds.
+    The origin accepts 48 connections and resets the others. When every host read from
+    it, the chunks of those that were reset were read by no host for some seconds, and
+    a version took 15 s on 53 hosts instead of 6 s on 16.
     """
     regions = {"a": "north", "b": "north", "c": "south"}
     hosts = {
@@ -214,13 +215,13 @@
     }
 
 
-def test_readers_that_the_origin_refuses_give_way():
-    """After all hosts had lost power a version came to no engine for 20 s.
+def test_refused_origin_readers_are_replaced():
+    """Owners that the origin refuses are replaced by the next owners.
 
-    Events: the origin resets the connections of 5 of its 12 readers, each of which
-    goes on to ask for one chunk; the others bring all that is theirs and are idle.
-    Cause: the time after which an owner gives way was reckoned as if all 51 hosts
-    read from the origin, and so grew faster than time passed.
+    The origin resets the connections of 5 of its 12 readers. When the stall timeout
+    was computed as if all 51 hosts read from the origin, it grew faster than time
+    passed, the 5 owners were never replaced, and after a power loss of all hosts no
+    engine got a version for 20 s.
     """
     baseline = Network(51, 96, strategy="regional")
     baseline.run(60)
@@ -230,5 +231,5 @@
     network.refused = set(sorted(baseline.readers)[:5])
     network.run(30)
     assert network.complete == set(network.names)
-    # The chunks of the 5, 8 each, are read by at most two others.
+    # The 8 chunks of each of the 5 owners are read by at most two other hosts.
     assert network.origin_reads <= 96 + 5 * 8
--- a/hawthornspoke/swarm/tests/test_origin_is_back.py
+++ b/hawthornspoke/swarm/tests/test_origin_is_back.py
@@ -1,4 +1,4 @@
-"""An origin that was away, and the hosts that wait for its return."""
+"""Backoff of an unreachable origin, and how announcements end it early."""
 
 from hawthornspoke.swarm import (
     Announced,
@@ -16,12 +16,12 @@
 
 
 def origin_reads(outcomes):
-    """Return the chunks that are to be read from the origin."""
+    """Return the chunks that the outcomes fetch from the origin."""
     return [item.index for item in outcomes if isinstance(item, FetchFromOrigin)]
 
 
 def refused_swarm():
-    """Return a machine that the origin has just refused at 1.0."""
+    """Return a machine whose fetch from the origin failed at 1.0, and the chunk."""
     swarm = Swarm(node=NAMES[0], origin_slots=1, origin_avoid_for=AVOID_FOR)
     want = Want(
         digest="d", chunks=CHUNKS, size=1, participants={n: host(n) for n in NAMES}
@@ -33,13 +33,12 @@
     return swarm, first
 
 
-def test_chunk_that_nobody_had_shows_that_the_origin_is_back():
-    """Six last chunks came half a second late to everybody.
+def test_new_chunk_ends_origin_backoff():
+    """A chunk that no host held before shows that the origin is reachable again.
 
-    Symptom: the origin serves again, one host has read a chunk there, and the others
-    go on waiting until their own pause is over.
-    Events: the origin is away while a version spreads; each host asks it again after
-    a pause of its own. Cause: what others have read there told nothing.
+    Each host retries an unreachable origin after its own backoff. Before announcements
+    ended the backoff, the last six chunks of a version arrived half a second late on
+    all hosts, although one host had already read a chunk.
     """
     swarm, first = refused_swarm()
     other = (first + 1) % CHUNKS
@@ -47,7 +46,7 @@
     assert len(origin_reads(swarm.step(news, now=1.6))) == 1
 
 
-def test_chunk_that_others_had_already_shows_nothing():
+def test_known_chunk_does_not_end_origin_backoff():
     swarm, first = refused_swarm()
     other = (first + 1) % CHUNKS
     swarm.by_digest["d"].record_holdings(NAMES[1], (other,), 1, now=1.5)
--- a/hawthornspoke/swarm/tests/test_regional_news.py
+++ b/hawthornspoke/swarm/tests/test_regional_news.py
@@ -1,4 +1,4 @@
-"""Who is told of pieces where hosts stand in several regions."""
+"""Announcements and transfers between several regions."""
 
 import pytest
 
@@ -19,36 +19,36 @@
     Want,
 )
 from hawthornspoke.swarm._strategies import Regional
-from hawthornspoke.swarm.tests.test_exchange import NEWS_SECONDS, TICK, Network
+from hawthornspoke.swarm.tests.test_exchange import MESSAGE_SECONDS, TICK, Network
 
 REGIONS = 5
 CHUNKS = 96
 
-#: Seconds for one piece on a host's link, up and down, and on the origin's.
-UP, DOWN, ORIGIN = 0.0627, 0.0539, 0.0449
+#: Transfer seconds per chunk: a host's uplink and downlink, and the origin's link.
+UPLOAD_SECONDS, DOWNLOAD_SECONDS, ORIGIN_SECONDS = 0.0627, 0.0539, 0.0449
 
-#: Pieces that may wait at one host.
-MOST_WAITING = 6
+#: Chunks that may be queued on the uplink of one host.
+UPLOAD_QUEUE_LIMIT = 6
 
 
 class LinkNetwork(Network):
-    """Hosts of several regions, whose links carry one chunk after the other.
+    """Hosts in several regions whose links transfer one chunk at a time.
 
     Parameters
     ----------
     count : int
-        Hosts.
-    held_by : dict of str to iterable of int, default={}
-        Chunks that some hosts have kept.
+        Number of hosts.
+    initial_holdings : dict of str to iterable of int, default={}
+        Chunks that hosts hold at the start.
     """
 
-    def __init__(self, count, *, held_by=None):
-        self.up_free_at = {}
-        self.down_free_at = {}
+    def __init__(self, count, *, initial_holdings=None):
+        self.upload_free_at = {}
+        self.download_free_at = {}
         self.waiting = {}
-        self.crossed = 0
+        self.cross_region_fetches = 0
         self.cross_region_announcements = 0
-        self.kept = held_by or {}
+        self.kept = initial_holdings or {}
         super().__init__(0, CHUNKS, strategy="regional")
         for position in range(count):
             name = f"host-{position:03d}"
@@ -63,10 +63,10 @@
             )
         for position, name in enumerate(self.names):
             self.held[name] = set(self.kept.get(name, ()))
-            self._begin(name)
+            self._start_host(name)
             self.schedule(TICK * position / count, name, Tick())
 
-    def _begin(self, name):
+    def _start_host(self, name):
         self.by_name[name] = Swarm(
             node=name,
             stall_after=1.2,
@@ -90,18 +90,18 @@
         self.schedule(0.0, name, want)
 
     def restart(self, name):
-        """Start a host again with nothing."""
+        """Restart a host without any chunks."""
         self.held[name] = set()
         self.complete.discard(name)
-        self._begin(name)
+        self._start_host(name)
 
-    def act(self, name, outcome):
+    def handle_outcome(self, name, outcome):
         if isinstance(outcome, Complete):
             if len(self.held[name]) == CHUNKS:
                 self.complete.add(name)
         elif isinstance(outcome, FetchFromOrigin) and name not in self.refused:
             self.origin_reads += 1
-            self.origin_free_at = max(self.now, self.origin_free_at) + ORIGIN
+            self.origin_free_at = max(self.now, self.origin_free_at) + ORIGIN_SECONDS
             done = ChunkVerified(digest="d", index=outcome.index)
             self.schedule(self.origin_free_at - self.now, name, done)
         elif isinstance(outcome, FetchFromPeer):
@@ -113,84 +113,93 @@
                     self.entries[target].failure_domain != here
                     for target, _ in outcome.targets
                 )
-            super().act(name, outcome)
+            super().handle_outcome(name, outcome)
 
     def fetch(self, name, fetch):
-        answer = self.fetched(fetch)
-        if isinstance(answer, ChunkVerified) and self._is_full(fetch.node):
+        answer = self.fetch_result(fetch)
+        if isinstance(answer, ChunkVerified) and self._is_upload_queue_full(fetch.node):
             answer = ChunkFailed(digest="d", index=fetch.index, cause="busy")
         if isinstance(answer, ChunkFailed):
-            self.schedule(NEWS_SECONDS, name, answer)
+            self.schedule(MESSAGE_SECONDS, name, answer)
             return
         peer = self.entries[fetch.node]
-        self.crossed += peer.failure_domain != self.entries[name].failure_domain
-        sent_at = max(self.now, self.up_free_at.get(fetch.node, 0.0)) + UP
-        self.up_free_at[fetch.node] = sent_at
-        done_at = max(sent_at, self.down_free_at.get(name, 0.0) + DOWN)
-        self.down_free_at[name] = done_at
+        self.cross_region_fetches += (
+            peer.failure_domain != self.entries[name].failure_domain
+        )
+        uploaded_at = (
+            max(self.now, self.upload_free_at.get(fetch.node, 0.0)) + UPLOAD_SECONDS
+        )
+        self.upload_free_at[fetch.node] = uploaded_at
+        done_at = max(
+            uploaded_at, self.download_free_at.get(name, 0.0) + DOWNLOAD_SECONDS
+        )
+        self.download_free_at[name] = done_at
         self.schedule(done_at - self.now, name, answer)
 
-    def _is_full(self, name):
-        return self.up_free_at.get(name, 0.0) > self.now + MOST_WAITING * UP
+    def _is_upload_queue_full(self, name):
+        return (
+            self.upload_free_at.get(name, 0.0)
+            > self.now + UPLOAD_QUEUE_LIMIT * UPLOAD_SECONDS
+        )
 
-    def living(self):
-        """Return the hosts that are up."""
+    def living_hosts(self):
+        """Return the hosts that are not dead."""
         return set(self.names) - self.dead
 
 
-def test_piece_crosses_into_a_region_once_and_news_of_it_goes_where_it_is_needed():
-    """Links between regions carried each piece seven times at 133 hosts.
+def test_chunks_enter_a_region_once_with_few_announcements():
+    """Links between regions must not carry a chunk once per waiting host.
 
-    Symptom: 0.3 GB between regions on a day with two versions, 25,000 announcements a
-    second while one spreads. Sequence: each host tells each other host of each piece,
-    gathered over a time that grows with the hosts; the others of a region have not
-    heard of their reader's piece when they give up waiting for it, and read from
-    afar, where all hosts are known to hold it. Cause: news went to all.
-    Figures: 4.8 crossings of a piece into a region and 71,000 announcements between
-    regions before at 78 hosts, 1.1 and 1,800 after.
+    When every host announced to all others, announcements were batched over a time
+    that grew with the number of hosts. The hosts of a region gave up waiting for their
+    region reader before its announcement arrived, and fetched from other regions. At
+    133 hosts each chunk was transferred seven times between regions, 0.3 GB on a day
+    with two versions, with 25,000 announcements per second. At 78 hosts the change
+    reduced 4.8 transfers of a chunk into a region and 71,000 announcements between
+    regions to 1.1 and 1,800.
     """
     network = LinkNetwork(60)
     network.run(20)
-    assert network.complete == network.living()
+    assert network.complete == network.living_hosts()
     assert network.origin_reads == CHUNKS
-    assert network.crossed <= 1.25 * (REGIONS - 1) * CHUNKS
+    assert network.cross_region_fetches <= 1.25 * (REGIONS - 1) * CHUNKS
     readers = Regional.ORIGIN_READERS + REGIONS
-    told = Regional.REMOTE_RECIPIENTS * (REGIONS - 1)
-    assert network.cross_region_announcements <= CHUNKS * (readers + told)
+    announced = Regional.REMOTE_RECIPIENTS * (REGIONS - 1)
+    assert network.cross_region_announcements <= CHUNKS * (readers + announced)
 
 
-def test_region_whose_readers_of_a_piece_are_dead_gets_it_all_the_same():
-    """A piece came to no host of a region.
+def test_region_completes_without_its_region_readers():
+    """The two region readers of a chunk die before they have it.
 
-    Events: the two hosts that read a piece for their region die before it is there.
-    Cause to be avoided: only these two were told who holds it.
+    Only these two receive announcements of the chunk from other regions, so the other
+    hosts of their region have to find its holders by querying them.
     """
     network = LinkNetwork(30)
     region = [name for name in network.names if int(name[-3:]) % REGIONS == 0]
     order = rendezvous_order(key="d/0/far", nodes=region)
     network.dead.update(order[:2])
     network.run(30)
-    assert network.complete == network.living()
+    assert network.complete == network.living_hosts()
     assert network.origin_reads <= 1.5 * CHUNKS
 
 
-def test_pieces_that_a_host_has_kept_reach_all_regions():
-    """Hosts of other regions never heard of pieces that one had found staged.
+def test_chunks_held_by_one_host_reach_all_regions():
+    """Chunks found in local storage are announced to other regions.
 
-    Events: all but one host have restarted with nothing, and the origin is away.
+    All but one host have restarted without chunks, and the origin is unreachable.
     """
     kept = {"host-007": range(CHUNKS)}
-    network = LinkNetwork(30, held_by=kept)
+    network = LinkNetwork(30, initial_holdings=kept)
     network.refused = set(network.names)
     network.run(60)
-    assert network.complete == network.living()
+    assert network.complete == network.living_hosts()
 
 
 @pytest.mark.parametrize("at", [1.0, 3.0])
-def test_region_that_loses_power_gets_all_again(at):
-    """A region's hosts start again with nothing while the others are complete or not.
+def test_region_recovers_from_losing_all_chunks(at):
+    """All hosts of a region restart without chunks, during or after the transfer.
 
-    What was told to them before is lost, and nobody tells it again.
+    Earlier announcements to them are lost and are not sent again.
     """
     network = LinkNetwork(30)
     network.run(at)
@@ -198,23 +207,22 @@
         if int(name[-3:]) % REGIONS == 2:
             network.restart(name)
     network.run(60)
-    assert network.complete == network.living()
+    assert network.complete == network.living_hosts()
 
 
-def test_stand_in_asks_for_holdings():
-    """The stand-in answers what the planner asks, or the tests above show nothing."""
-    network = LinkNetwork(5, held_by={"host-001": (3,)})
+def test_simulation_answers_holdings_queries():
+    """The tests above are meaningful only if simulated hosts answer these queries."""
+    network = LinkNetwork(5, initial_holdings={"host-001": (3,)})
     ask = AskHoldings(digest="d", node="host-001", address="x", port=1)
-    answer = network.holdings(ask)
+    answer = network.query_holdings(ask)
     assert answer == Announced(digest="d", node="host-001", indices=(3,), held=1)
 
 
-def test_host_that_leaves_from_another_group_ends_no_transfer():
-    """A transfer ended with a KeyError.
+def test_host_leaving_another_group_does_not_break_announcements():
+    """A host of another origin group leaves before a chunk is announced.
 
-    Events: the origin sends two copies, each to a group of hosts; a host of the other
-    group leaves the list, and a piece comes that hosts afar are told of. Cause: whom
-    to tell was kept for as long as the own group stayed the same.
+    The region readers are cached while the own group is unchanged, and announcing to
+    one that had left raised a KeyError that ended the transfer.
     """
     network = LinkNetwork(10)
     hosts = network.entries
@@ -241,6 +249,6 @@
     assert swarm.by_digest["d"].group_nodes() == group
     swarm.by_digest["d"].injected = set(range(CHUNKS))
     swarm.by_digest["d"].fresh = list(range(CHUNKS))
-    told = swarm.step(Tick(), now=0.3)
-    addresses = {address for item in told for address, _ in item.targets}
+    announced = swarm.step(Tick(), now=0.3)
+    addresses = {address for item in announced for address, _ in item.targets}
     assert leaving not in addresses
--- a/hawthornspoke/swarm/tests/test_restarted_peer.py
+++ b/hawthornspoke/swarm/tests/test_restarted_peer.py
@@ -1,4 +1,4 @@
-"""A peer that has restarted, and holds nothing of what it had announced."""
+"""Restarted peers that no longer hold the chunks they had announced."""
 
 from hawthornspoke.store import HostEntry
 from hawthornspoke.swarm import (
@@ -17,7 +17,7 @@
 
 
 def host(name):
-    """Return a host's entry."""
+    """Return the entry of a host."""
     return HostEntry(
         host=name,
         role="agent",
@@ -28,17 +28,16 @@
     )
 
 
-def of_kind(outcomes, kind):
-    """Return the outcomes of one kind."""
+def outcomes_of_type(outcomes, kind):
+    """Return the outcomes of one type."""
     return [item for item in outcomes if isinstance(item, kind)]
 
 
-def test_restarted_peer_is_told_of_pieces_again():
-    """A restarted host got its pieces from the origin and from other regions.
+def test_chunks_are_announced_to_restarted_peer():
+    """A peer that reports an announced chunk as missing is no longer complete.
 
-    Events: a host has announced all pieces; it restarts, and another one that still
-    fetches is told that a piece is missing there. Cause: the peer counted as complete
-    for good, so that nothing was announced to it any more.
+    While a restarted peer still counted as complete, no chunks were announced to it,
+    and it fetched them from the origin and from other regions.
     """
     swarm = Swarm(node="host-0", announce_every=0.1)
     hosts = {name: host(name) for name in NAMES}
@@ -47,22 +46,21 @@
     news = Announced(
         digest="d", node="host-1", indices=tuple(range(CHUNKS)), held=CHUNKS
     )
-    fetches = of_kind(swarm.step(news, now=0.1), FetchFromPeer)
+    fetches = outcomes_of_type(swarm.step(news, now=0.1), FetchFromPeer)
     assert {fetch.node for fetch in fetches} == {"host-1"}
     missing = ChunkFailed(digest="d", index=fetches[0].index, cause="missing")
     swarm.step(missing, now=0.2)
     verified = ChunkVerified(digest="d", index=fetches[1].index)
     outcomes = swarm.step(verified, now=0.3) + swarm.step(Tick(), now=1.0)
-    told = of_kind(outcomes, AnnounceChunks)
-    assert ("host-1", 1) in {target for item in told for target in item.targets}
+    announced = outcomes_of_type(outcomes, AnnounceChunks)
+    assert ("host-1", 1) in {target for item in announced for target in item.targets}
 
 
-def test_piece_that_a_restarted_peer_has_again_is_asked_of_it():
-    """A transfer waited for a piece that a restarted host had got once more.
+def test_chunk_regained_by_restarted_peer_is_fetched():
+    """Announcements with a lower total than before are not discarded as stale.
 
-    Events: a host has announced all pieces and restarts; it is asked for some, which
-    are missing; it gets them anew and announces them with a lower total than before.
-    Cause to be ruled out: that a lower total is passed over as an old word.
+    A peer announces all chunks, restarts, reports them as missing, fetches one again
+    and announces it with a lower total. The transfer must not wait for another source.
     """
     swarm = Swarm(node="host-0", announce_every=0.1)
     hosts = {name: host(name) for name in NAMES}
@@ -71,13 +69,15 @@
     news = Announced(
         digest="d", node="host-1", indices=tuple(range(CHUNKS)), held=CHUNKS
     )
-    begun = of_kind(swarm.step(news, now=0.1), FetchFromPeer)
+    fetches_in_flight = outcomes_of_type(swarm.step(news, now=0.1), FetchFromPeer)
     lost = []
-    while begun:
-        fetch = begun.pop()
+    while fetches_in_flight:
+        fetch = fetches_in_flight.pop()
         lost.append(fetch.index)
         missing = ChunkFailed(digest="d", index=fetch.index, cause="missing")
-        begun += of_kind(swarm.step(missing, now=0.2), FetchFromPeer)
+        fetches_in_flight += outcomes_of_type(
+            swarm.step(missing, now=0.2), FetchFromPeer
+        )
     again = Announced(digest="d", node="host-1", indices=(lost[0],), held=1)
-    fetches = of_kind(swarm.step(again, now=0.5), FetchFromPeer)
+    fetches = outcomes_of_type(swarm.step(again, now=0.5), FetchFromPeer)
     assert [(fetch.index, fetch.node) for fetch in fetches] == [(lost[0], "host-1")]
