--- a/hawthornspoke/swarm/_strategies.py
+++ b/hawthornspoke/swarm/_strategies.py
@@ -193,8 +193,8 @@
     or partitioned.
 
     Each host announces every chunk within its own region. Hosts of other regions only
-    receive announcements of chunks that the sender read from the origin; these go to
-    the other origin readers and to the region readers of the chunk. When every host
+    receive announcements of chunks that the sender did not get from a peer; these go
+    to the other origin readers and to the region readers of the chunk. When every host
     announced to all others, the traffic grew with the square of the number of hosts, so
     that announcements had to be batched over 0.8 s at 133 hosts; by then the other
     hosts of a region had given up waiting for their region reader.
