--- a/hawthornspoke/mirror/__init__.py
+++ b/hawthornspoke/mirror/__init__.py
@@ -1,11 +1,11 @@
-"""What the platform's tables hold, read once for the hosts of a failure domain."""
+"""Mirrors the platform's tables, reading them once per failure domain."""
 
 from hawthornspoke.mirror import pace
 from hawthornspoke.mirror._follow import follow_platform
 from hawthornspoke.mirror._intake import Intake
 from hawthornspoke.mirror._neighbours import Neighbours
 from hawthornspoke.mirror._quarantine_record import QuarantineRecord
-from hawthornspoke.mirror._readers import NeighboursTold, ReaderFailed, Readers
+from hawthornspoke.mirror._readers import NeighbourListReceived, ReaderFailed, Readers
 from hawthornspoke.mirror._record_keeper import RecordKeeper
 from hawthornspoke.mirror._tables import Mirror
 from hawthornspoke.mirror._types import HISTORY_GONE, News, Row, Written
@@ -16,7 +16,7 @@
     UnusableRows,
     sort_out,
 )
-from hawthornspoke.mirror._watch import Table, Watch
+from hawthornspoke.mirror._watch import FollowedTable, TableWatcher
 
 __all__ = [
     "CONFIGURATION",
@@ -26,16 +26,16 @@
     "Intake",
     "Mirror",
     "Neighbours",
-    "NeighboursTold",
+    "NeighbourListReceived",
     "News",
     "QuarantineRecord",
     "ReaderFailed",
     "Readers",
     "RecordKeeper",
     "Row",
-    "Table",
+    "FollowedTable",
     "UnusableRows",
-    "Watch",
+    "TableWatcher",
     "Written",
     "follow_platform",
     "pace",
--- a/hawthornspoke/mirror/_follow.py
+++ b/hawthornspoke/mirror/_follow.py
@@ -1,10 +1,10 @@
-"""All that an entry host reads and keeps on the platform, put together."""
+"""Sets up all reading and writing of the platform by an entry host."""
 
 from hawthornspoke.mirror import pace
 from hawthornspoke.mirror._intake import Intake
 from hawthornspoke.mirror._quarantine_record import QuarantineRecord
 from hawthornspoke.mirror._record_keeper import RecordKeeper
-from hawthornspoke.mirror._watch import Table, Watch
+from hawthornspoke.mirror._watch import FollowedTable, TableWatcher
 
 
 async def follow_platform(
@@ -19,12 +19,12 @@
     first_start=False,
     discovery_timeout=0.0,
 ):
-    """Tell a sink what the platform's tables hold, until cancelled.
+    """Pass the contents of the platform's tables to a sink, until cancelled.
 
     Parameters
     ----------
     store : object
-        See ``Watch``, ``RecordKeeper`` and ``QuarantineRecord``.
+        See ``TableWatcher``, ``RecordKeeper`` and ``QuarantineRecord``.
     sink : Sink
     neighbours : Neighbours
     operators_table, endpoints_table : str
@@ -34,9 +34,9 @@
     first_start : bool, default=False
         Whether the whole system starts for the first time.
     discovery_timeout : float, default=0.0
-        See ``Watch``.
+        See ``TableWatcher``.
     """
-    watch = Watch(
+    watch = TableWatcher(
         store=store,
         neighbours=neighbours,
         on_confirmed=sink.on_confirmed,
@@ -56,18 +56,18 @@
         decode_entry=decode_entry,
         operators_decoder=operators_decoder,
     )
-    operators = Table(
+    operators = FollowedTable(
         name=operators_table,
-        wait=pace.CONFIRM_EVERY,
-        pause=pace.CHANGE_PAUSE,
+        wait=pace.OPERATORS_POLL_WAIT,
+        pause=pace.OPERATORS_CHANGE_PAUSE,
         take=intake.take_operators,
-        confirms=True,
+        confirms_configuration=True,
     )
-    endpoints = Table(
+    endpoints = FollowedTable(
         name=endpoints_table,
-        wait=pace.LIST_WAIT,
-        pause=pace.LIST_PAUSE,
+        wait=pace.ENDPOINTS_POLL_WAIT,
+        pause=pace.ENDPOINTS_CHANGE_PAUSE,
         take=intake.take_endpoints,
     )
     await neighbours.serve(watch)
-    await watch.run((operators, endpoints), beside=(record.run, quarantine.run))
+    await watch.run((operators, endpoints), background=(record.run, quarantine.run))
--- a/hawthornspoke/mirror/_intake.py
+++ b/hawthornspoke/mirror/_intake.py
@@ -1,4 +1,4 @@
-"""What the rows of the platform's tables say, told to a sink."""
+"""Decodes rows of the platform's tables and passes them to a sink."""
 
 from hawthornspoke.base import is_failure
 from hawthornspoke.fields import UNUSABLE
@@ -11,19 +11,20 @@
 
 
 class Intake:
-    """Decodes rows one by one, so that a bad one takes nothing else with it.
+    """Decodes rows independently, so that an invalid row does not affect others.
 
     Parameters
     ----------
     sink : object
-        ``on_catalog``, ``on_entries``, ``on_declared``, ``log`` and ``metrics``.
+        Has ``on_catalog``, ``on_entries``, ``on_declared``, ``log`` and ``metrics``.
     record : RecordKeeper
     decode_entry : callable
-        Given an endpoint's id and a row's data, returns an EndpointEntry or a Failure.
+        Given the id of an endpoint and the data of its row, returns an EndpointEntry or
+        a Failure.
     operators_decoder : callable
-        Given the key of a row of the operators, returns its kind, ``CONFIGURATION``,
-        ``WEIGHTS`` or None, and what decodes its data, to a Catalog, DeclaredWeights
-        or a Failure.
+        Given the key of a row of the operators' table, returns its kind
+        (``CONFIGURATION``, ``WEIGHTS`` or None) and the function that decodes its data
+        to a Catalog, DeclaredWeights or a Failure.
     """
 
     __slots__ = (
@@ -44,15 +45,15 @@
         self._decode_entry = decode_entry
         self._operators_decoder = operators_decoder
         self._unusable = UnusableRows(log=sink.log, metrics=sink.metrics)
-        # An EndpointEntry or a Failure for each row that is there.
+        # An EndpointEntry or a Failure for each existing row.
         self._outcome_by_id = {}
-        # Names in the newest configuration, None before the first.
+        # Service names in the newest configuration; None before the first one.
         self._services = None
         self._revision = float("-inf")
         self._reason_by_key_by_kind = {CONFIGURATION: {}, WEIGHTS: {}}
 
     def take_operators(self, news):
-        """Take rows of the operators' table; a bad one changes nothing in force.
+        """Apply rows of the operators' table; invalid ones leave the state as it is.
 
         Parameters
         ----------
@@ -61,15 +62,16 @@
         if news.whole:
             self._reason_by_key_by_kind = {CONFIGURATION: {}, WEIGHTS: {}}
         for row in news.rows:
-            self._take_operators_row(row, news)
+            self._apply_operators_row(row, news)
         for kind, reason_by_key in self._reason_by_key_by_kind.items():
             self._unusable.take(kind, reason_by_key)
 
     def take_endpoints(self, news):
-        """Take rows of the endpoints' table.
+        """Apply rows of the endpoints' table.
 
-        A bad row takes out the entry that stood under its key: it names no endpoint
-        now, and the older word would send requests to whatever is there instead.
+        An invalid row removes the entry with its key: the row no longer identifies an
+        endpoint, and with the old entry, requests would be sent to whatever now runs at
+        its address.
 
         Parameters
         ----------
@@ -84,9 +86,9 @@
                 self._outcome_by_id.pop(row.key, None)
             else:
                 self._outcome_by_id[row.key] = self._decode_entry(row.key, row.data)
-        self._tell_entries()
+        self._publish_entries()
 
-    def _take_operators_row(self, row, news):
+    def _apply_operators_row(self, row, news):
         kind, decode = self._operators_decoder(row.key)
         if kind is None:
             return
@@ -98,16 +100,16 @@
         if is_failure(outcome):
             reason_by_key[row.key] = outcome.reason
         elif kind == CONFIGURATION:
-            self._use_catalog(outcome)
+            self._apply_catalog(outcome)
         else:
             self._sink.on_declared(
                 outcome, written_at=row.written_at, known_until=news.known_until
             )
-            # Only the platform says when it made an answer.
-            first_hand = news.made_at is not None
-            self._record.take(outcome, row, first_hand=first_hand)
+            # Only answers of the platform itself have this time.
+            from_platform = news.made_at is not None
+            self._record.take(outcome, row, from_platform=from_platform)
 
-    def _use_catalog(self, catalog):
+    def _apply_catalog(self, catalog):
         self._sink.on_catalog(catalog)
         if catalog.revision < self._revision:
             return
@@ -116,12 +118,12 @@
         if services != self._services:
             self._services = services
             if self._outcome_by_id:
-                self._tell_entries()
+                self._publish_entries()
 
-    def _tell_entries(self):
+    def _publish_entries(self):
         entries, reason_by_key = [], {}
         for endpoint_id, outcome in self._outcome_by_id.items():
-            outcome = self._of_named_service(outcome)
+            outcome = self._check_service(outcome)
             if is_failure(outcome):
                 reason_by_key[endpoint_id] = outcome.reason
             else:
@@ -129,11 +131,12 @@
         self._unusable.take(ENDPOINT, reason_by_key)
         self._sink.on_entries(entries)
 
-    def _of_named_service(self, outcome):
-        """Return an entry, or a Failure if no configuration names its service.
+    def _check_service(self, outcome):
+        """Return the entry, or a Failure if its service is not in the configuration.
 
-        Agents are found by the address of their engine. An unknown service listed at
-        that address would be found in its place, and the agent be told nothing.
+        Agents are looked up by the address of their engine. An entry of an unknown
+        service at that address would be found instead, and the agent would get no
+        messages.
         """
         if is_failure(outcome) or self._services is None:
             return outcome
--- a/hawthornspoke/mirror/_neighbours.py
+++ b/hawthornspoke/mirror/_neighbours.py
@@ -1,4 +1,4 @@
-"""Asks a neighbour what changed, and answers neighbours that ask."""
+"""Queries neighbours for changes of tables, and answers such queries."""
 
 import asyncio
 import copy
@@ -6,54 +6,54 @@
 
 from hawthornspoke.base import Failure, contact_clock, is_failure, monotonic
 from hawthornspoke.catalog import UNKNOWN
-from hawthornspoke.mirror._readers import NeighboursTold, ReaderFailed, Readers
+from hawthornspoke.mirror._readers import NeighbourListReceived, ReaderFailed, Readers
 from hawthornspoke.mirror._types import NOT_READING, News, Row
 from hawthornspoke.peering import connect, listen
 from hawthornspoke.protocol import Frame, TableAsk, TableNews, TableRow
 
-#: Seconds for a connection to a neighbour, which is in the same failure domain.
+#: Connect timeout in seconds; neighbours are in the same failure domain.
 CONNECT_TIMEOUT = 0.3
 
-#: Seconds for an answer beyond the time that the neighbour may wait for news. A
-#: neighbour that is slow or frozen shows by this; together with the wait it must
-#: leave time to read the platform before a change is due (2 s).
-ANSWER_TIME = 0.5
+#: Seconds for an answer beyond the time that the neighbour may wait for changes.
+#: Detects a slow or frozen neighbour; together with the wait it has to leave time for
+#: reading the platform before a change must be in force (2 s).
+ANSWER_TIMEOUT = 0.5
 
-#: Seconds between two looks whether this host has begun to read the platform.
-LOOK_EVERY = 0.05
+#: Seconds between two checks whether this host has begun to read the platform.
+POLL_INTERVAL = 0.05
 
-#: Seconds after which the clocks are looked at even without news: the event loop's
-#: timers stand still while the host is suspended, and the asker waits half a second
-#: beyond its time at the most.
-LONGEST_PAUSE = 0.4
+#: Maximum seconds between two checks of the clock while waiting for changes. Timers of
+#: the event loop stop while the host is suspended, and the querying host waits at most
+#: half a second beyond its requested wait.
+MAX_WAIT = 0.4
 
-#: Seconds within which a host learns that the reader before it failed: its own
-#: question is answered at the same moment as those of the others.
-TAKEOVER_TIME = 0.3
+#: Seconds within which a host detects that the reader before it failed: its own query
+#: is answered at the same time as those of the other hosts.
+TAKEOVER_WINDOW = 0.3
 
-#: Bytes from which a row is sent compressed. A configuration of 100 KB becomes
-#: 10 to 15 KB; rows of endpoints are some 200 bytes and gain nothing.
-COMPRESS_FROM = 2048
+#: Minimum bytes of a row to be compressed. A configuration of 100 KB becomes 10 to
+#: 15 KB; rows of endpoints have about 200 bytes and would gain nothing.
+COMPRESSION_THRESHOLD = 2048
 
-#: Least effort: 2 ms for 100 KB, and a tenth larger than with the default.
-COMPRESS_LEVEL = 1
+#: Fastest zlib level: 2 ms for 100 KB, with a result a tenth larger than by default.
+COMPRESSION_LEVEL = 1
 
-#: Bytes of the largest row, unpacked: the platform sends 1 MB in one answer.
-MOST_ROW_BYTES = 4 * 1024 * 1024
+#: Maximum bytes of a decompressed row; the platform sends 1 MB in one answer.
+MAX_ROW_BYTES = 4 * 1024 * 1024
 
-#: The answer of a neighbour that can't be read.
+#: The answer of a neighbour is malformed.
 UNREADABLE = Failure(code="neighbour_unreadable")
 
 
 class Neighbours:
-    """Connections to the other entry hosts of the own failure domain.
+    """Connections to the other entry hosts of this host's failure domain.
 
     Parameters
     ----------
     address : str
         IP of this host.
     port : int
-        On which every entry host listens for neighbours.
+        Port on which every entry host listens for neighbours.
     log : EventLog
     """
 
@@ -66,7 +66,7 @@
         "_server",
         "_link_by_address",
         "_tasks",
-        "_packed_by_row",
+        "_encoded_row_by_key",
     )
 
     def __init__(self, *, address, port, log):
@@ -78,14 +78,16 @@
         self._server = None
         self._link_by_address = {}
         self._tasks = set()
-        self._packed_by_row = {}
+        self._encoded_row_by_key = {}
 
     async def serve(self, watch):
-        """Answer neighbours with what a watch has read, from now on this one.
+        """Answer queries of neighbours from the tables that a watcher has read.
+
+        A further call replaces the watcher.
 
         Parameters
         ----------
-        watch : Watch
+        watch : TableWatcher
         """
         self._watch = watch
         if self._server is not None:
@@ -98,7 +100,7 @@
         )
 
     def close(self):
-        """End all connections."""
+        """Close the server and all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -107,78 +109,78 @@
             link.close()
 
     def told(self, agent, addresses):
-        """Update the list of entry hosts that an agent sees."""
-        message = NeighboursTold(agent=agent, addresses=tuple(addresses))
+        """Replace the list of entry hosts that an agent sees."""
+        message = NeighbourListReceived(agent=agent, addresses=tuple(addresses))
         self.readers.step(message, now=monotonic())
 
     def reader(self):
-        """Return the neighbour to ask, None if this host reads the platform."""
+        """Return the neighbour to query, None if this host reads the platform."""
         return self.readers.reader(monotonic())
 
-    def lost_platform(self, reason):
-        """Log that this host can't read the platform, and avoid it as the reader."""
+    def report_platform_failure(self, reason):
+        """Log that this host can't read the platform, and don't select it as reader."""
         self._log.change("platform_unread", reason=reason)
         self.readers.step(ReaderFailed(address=self._address), now=monotonic())
 
     async def ask(self, address, table, *, after, wait):
-        """Ask a neighbour what changed in a table.
+        """Query a neighbour for changes of a table.
 
         Parameters
         ----------
         address : str
         table : str
         after : int or None
-            Revision up to which the table is known; None for all of it.
+            Revision up to which the table is known; None requests the whole table.
         wait : float
-            Seconds that the neighbour may wait for a change.
+            Seconds for which the neighbour may wait for a change.
 
         Returns
         -------
         News or Failure
-            ``NOT_READING`` leaves it to the next in order; with any other failure the
-            platform itself has to be read.
+            After ``NOT_READING`` the next neighbour in order has to be queried; after
+            any other failure this host has to read the platform itself.
         """
         asked_at = contact_clock()
-        answer = await self._ask(address, table, after, wait)
-        if not is_failure(answer) and not _is_readable(answer):
-            answer = UNREADABLE.because("a field is missing or can't be unpacked")
+        answer = await self._query(address, table, after, wait)
+        if not is_failure(answer) and not _validate_and_decompress(answer):
+            answer = UNREADABLE.because("a field is missing or can't be decompressed")
         if is_failure(answer):
             self._log.change("neighbour_failed", peer=address, reason=answer.reason)
             self.readers.step(ReaderFailed(address=address), now=monotonic())
             return answer
-        return _news(answer, asked_at)
+        return _decode_answer(answer, asked_at)
 
-    async def _ask(self, address, table, after, wait):
+    async def _query(self, address, table, after, wait):
         link = self._link_by_address.get(address)
         if link is None:
-            link = await self._dial(address)
+            link = await self._connect(address)
             if is_failure(link):
                 return link
         ask = TableAsk(
             table=table, after=-1 if after is None else after, wait_ms=int(wait * 1000)
         )
-        answer = await link.ask(Frame(table_ask=ask), timeout=wait + ANSWER_TIME)
+        answer = await link.ask(Frame(table_ask=ask), timeout=wait + ANSWER_TIMEOUT)
         if is_failure(answer):
             link.close()
             return answer
         news = answer.table_news
         if news is None or not news.current:
-            return NOT_READING.because("it does not read the platform now")
+            return NOT_READING.because("the neighbour does not read the platform now")
         return news
 
-    async def _dial(self, address):
+    async def _connect(self, address):
         link = await connect(
             address,
             self._port,
             on_frame=lambda link, frame: None,
-            on_closed=lambda link: self._closed(address, link),
+            on_closed=lambda link: self._on_link_closed(address, link),
             timeout=CONNECT_TIMEOUT,
         )
         if not is_failure(link):
             self._link_by_address[address] = link
         return link
 
-    def _closed(self, address, link):
+    def _on_link_closed(self, address, link):
         if self._link_by_address.get(address) is link:
             del self._link_by_address[address]
 
@@ -204,13 +206,13 @@
         news = None
         while self._watch.is_current() or self._may_take_over(asked_at):
             if self._watch.is_current():
-                news = self._watch.mirror.since(ask.table, after)
+                news = self._watch.mirror.changes_since(ask.table, after)
             waited = contact_clock() - asked_at
             if waited >= ask.wait_ms / 1000 or (news is not None and news.rows):
                 break
             if not link.is_open:
                 return
-            await self._pause(asked_at + ask.wait_ms / 1000)
+            await self._wait_for_news(asked_at + ask.wait_ms / 1000)
         answer = TableNews(current=False)
         if news is not None and self._watch.is_current():
             now = contact_clock()
@@ -218,95 +220,98 @@
                 current=True,
                 whole=news.whole,
                 up_to=news.revision,
-                rows=[self._dated(ask.table, row, now) for row in news.rows],
+                rows=[
+                    self._encode_row_with_age(ask.table, row, now) for row in news.rows
+                ],
                 held_ms=int((now - asked_at) * 1000),
                 age_ms=int((now - self._watch.confirmed_at) * 1000) + 1,
             )
         link.send(Frame(call=-frame.call, table_news=answer))
 
-    async def _pause(self, deadline):
-        """Wait until there may be something to answer.
+    async def _wait_for_news(self, deadline):
+        """Wait until there may be changes to answer with.
 
-        Looked for every 50 ms, for two tables and each neighbour, it woke the reader
-        among 20 hosts 800 times a second, each time for a look through the table.
+        Polling every 50 ms, for two tables and each neighbour, woke the reader of 20
+        hosts 800 times per second, with a scan of the table each time.
         """
         if not self._watch.is_current():
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL)
             return
-        seconds = min(deadline, self._watch.due_at) - contact_clock()
-        await self._watch.wait_for_change(min(max(0.0, seconds), LONGEST_PAUSE))
+        seconds = min(deadline, self._watch.current_until) - contact_clock()
+        await self._watch.wait_for_changes(min(max(0.0, seconds), MAX_WAIT))
 
     def _may_take_over(self, asked_at):
-        """Tell whether this host is about to read for whoever asks.
+        """Return whether this host may be about to become the reader.
 
-        When a reader fails, its neighbours turn to the next in order before that one
-        has noticed. Were they told that it does not read, each would go on to the
-        next, and in the end all would read.
+        When a reader fails, its neighbours query the next host in order before that
+        host has detected the failure. If it answered that it does not read the
+        platform, each of them would query the next one, and eventually all hosts would
+        read the platform.
         """
-        if self._watch.is_beginning():
+        if self._watch.is_first_read_pending():
             return True
         now = monotonic()
         if self.readers.is_avoided(self._address, now):
             return False
-        return contact_clock() < asked_at + TAKEOVER_TIME
+        return contact_clock() < asked_at + TAKEOVER_WINDOW
 
-    def _dated(self, table, row, now):
-        packed = copy.copy(self._packed(table, row))
+    def _encode_row_with_age(self, table, row, now):
+        encoded = copy.copy(self._encode_row(table, row))
         if row.written_at != UNKNOWN:
-            packed.written_age_ms = int((now - row.written_at) * 1000) + 1
-        return packed
+            encoded.written_age_ms = int((now - row.written_at) * 1000) + 1
+        return encoded
 
-    def _packed(self, table, row):
-        known = self._packed_by_row.get((table, row.key))
+    def _encode_row(self, table, row):
+        known = self._encoded_row_by_key.get((table, row.key))
         if known is not None and known.row_revision == row.revision:
             return known
-        packed = TableRow(key=row.key, row_revision=row.revision, data=row.data)
-        if row.data is not None and len(row.data) >= COMPRESS_FROM:
-            packed.data = zlib.compress(row.data, COMPRESS_LEVEL)
-            packed.compressed = True
-            # Ten neighbours ask for the same row within milliseconds.
-            self._packed_by_row[table, row.key] = packed
-        return packed
+        encoded = TableRow(key=row.key, row_revision=row.revision, data=row.data)
+        if row.data is not None and len(row.data) >= COMPRESSION_THRESHOLD:
+            encoded.data = zlib.compress(row.data, COMPRESSION_LEVEL)
+            encoded.compressed = True
+            # Cached, since ten neighbours request the same row within milliseconds.
+            self._encoded_row_by_key[table, row.key] = encoded
+        return encoded
 
 
-def _is_readable(answer):
-    """Tell whether a neighbour's answer is whole; unpacks its rows in place.
+def _validate_and_decompress(answer):
+    """Return whether an answer is well-formed; decompresses its rows in place.
 
-    An error here would end the task that follows the table, and with it all that
-    this host hears; a neighbour that is not believed is only passed over.
+    An exception here would end the task that follows the table, and this host would
+    receive no further changes; a neighbour with a malformed answer is only skipped.
     """
     if None in (answer.up_to, answer.held_ms, answer.age_ms):
         return False
-    return all(_unpack(row) for row in answer.rows or ())
+    return all(_decompress_row(row) for row in answer.rows or ())
 
 
-def _unpack(row):
+def _decompress_row(row):
     if row.key is None or row.row_revision is None:
         return False
     if row.data is None or not row.compressed:
         return True
-    unpacking = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        row.data = unpacking.decompress(row.data, MOST_ROW_BYTES)
+        row.data = decompressor.decompress(row.data, MAX_ROW_BYTES)
     except zlib.error:
         return False
-    return unpacking.eof
+    return decompressor.eof
 
 
-def _news(answer, asked_at):
-    """Return what a neighbour's answer says, its ages counted from the question."""
-    # What the neighbour knew when it answered was confirmed `age` before; it
-    # answered no sooner than it had held the question.
+def _decode_answer(answer, asked_at):
+    """Decode a neighbour's answer, converting its ages to this host's clock."""
+    # The neighbour's state was confirmed `age_ms` before it answered, and it answered
+    # no earlier than `held_ms` after the query was sent.
     answered_at = asked_at + answer.held_ms / 1000
     return News(
-        rows=[_row(row, answered_at) for row in answer.rows or ()],
+        rows=[_decode_row(row, answered_at) for row in answer.rows or ()],
         revision=answer.up_to,
         whole=bool(answer.whole),
         confirmed_at=min(answered_at - answer.age_ms / 1000, contact_clock()),
     )
 
 
-def _row(row, answered_at):
+def _decode_row(row, answered_at):
     written_at = UNKNOWN
     if row.written_age_ms is not None:
         written_at = answered_at - row.written_age_ms / 1000
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -1,4 +1,4 @@
-"""Keeps requests that end endpoints where that outlives all processes."""
+"""Stores quarantined requests on the platform, where they outlive all processes."""
 
 import asyncio
 import json
@@ -9,27 +9,27 @@
 from hawthornspoke.mirror._types import Written
 from hawthornspoke.quarantine import EVIDENCE_FOR, Evidence
 
-#: The only row: it can't outgrow its bounds, however many requests there are.
+#: Table and key of the only row, whose size is bounded for any number of requests.
 QUARANTINE_TABLE = "quarantine"
 KEY = "requests"
 
-#: Requests that the row tells of, and ends of endpoints for each.
-MOST_REQUESTS = 32
-MOST_STARTS = 5
+#: Maximum number of requests in the row, and of endpoint starts for each request.
+MAX_REQUESTS = 32
+MAX_STARTS_PER_REQUEST = 5
 
-#: Seconds between two tries, drawn at random between these; all hosts that start at
-#: once read the row.
+#: Bounds of the random delay in seconds between attempts: all hosts that start at the
+#: same time read the row.
 RETRY_PAUSE = (0.5, 1.0)
 
-#: Times that the row is written anew after another host was quicker.
-CONFLICTS = 4
+#: Maximum attempts to write the row after conflicts with other hosts.
+MAX_WRITE_ATTEMPTS = 4
 
 #: Milliseconds in a second.
 MS = 1000
 
 
 class _Entry:
-    """A request in quarantine; ``until`` is on the platform's own clock."""
+    """A request in quarantine; ``until`` is in seconds on the platform's clock."""
 
     __slots__ = ("fingerprint", "starts", "until")
 
@@ -40,10 +40,11 @@
 
 
 class QuarantineRecord:
-    """Reads the row when the process starts, and writes what its host found out.
+    """Reads the row when the process starts, and writes requests found by this host.
 
-    Entry hosts hear of requests in quarantine from agents. If all processes end at
-    once nobody is left who knows, and as many endpoints would end once more.
+    Entry hosts learn of quarantined requests from agents. If all processes end at the
+    same time this information is lost, and the requests would end as many endpoints
+    again.
 
     Parameters
     ----------
@@ -52,7 +53,7 @@
     suspects : Suspects
     log : EventLog
     first_start : bool, default=False
-        Whether the whole system starts for the first time, so that there is no row.
+        Whether the whole system starts for the first time, so that no row exists.
     """
 
     __slots__ = ("_store", "_suspects", "_log", "_first_start")
@@ -66,13 +67,13 @@
     async def run(self):
         """Read and write until cancelled."""
         if not self._first_start:
-            await self._until_done(self._read)
+            await self._retry_until_done(self._read)
         while True:
             items = await self._suspects.next_unrecorded()
-            await self._until_done(lambda items=items: self._write(items))
+            await self._retry_until_done(lambda items=items: self._write(items))
 
-    async def _until_done(self, work):
-        while is_failure(outcome := await work()):
+    async def _retry_until_done(self, operation):
+        while is_failure(outcome := await operation()):
             self._log.change("quarantine_unrecorded", reason=outcome.reason)
             await asyncio.sleep(random.uniform(*RETRY_PAUSE))
 
@@ -96,16 +97,16 @@
         return None
 
     async def _write(self, items):
-        for _ in range(CONFLICTS):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             row = await self._read_row()
             if is_failure(row):
                 return row
             entries, made_at, revision = row
-            added = _entries_of(items, made_at)
+            added = _entries_from_evidence(items, made_at)
             known = {entry.fingerprint for entry in entries}
             if all(entry.fingerprint in known for entry in added):
                 return None
-            data = _encode(_joined(entries, added, made_at))
+            data = _encode(_merge_entries(entries, added, made_at))
             answer = await self._store.write(
                 QUARANTINE_TABLE, KEY, data, expected=revision
             )
@@ -114,25 +115,31 @@
         return None
 
     async def _read_row(self):
-        """Return entries, the platform's time and the row's revision, or a Failure."""
+        """Return the entries, the platform's time and the row's revision.
+
+        Returns
+        -------
+        tuple of (list of _Entry, float, int) or Failure
+            The time is in seconds; the revision is 0 if there is no row.
+        """
         news = await self._store.read(QUARANTINE_TABLE, first=KEY, past=KEY + "\0")
         if is_failure(news):
             return news
         if news.made_at is None:
-            return fields.UNUSABLE.because("the platform did not tell its time")
+            return fields.UNUSABLE.because("the platform's answer has no time")
         for row in news.rows:
             if row.key != KEY or row.data is None:
                 continue
             entries = _decode(row.data)
             if is_failure(entries):
-                # Of another writer. It is written over when there is something to tell.
+                # Written by another client; overwritten by the next write.
                 self._log.change("quarantine_unreadable", reason=entries.reason)
                 entries = []
             return entries, news.made_at, row.revision
         return [], news.made_at, 0
 
 
-def _entries_of(items, made_at):
+def _entries_from_evidence(items, made_at):
     now = monotonic()
     items_by_fingerprint = {}
     for item in items:
@@ -140,23 +147,23 @@
     return [
         _Entry(
             fingerprint=fingerprint,
-            starts=[item.start for item in known][:MOST_STARTS],
+            starts=[item.start for item in known][:MAX_STARTS_PER_REQUEST],
             until=made_at + min(item.deadline for item in known) - now,
         )
         for fingerprint, known in items_by_fingerprint.items()
     ]
 
 
-def _joined(entries, added, made_at):
-    """Return the entries that the row tells of from now on, the oldest first."""
-    names = {entry.fingerprint for entry in added}
+def _merge_entries(entries, added, made_at):
+    """Return the entries of the row after adding some, ordered by expiry."""
+    added_fingerprints = {entry.fingerprint for entry in added}
     kept = [
         entry
         for entry in entries
-        if entry.until > made_at and entry.fingerprint not in names
+        if entry.until > made_at and entry.fingerprint not in added_fingerprints
     ]
-    joined = sorted([*kept, *added], key=lambda entry: entry.until)
-    return joined[-MOST_REQUESTS:]
+    merged = sorted([*kept, *added], key=lambda entry: entry.until)
+    return merged[-MAX_REQUESTS:]
 
 
 def _encode(entries):
@@ -177,8 +184,8 @@
     return [
         _Entry(
             fingerprint=fields.text(item, "fingerprint"),
-            starts=fields.texts(item, "starts")[:MOST_STARTS],
+            starts=fields.texts(item, "starts")[:MAX_STARTS_PER_REQUEST],
             until=fields.number(item, "until_ms") / MS,
         )
-        for item in fields.children(tree, "requests")[:MOST_REQUESTS]
+        for item in fields.children(tree, "requests")[:MAX_REQUESTS]
     ]
--- a/hawthornspoke/mirror/_record.py
+++ b/hawthornspoke/mirror/_record.py
@@ -1,30 +1,30 @@
-"""What a row of our own tells of the moments at which versions were declared."""
+"""Rows that record when versions of weights were declared."""
 
 import json
 
 from hawthornspoke import fields
 
-#: The table of these rows. A row's key is the model, so that there are never more
-#: rows than models, however many versions are declared.
+#: Name of the table. Rows are keyed by model, so that the number of rows is bounded by
+#: the number of models, however many versions are declared.
 RECORD_TABLE = "declared-weights"
 
-#: Versions of a model that a row tells of. Older ones bind no longer than these do.
-KEPT = 4
+#: Maximum number of versions in a row. Older ones do not bind longer than these.
+MAX_VERSIONS = 4
 
 #: Milliseconds in a second.
 MS = 1000
 
 
-class Dating:
-    """A moment before which a version was not declared.
+class DeclarationTime:
+    """Lower bound on the time at which a version was declared.
 
     Parameters
     ----------
     version : int
     revision : int
-        Of the transaction that declared it.
+        Revision of the transaction that declared it.
     not_before : float
-        Seconds on the platform's own clock.
+        Seconds on the platform's clock.
     """
 
     __slots__ = ("version", "revision", "not_before")
@@ -35,8 +35,8 @@
         self.not_before = not_before
 
 
-def encode_record(datings):
-    """Return a row's data.
+def encode_record(declaration_times):
+    """Encode the data of a row.
 
     Parameters
     ----------
@@ -49,29 +49,29 @@
     """
     items = [
         {
-            "version": dating.version,
-            "revision": dating.revision,
-            # Cut to whole milliseconds, which makes the moment earlier.
-            "not_before_ms": int(dating.not_before * MS),
+            "version": declaration_time.version,
+            "revision": declaration_time.revision,
+            # Rounded down, so that it remains a lower bound.
+            "not_before_ms": int(declaration_time.not_before * MS),
         }
-        for dating in datings
+        for declaration_time in declaration_times
     ]
     return json.dumps({"versions": items}).encode()
 
 
-def read_record(row, *, made_at):
-    """Return what a row tells, if it can be true.
+def decode_record(row, *, made_at):
+    """Decode a row and validate its declaration times.
 
-    Anyone who writes to the platform may have made the row. A moment that is later
-    than the answer that holds it, or a row that is older than what it tells of, would
-    give old weights time that nobody granted them; one would notice answers of theirs
-    long after their bound. Where one of the moments can't be true, none is believed.
+    Any client of the platform may have written the row. A time later than the answer
+    that contains it, or a row older than a declaration it records, would extend the
+    time for which old weights may answer requests beyond the permitted bound. If one of
+    the times is impossible, the whole row is rejected.
 
     Parameters
     ----------
     row : Row
     made_at : float or None
-        When the platform made the answer with the row, on its own clock.
+        When the platform made the answer with the row, in seconds on its own clock.
 
     Returns
     -------
@@ -81,22 +81,29 @@
     if row.data is None:
         return []
     if made_at is None:
-        return fields.UNUSABLE.because("the platform did not tell its time")
-    datings = _decode(row.data)
-    if not isinstance(datings, list):
-        return datings
-    before = None
-    for dating in datings:
-        if dating.not_before > made_at or dating.revision >= row.revision:
-            return fields.UNUSABLE.because(f"version {dating.version}: in the future")
-        if before is not None and not _follows(dating, before):
-            return fields.UNUSABLE.because(f"version {dating.version}: out of order")
-        before = dating
-    return datings
-
-
-def add_dating(datings, added):
-    """Return datings with one more of a newer version.
+        return fields.UNUSABLE.because("the platform's answer has no time")
+    declaration_times = _decode(row.data)
+    if not isinstance(declaration_times, list):
+        return declaration_times
+    previous = None
+    for declaration_time in declaration_times:
+        if (
+            declaration_time.not_before > made_at
+            or declaration_time.revision >= row.revision
+        ):
+            return fields.UNUSABLE.because(
+                f"version {declaration_time.version}: declared in the future"
+            )
+        if previous is not None and not _is_after(declaration_time, previous):
+            return fields.UNUSABLE.because(
+                f"version {declaration_time.version}: not in order of declaration"
+            )
+        previous = declaration_time
+    return declaration_times
+
+
+def add_declaration_time(declaration_times, added):
+    """Return declaration times with that of a newer version appended.
 
     Parameters
     ----------
@@ -110,24 +117,24 @@
     """
     older = [
         item
-        for item in datings
+        for item in declaration_times
         if item.version < added.version and item.revision < added.revision
     ]
     if older:
-        # What was not declared before the older one was not so before that moment.
-        added = Dating(
+        # A newer version was not declared before an older one.
+        added = DeclarationTime(
             version=added.version,
             revision=added.revision,
             not_before=max(added.not_before, older[-1].not_before),
         )
-    return [*older, added][-KEPT:]
+    return [*older, added][-MAX_VERSIONS:]
 
 
 @fields.as_value
 def _decode(data):
     tree = fields.object_of(data)
     return [
-        Dating(
+        DeclarationTime(
             version=fields.whole_number(
                 item, "version", low=1, high=fields.LARGEST_VERSION
             ),
@@ -138,9 +145,9 @@
     ]
 
 
-def _follows(dating, before):
+def _is_after(declaration_time, previous):
     return (
-        dating.version > before.version
-        and dating.revision > before.revision
-        and dating.not_before >= before.not_before
+        declaration_time.version > previous.version
+        and declaration_time.revision > previous.revision
+        and declaration_time.not_before >= previous.not_before
     )
--- a/hawthornspoke/mirror/_record_keeper.py
+++ b/hawthornspoke/mirror/_record_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the moments of declarations where they outlive all processes."""
+"""Stores declaration times on the platform, where they outlive all processes."""
 
 import asyncio
 import random
@@ -7,74 +7,77 @@
 from hawthornspoke.catalog import UNKNOWN
 from hawthornspoke.mirror._record import (
     RECORD_TABLE,
-    Dating,
-    add_dating,
+    DeclarationTime,
+    add_declaration_time,
+    decode_record,
     encode_record,
-    read_record,
 )
 from hawthornspoke.mirror._types import Written
 
-#: Seconds after a declaration was heard of for which a call that failed is made
-#: again. Bounds of old weights are 8 and 13.4 s; later the moment gains little.
-RETRY_FOR = 10.0
+#: Seconds after a declaration was received for which a failed call is retried. Old
+#: weights may be used for 8 and 13.4 s after a declaration; later, knowing its time
+#: gains little.
+RETRY_TIME_LIMIT = 10.0
 
-#: Seconds between two tries, drawn at random between these: all hosts that read the
-#: platform write at the same declaration.
+#: Bounds of the random delay in seconds between attempts: all hosts that read the
+#: platform write on the same declaration.
 RETRY_PAUSE = (0.5, 1.0)
 
-#: Times that a row is written anew after another host was quicker. There are as many
-#: writers as failure domains, and one that was quicker mostly wrote the same version.
-CONFLICTS = 4
+#: Maximum attempts to write a row after conflicts with other hosts. There are as many
+#: writers as failure domains, and most conflicts are with a write of the same version.
+MAX_WRITE_ATTEMPTS = 4
 
 
-#: Seconds by which a moment must be later to be written in place of another: answers
-#: of two tables come each second, so that moments of hosts in touch differ by less.
-WORTH_A_WRITE = 1.0
+#: Seconds by which a declaration time must be later to replace a stored one. Answers
+#: of two tables arrive every second, so that the times of connected hosts differ by
+#: less.
+MIN_IMPROVEMENT = 1.0
 
 
-class _Due:
-    """A declaration of which the moment is to be written, or read."""
+class _PendingDeclaration:
+    """A declaration whose time has to be written or read."""
 
     __slots__ = ("version", "revision", "not_before", "heard_at")
 
     def __init__(self, *, version, revision, not_before, heard_at):
         self.version = version
         self.revision = revision
-        # On the platform's clock; None if this host can't tell, and has to read it.
+        # On the platform's clock; None if this host has to read it from the row.
         self.not_before = not_before
         self.heard_at = heard_at
 
 
-class _Known:
-    """A row as it was last seen: its revision, 0 if it isn't there."""
+class _StoredRow:
+    """Last known state of a row; revision 0 if the row does not exist."""
 
-    __slots__ = ("datings", "revision")
+    __slots__ = ("declaration_times", "revision")
 
-    def __init__(self, *, datings=(), revision=0):
-        self.datings = list(datings)
+    def __init__(self, *, declaration_times=(), revision=0):
+        self.declaration_times = list(declaration_times)
         self.revision = revision
 
 
 class RecordKeeper:
-    """Writes when a version was declared, or reads it if this process can't tell.
+    """Writes declaration times of versions, or reads those this process can't know.
 
-    A version binds a fixed time after its declaration, and at once if nobody knows
-    when that was. If all processes were killed at once just after a declaration, old
-    weights were refused until the new ones were loaded, while engines that held the
-    old ones lived on. So a process that can date a declaration writes the moment to
-    the platform, and one that can't looks there once.
+    A version becomes binding a fixed time after its declaration, and immediately if the
+    time of the declaration is unknown. If all processes were killed just after a
+    declaration, old weights would be refused until the new ones were loaded, although
+    engines with the old ones were still running. Therefore a process that knows a bound
+    on the time of a declaration writes it to the platform, and others read it from
+    there once.
 
     Parameters
     ----------
     store : object
-        ``await read(table, first=, past=)`` returns News or a Failure, ``await
-        write(table, key, data, expected=)`` Written, News of the row if it isn't as
-        expected, or a Failure.
+        ``await read(table, first=, past=)`` returns News or a Failure. ``await
+        write(table, key, data, expected=)`` returns Written, News of the row if its
+        revision isn't the expected one, or a Failure.
     clock : PlatformClock
-        Knows what the platform told this process.
+        Clock fed with the platform's answers to this process.
     on_dated : callable
-        Called with a model and a tuple of versions and moments, on the contact clock,
-        before which they were not declared.
+        Called with a model and a tuple of pairs of a version and a lower bound on its
+        declaration time, in seconds on the contact clock.
     log : EventLog
     """
 
@@ -83,9 +86,9 @@
         "_clock",
         "_on_dated",
         "_log",
-        "_taken_by_model",
-        "_due_by_model",
-        "_known_by_model",
+        "_newest_revision_by_model",
+        "_pending_by_model",
+        "_stored_by_model",
         "_wake",
     )
 
@@ -94,32 +97,33 @@
         self._clock = clock
         self._on_dated = on_dated
         self._log = log
-        self._taken_by_model = {}
-        self._due_by_model = {}
-        self._known_by_model = {}
+        self._newest_revision_by_model = {}
+        self._pending_by_model = {}
+        self._stored_by_model = {}
         self._wake = asyncio.Event()
 
-    def take(self, declared, row, *, first_hand=True):
-        """Take a declaration; one that is known changes nothing.
+    def take(self, declared, row, *, from_platform=True):
+        """Schedule the write or read for a declaration, unless it is known already.
 
         Parameters
         ----------
         declared : DeclaredWeights
         row : Row
-            That told it.
-        first_hand : bool, default=True
-            Whether the platform told this process, and no neighbour.
+            Row that contains the declaration.
+        from_platform : bool, default=True
+            Whether the row was read from the platform and not from a neighbour.
         """
-        if row.revision <= self._taken_by_model.get(declared.model, 0):
+        if row.revision <= self._newest_revision_by_model.get(declared.model, 0):
             return
-        self._taken_by_model[declared.model] = row.revision
-        not_before = self._clock.last_without(row.revision)
-        if row.written_at != UNKNOWN and (not_before is None or not first_hand):
-            # A neighbour told the moment, and has written it. This process may know
-            # an earlier one, of when it read the platform itself; were that written
-            # too, each of 99 entry hosts would call the platform for each version.
+        self._newest_revision_by_model[declared.model] = row.revision
+        not_before = self._clock.last_answer_before(row.revision)
+        if row.written_at != UNKNOWN and (not_before is None or not from_platform):
+            # The neighbour that sent the time has written it. This process may know an
+            # earlier bound from a time when it read the platform itself, but if that
+            # were written as well, each of 99 entry hosts would call the platform for
+            # each version.
             return
-        self._due_by_model[declared.model] = _Due(
+        self._pending_by_model[declared.model] = _PendingDeclaration(
             version=declared.version,
             revision=row.revision,
             not_before=not_before,
@@ -128,110 +132,126 @@
         self._wake.set()
 
     async def run(self):
-        """Write and read until cancelled."""
+        """Write and read declaration times until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while self._due_by_model:
-                for model, due in list(self._due_by_model.items()):
-                    await self._try(model, due)
-                if self._due_by_model:
+            while self._pending_by_model:
+                for model, pending in list(self._pending_by_model.items()):
+                    await self._process(model, pending)
+                if self._pending_by_model:
                     await asyncio.sleep(random.uniform(*RETRY_PAUSE))
 
-    async def _try(self, model, due):
-        if due.not_before is None:
-            outcome = await self._read(model, due)
+    async def _process(self, model, pending):
+        if pending.not_before is None:
+            outcome = await self._read(model, pending)
         else:
-            outcome = await self._write(model, due)
-        is_over = contact_clock() >= due.heard_at + RETRY_FOR
+            outcome = await self._write(model, pending)
+        is_over = contact_clock() >= pending.heard_at + RETRY_TIME_LIMIT
         if is_failure(outcome):
             self._log.change(
                 "record_failed", model=model, reason=outcome.reason, is_over=is_over
             )
-        is_settled = is_over or not is_failure(outcome)
-        if is_settled and self._due_by_model.get(model) is due:
-            del self._due_by_model[model]
+        is_finished = is_over or not is_failure(outcome)
+        if is_finished and self._pending_by_model.get(model) is pending:
+            del self._pending_by_model[model]
 
-    async def _read(self, model, due):
+    async def _read(self, model, pending):
         asked_at = contact_clock()
         news = await self._store.read(RECORD_TABLE, first=model, past=model + "\0")
         if is_failure(news):
             return news
         received_at = contact_clock()
         if news.made_at is not None:
-            self._clock.note(
+            self._clock.add_answer(
                 asked_at=asked_at, made_at=news.made_at, revision=news.revision
             )
-        moments = []
-        for dating in self._keep(model, news).datings:
-            moment = self._clock.earliest(dating.not_before, received_at=received_at)
-            if moment > due.heard_at:
-                self._refuse(model, "later than its version was heard of")
+        bounds = []
+        for declaration_time in self._remember_row(model, news).declaration_times:
+            bound = self._clock.answer_time_bound(
+                declaration_time.not_before, received_at=received_at
+            )
+            if bound > pending.heard_at:
+                self._log_refused_row(
+                    model, "time is later than the receipt of its version"
+                )
                 return None
-            if _concerns(dating, due):
-                moments.append((dating.version, moment))
-        if moments:
-            self._on_dated(model, tuple(moments))
+            if _applies_to(declaration_time, pending):
+                bounds.append((declaration_time.version, bound))
+        if bounds:
+            self._on_dated(model, tuple(bounds))
         return None
 
-    async def _write(self, model, due):
-        own = Dating(
-            version=due.version, revision=due.revision, not_before=due.not_before
+    async def _write(self, model, pending):
+        own = DeclarationTime(
+            version=pending.version,
+            revision=pending.revision,
+            not_before=pending.not_before,
         )
-        known = self._known_by_model.get(model) or _Known()
-        for _ in range(CONFLICTS):
-            if _tells_enough(known.datings, own):
+        stored = self._stored_by_model.get(model) or _StoredRow()
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            if _is_already_recorded(stored.declaration_times, own):
                 return None
-            datings = add_dating(known.datings, own)
+            declaration_times = add_declaration_time(stored.declaration_times, own)
             answer = await self._store.write(
-                RECORD_TABLE, model, encode_record(datings), expected=known.revision
+                RECORD_TABLE,
+                model,
+                encode_record(declaration_times),
+                expected=stored.revision,
             )
             if is_failure(answer):
                 return answer
             if isinstance(answer, Written):
-                # If its revision is a later one, the next write is told the row.
-                self._known_by_model[model] = _Known(
-                    datings=datings, revision=answer.revision
+                # If the revision is that of a later write, the next write conflicts
+                # and gets the row.
+                self._stored_by_model[model] = _StoredRow(
+                    declaration_times=declaration_times, revision=answer.revision
                 )
                 return None
-            known = self._keep(model, answer)
+            stored = self._remember_row(model, answer)
         return None
 
-    def _keep(self, model, news):
-        """Remember the row of a model as an answer shows it."""
-        known = _Known()
+    def _remember_row(self, model, news):
+        """Store the row of a model as contained in an answer, and return it."""
+        stored = _StoredRow()
         for row in news.rows:
             if row.key != model or row.data is None:
                 continue
-            datings = read_record(row, made_at=news.made_at)
-            if is_failure(datings):
-                self._refuse(model, datings.reason)
-                datings = ()
-            known = _Known(datings=datings, revision=row.revision)
-        self._known_by_model[model] = known
-        return known
-
-    def _refuse(self, model, reason):
+            declaration_times = decode_record(row, made_at=news.made_at)
+            if is_failure(declaration_times):
+                self._log_refused_row(model, declaration_times.reason)
+                declaration_times = ()
+            stored = _StoredRow(
+                declaration_times=declaration_times, revision=row.revision
+            )
+        self._stored_by_model[model] = stored
+        return stored
+
+    def _log_refused_row(self, model, reason):
         self._log.change("record_refused", model=model, reason=reason)
 
 
-def _tells_enough(datings, own):
-    """Tell whether another host was quicker, with this declaration or a later one.
+def _is_already_recorded(declaration_times, own):
+    """Return whether the row already has this declaration, or a later one.
 
-    The quickest may be one that had heard nothing for long, and whose moment is early
-    by as much; of two moments before which nothing was declared the later tells most.
+    A time that is earlier than ``own`` by more than ``MIN_IMPROVEMENT`` does not count:
+    the first writer may have been without contact for long, so that its bound is too
+    early. Of two lower bounds the later one is more precise.
     """
-    if any(item.revision > own.revision for item in datings):
+    if any(item.revision > own.revision for item in declaration_times):
         return True
     return any(
         item.revision == own.revision
-        and item.not_before >= own.not_before - WORTH_A_WRITE
-        for item in datings
+        and item.not_before >= own.not_before - MIN_IMPROVEMENT
+        for item in declaration_times
     )
 
 
-def _concerns(dating, due):
-    """Tell whether a moment is of a declared version, or of one before it."""
-    if dating.version == due.version:
-        return dating.revision == due.revision
-    return dating.version < due.version and dating.revision < due.revision
+def _applies_to(declaration_time, pending):
+    """Return whether a time is that of the pending declaration or an earlier one."""
+    if declaration_time.version == pending.version:
+        return declaration_time.revision == pending.revision
+    return (
+        declaration_time.version < pending.version
+        and declaration_time.revision < pending.revision
+    )
--- a/hawthornspoke/mirror/_tables.py
+++ b/hawthornspoke/mirror/_tables.py
@@ -1,11 +1,11 @@
-"""The rows that this process has read."""
+"""Local copies of the platform's tables."""
 
 from hawthornspoke.mirror._types import News, Row
 
-#: Removed rows that are remembered for each table, so that a neighbour hears of
-#: them. One that asks from before the oldest of these gets the whole table; a
-#: failure domain has some dozen endpoints, so this is hours of them.
-REMOVED_KEPT = 200
+#: Maximum number of tombstones (removed rows) kept for each table, for answers to
+#: neighbours. A query from before the oldest tombstone gets the whole table. A failure
+#: domain has some dozen endpoints, so this covers hours.
+MAX_TOMBSTONES = 200
 
 
 class _Table:
@@ -17,17 +17,17 @@
         self.complete_from = 0
 
     def is_older(self, row):
-        """Tell whether a newer row of the same key is known."""
+        """Return whether a newer row with the same key is known."""
         known = self.row_by_key.get(row.key)
         return known is not None and row.revision < known.revision
 
     def live_rows(self):
-        """Return the rows that were not removed."""
+        """Return the rows that are not tombstones."""
         return [row for row in self.row_by_key.values() if row.data is not None]
 
 
 class Mirror:
-    """Tables as this process last read them, with what was removed lately."""
+    """Tables as last read by this process, with tombstones of removed rows."""
 
     __slots__ = ("_table_by_name",)
 
@@ -35,11 +35,11 @@
         self._table_by_name = {}
 
     def take(self, name, news):
-        """Take what was read of a table, but for rows that are older than the known.
+        """Apply an answer to a table, except for rows older than the known ones.
 
-        Neighbours are asked in turn, and one that stood still, or was cut off, tells
-        what it knew before. Its older rows would bring an endpoint back that is gone
-        or has started again; one would notice requests to engines without weights.
+        Neighbours are queried in turn, and one that was suspended or partitioned
+        answers with an old state. Its rows would restore endpoints that are gone or
+        have restarted, and requests would be sent to engines without weights.
 
         Parameters
         ----------
@@ -49,30 +49,30 @@
         Returns
         -------
         News
-            What of it is to be believed, whole if ``news`` is: then with the known
-            rows in place of older ones.
+            The accepted part of the answer. If ``news`` is whole it is whole as well,
+            with the known rows in place of older ones.
         """
         table = self._table_by_name.get(name)
         if table is None:
             table = self._table_by_name[name] = _Table()
-            # What was removed before was never seen here.
+            # Rows removed before this revision were never seen by this process.
             table.complete_from = news.revision
         if news.whole:
-            there = {row.key for row in news.rows}
+            present_keys = {row.key for row in news.rows}
             for key, row in list(table.row_by_key.items()):
-                is_removed = key not in there and row.data is not None
+                is_removed = key not in present_keys and row.data is not None
                 if is_removed and row.revision <= news.revision:
                     table.row_by_key[key] = Row(
                         key=key, data=None, revision=news.revision
                     )
-        fresh = [row for row in news.rows if not table.is_older(row)]
-        for row in fresh:
+        newer_rows = [row for row in news.rows if not table.is_older(row)]
+        for row in newer_rows:
             table.row_by_key[row.key] = row
         table.revision = max(table.revision, news.revision)
-        taken = table.live_rows() if news.whole else fresh
-        self._forget_removed(table)
+        accepted_rows = table.live_rows() if news.whole else newer_rows
+        self._drop_old_tombstones(table)
         return News(
-            rows=taken,
+            rows=accepted_rows,
             revision=table.revision,
             whole=news.whole,
             confirmed_at=news.confirmed_at,
@@ -80,16 +80,16 @@
             known_until=news.known_until,
         )
 
-    def date(self, name, news, written_after):
-        """Note from when the rows of an answer of the platform may date.
+    def set_write_times(self, name, news, write_time_bound):
+        """Set lower bounds on the write times of the rows of a platform's answer.
 
         Parameters
         ----------
         name : str
         news : News
-            ``known_until`` is set.
-        written_after : callable
-            Returns a moment before which a row of some revision was not written.
+            Its ``known_until`` has to be set.
+        write_time_bound : callable
+            Given a revision, returns a lower bound on the time it was written.
         """
         table = self._table_by_name.get(name)
         known_by_key = table.row_by_key if table is not None else {}
@@ -98,21 +98,21 @@
             if known is not None and known.revision == row.revision:
                 row.written_at = known.written_at
             else:
-                row.written_at = max(news.known_until, written_after(row.revision))
+                row.written_at = max(news.known_until, write_time_bound(row.revision))
 
-    def since(self, name, after):
-        """Return what changed in a table.
+    def changes_since(self, name, after):
+        """Return the changes of a table since a revision.
 
         Parameters
         ----------
         name : str
         after : int or None
-            Revision up to which the table is known; None for all of it.
+            Revision up to which the table is known; None returns the whole table.
 
         Returns
         -------
         News or None
-            None if the table was not read yet.
+            None if the table has not been read yet.
         """
         table = self._table_by_name.get(name)
         if table is None:
@@ -124,12 +124,12 @@
         changed.sort(key=lambda row: row.revision)
         return News(rows=changed, revision=table.revision)
 
-    def _forget_removed(self, table):
-        removed = sorted(
+    def _drop_old_tombstones(self, table):
+        tombstones = sorted(
             (row.revision, key)
             for key, row in table.row_by_key.items()
             if row.data is None
         )
-        for revision, key in removed[:-REMOVED_KEPT]:
+        for revision, key in tombstones[:-MAX_TOMBSTONES]:
             del table.row_by_key[key]
             table.complete_from = max(table.complete_from, revision)
--- a/hawthornspoke/mirror/_types.py
+++ b/hawthornspoke/mirror/_types.py
@@ -1,12 +1,12 @@
-"""Rows of the platform's tables, and answers to what changed in one."""
+"""Rows of the platform's tables, and answers to queries for changes."""
 
 from hawthornspoke.base import Failure
 from hawthornspoke.catalog import UNKNOWN
 
-#: The answer if what changed since a revision is no longer known.
+#: The changes since the requested revision are no longer available.
 HISTORY_GONE = Failure(code="history_gone")
 
-#: The answer of a neighbour that leaves reading to others, or can't read now.
+#: The neighbour does not read the platform, or can't read it now.
 NOT_READING = Failure(code="not_reading")
 
 
@@ -19,10 +19,10 @@
     data : bytes or None
         None if the row was removed.
     revision : int
-        Of the transaction that wrote it.
+        Revision of the transaction that wrote it.
     written_at : float, default=UNKNOWN
-        A moment before which it was not written, on the clock that goes on while a
-        host is suspended; ``UNKNOWN`` if there is none.
+        Lower bound on the time of writing, in seconds on the contact clock, which
+        continues while a host is suspended; ``UNKNOWN`` if there is none.
     """
 
     __slots__ = ("key", "data", "revision", "written_at")
@@ -35,12 +35,12 @@
 
 
 class Written:
-    """A row was written as asked.
+    """Result of a successful write of a row.
 
     Parameters
     ----------
     revision : int
-        Of the newest transaction, which may be a later one.
+        Revision of the newest transaction, which may be later than this write.
     """
 
     __slots__ = ("revision",)
@@ -50,24 +50,25 @@
 
 
 class News:
-    """What changed in a table.
+    """Changes of a table, or all of its rows.
 
     Parameters
     ----------
     rows : list of Row
     revision : int
-        Up to which the rows are complete.
+        Revision up to which the rows are complete.
     whole : bool, default=False
-        Whether these are all rows of the table, not only changed ones.
+        Whether these are all rows of the table and not only the changed ones.
     confirmed_at : float or None, default=None
-        A moment at which this was the platform's newest word, on the clock that goes
-        on while a host is suspended; None if the answer itself has to tell.
+        Time at which this was the newest state of the platform, in seconds on the
+        contact clock, which continues while a host is suspended. None in an answer of
+        the platform, until its reader sets it.
     made_at : float or None, default=None
-        When the platform made the answer, in seconds on its own steady clock; None
-        if it did not say.
+        When the platform made the answer, in seconds on its own monotonic clock; None
+        if the answer does not state it.
     known_until : float, default=UNKNOWN
-        A moment until which this process knew all of the table before;
-        ``UNKNOWN`` if it did not.
+        Time up to which this process knew the complete table before this answer, in
+        seconds on the contact clock; ``UNKNOWN`` if it did not.
     """
 
     __slots__ = (
--- a/hawthornspoke/mirror/_unusable.py
+++ b/hawthornspoke/mirror/_unusable.py
@@ -1,27 +1,28 @@
-"""Rows that nobody can use: told once, counted, and the others go on."""
+"""Rows that can't be decoded: logged once, counted and skipped."""
 
 from hawthornspoke.base import is_failure, monotonic
 
-#: Kinds of rows, on log lines and the counter.
+#: Kinds of rows, in log lines and as a label of the counter.
 CONFIGURATION = "configuration"
 ENDPOINT = "endpoint"
 WEIGHTS = "weights"
 
-#: Characters of a key or a reason on a log line.
-LONGEST_SHOWN = 200
+#: Maximum characters of a key or a reason in a log line.
+MAX_LOGGED_LENGTH = 200
 
-#: Lines a minute. Another writer may fill a table in a second; with these lines the
-#: log would leave out those of the process's own changes. The counter has all.
+#: Maximum log lines per minute. Another writer may fill a table within a second; with
+#: a line for each row, the log would drop the lines about changes of this process. The
+#: counter includes all rows.
 LINES_PER_MINUTE = 60
 MINUTE = 60.0
 
 
 class UnusableRows:
-    """Tells of rows that can't be used, once for each row and reason.
+    """Logs and counts rows that can't be decoded, once for each row and reason.
 
-    The reason stands for the bytes: an endpoint's row is written anew with each of
-    its heartbeats, and whole tables are read often, so that a line for each read, or
-    for each new byte, would hide all others.
+    Rows are compared by the reason and not by their bytes. The row of an endpoint is
+    rewritten with each heartbeat, and whole tables are read often, so a line for each
+    read or each change of the bytes would hide all others.
 
     Parameters
     ----------
@@ -29,59 +30,66 @@
     metrics : Metrics
     """
 
-    __slots__ = ("_log", "_metrics", "_reason_by_key_by_kind", "_lines", "_ends_at")
+    __slots__ = (
+        "_log",
+        "_metrics",
+        "_reason_by_key_by_kind",
+        "_lines_this_minute",
+        "_minute_ends_at",
+    )
 
     def __init__(self, *, log, metrics):
         self._log = log
         self._metrics = metrics
         self._reason_by_key_by_kind = {}
-        self._lines = 0
-        self._ends_at = float("-inf")
+        self._lines_this_minute = 0
+        self._minute_ends_at = float("-inf")
 
     def take(self, kind, reason_by_key):
-        """Take all rows of a kind that can't be used now.
+        """Update the unusable rows of a kind, and report the new ones.
 
         Parameters
         ----------
         kind : str
         reason_by_key : dict of str to str
+            All rows of the kind that can't be decoded now.
         """
-        before = self._reason_by_key_by_kind.get(kind, {})
+        previous_reason_by_key = self._reason_by_key_by_kind.get(kind, {})
         self._reason_by_key_by_kind[kind] = dict(reason_by_key)
         for key, reason in reason_by_key.items():
-            if before.get(key) != reason:
-                self._tell(kind, key, reason)
+            if previous_reason_by_key.get(key) != reason:
+                self._report_row(kind, key, reason)
 
-    def _tell(self, kind, key, reason):
+    def _report_row(self, kind, key, reason):
         self._metrics.count("rows_not_understood_total", kind=kind)
         now = monotonic()
-        if now >= self._ends_at:
-            self._ends_at = now + MINUTE
-            self._lines = 0
-        self._lines += 1
-        if self._lines <= LINES_PER_MINUTE:
+        if now >= self._minute_ends_at:
+            self._minute_ends_at = now + MINUTE
+            self._lines_this_minute = 0
+        self._lines_this_minute += 1
+        if self._lines_this_minute <= LINES_PER_MINUTE:
             self._log.change(
                 "row_not_understood",
                 kind=kind,
-                key=key[:LONGEST_SHOWN],
-                reason=reason[:LONGEST_SHOWN],
+                key=key[:MAX_LOGGED_LENGTH],
+                reason=reason[:MAX_LOGGED_LENGTH],
             )
 
 
 def sort_out(rows, decode):
-    """Decode rows, each for itself.
+    """Decode rows independently of each other.
 
     Parameters
     ----------
     rows : iterable of Row
     decode : callable
-        Given key and data, returns what the row holds or a Failure.
+        Given key and data, returns the decoded row or a Failure.
 
     Returns
     -------
     item_by_key : dict of str to object
     reason_by_key : dict of str to str
-        Of the rows that can't be used; removed ones are in neither.
+        Reasons why rows can't be decoded. Removed rows are in neither dictionary.
     """
     item_by_key, reason_by_key = {}, {}
     for row in rows:
--- a/hawthornspoke/mirror/tests/test_dating.py
+++ b/hawthornspoke/mirror/tests/test_dating.py
@@ -6,7 +6,7 @@
 from hawthornspoke.catalog import UNKNOWN
 from hawthornspoke.mirror import Mirror, News, Row
 from hawthornspoke.mirror._dating import PlatformClock
-from hawthornspoke.mirror._watch import NEIGHBOUR_WAIT, OUTAGE
+from hawthornspoke.mirror._watch import MIN_OUTAGE, NEIGHBOUR_WAIT
 from hawthornspoke.mirror.tests.test_watch import play, until
 
 
@@ -18,10 +18,10 @@
     have been written when it arrived.
     """
     clock = PlatformClock()
-    clock.note(asked_at=100.0, made_at=7.002, revision=40)
-    clock.note(asked_at=101.0, made_at=8.5, revision=43)
-    assert round(clock.earliest(8.5, received_at=102.1), 3) == 101.498
-    assert round(clock.written_after(42, received_at=102.1), 3) == 100.0
+    clock.add_answer(asked_at=100.0, made_at=7.002, revision=40)
+    clock.add_answer(asked_at=101.0, made_at=8.5, revision=43)
+    assert round(clock.answer_time_bound(8.5, received_at=102.1), 3) == 101.498
+    assert round(clock.write_time_bound(42, received_at=102.1), 3) == 100.0
 
 
 def test_question_that_was_long_on_its_way_makes_nothing_newer():
@@ -33,37 +33,37 @@
     the change.
     """
     clock = PlatformClock()
-    clock.note(asked_at=100.0, made_at=0.004, revision=4)
-    clock.note(asked_at=100.89, made_at=0.9, revision=4)
-    clock.note(asked_at=101.3, made_at=1.9, revision=5)
-    assert clock.written_after(5, received_at=101.95) <= 100.95
+    clock.add_answer(asked_at=100.0, made_at=0.004, revision=4)
+    clock.add_answer(asked_at=100.89, made_at=0.9, revision=4)
+    clock.add_answer(asked_at=101.3, made_at=1.9, revision=5)
+    assert clock.write_time_bound(5, received_at=101.95) <= 100.95
 
 
 def test_answer_is_no_later_than_its_arrival_whatever_the_platforms_clock_says():
     clock = PlatformClock()
-    clock.note(asked_at=100.0, made_at=7.0, revision=1)
-    clock.note(asked_at=101.0, made_at=50.0, revision=2)
-    assert clock.earliest(50.0, received_at=101.2) == 101.2
-    assert clock.written_after(3, received_at=101.2) == 101.2
-    clock.note(asked_at=102.0, made_at=1.0, revision=3)
-    assert clock.earliest(1.0, received_at=102.1) <= 102.1
+    clock.add_answer(asked_at=100.0, made_at=7.0, revision=1)
+    clock.add_answer(asked_at=101.0, made_at=50.0, revision=2)
+    assert clock.answer_time_bound(50.0, received_at=101.2) == 101.2
+    assert clock.write_time_bound(3, received_at=101.2) == 101.2
+    clock.add_answer(asked_at=102.0, made_at=1.0, revision=3)
+    assert clock.answer_time_bound(1.0, received_at=102.1) <= 102.1
 
 
 def test_row_older_than_all_answers_has_no_moment():
     clock = PlatformClock()
-    clock.note(asked_at=100.0, made_at=7.0, revision=9)
-    assert clock.written_after(9, received_at=100.1) == UNKNOWN
+    clock.add_answer(asked_at=100.0, made_at=7.0, revision=9)
+    assert clock.write_time_bound(9, received_at=100.1) == UNKNOWN
 
 
 def test_rows_keep_their_moment_when_the_table_is_read_again():
     mirror = Mirror()
     first = News(rows=[Row(key="a", data=b"1", revision=3)], revision=3, whole=True)
-    mirror.date("t", first, lambda revision: UNKNOWN)
+    mirror.set_write_times("t", first, lambda revision: UNKNOWN)
     mirror.take("t", first)
     assert first.rows[0].written_at == UNKNOWN
     change = News(rows=[Row(key="b", data=b"1", revision=5)], revision=5)
     change.known_until = 10.0
-    mirror.date("t", change, lambda revision: 10.6)
+    mirror.set_write_times("t", change, lambda revision: 10.6)
     mirror.take("t", change)
     again = News(
         rows=[
@@ -74,7 +74,7 @@
         whole=True,
     )
     again.known_until = 12.0
-    mirror.date("t", again, lambda revision: 11.0)
+    mirror.set_write_times("t", again, lambda revision: 11.0)
     assert [row.written_at for row in again.rows] == [12.0, 10.6]
 
 
@@ -86,7 +86,7 @@
         changed_at = contact_clock()
         reader.store.put(b"2")
         await until(lambda: asker.seen[-1] == b"2")
-        (row,) = asker.watch.mirror.since("t", None).rows
+        (row,) = asker.watch.mirror.changes_since("t", None).rows
         assert changed_at - NEIGHBOUR_WAIT < row.written_at <= contact_clock()
         asker.stop()
         await asyncio.sleep(0.3)
@@ -99,7 +99,7 @@
     async def scenario(reader, asker):
         await until(lambda: asker.seen)
         for host in (reader, asker):
-            (row,) = host.watch.mirror.since("t", None).rows
+            (row,) = host.watch.mirror.changes_since("t", None).rows
             assert row.written_at == UNKNOWN
 
     play(scenario)
@@ -117,14 +117,14 @@
         await until(lambda: asker.seen)
         for host in (reader, asker):
             host.store.fault = "down"
-        await asyncio.sleep(OUTAGE + 1.2)
+        await asyncio.sleep(MIN_OUTAGE + 1.2)
         back_at = contact_clock()
         for host in (reader, asker):
             host.store.put(b"2")
             host.store.fault = None
         await until(lambda: reader.seen[-1] == asker.seen[-1] == b"2")
         for host in (reader, asker):
-            (row,) = host.watch.mirror.since("t", None).rows
+            (row,) = host.watch.mirror.changes_since("t", None).rows
             assert back_at - 0.7 < row.written_at <= contact_clock()
 
     play(scenario)
--- a/hawthornspoke/mirror/tests/test_quarantine_record.py
+++ b/hawthornspoke/mirror/tests/test_quarantine_record.py
@@ -8,7 +8,7 @@
 
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.mirror import News, QuarantineRecord, Row, Written
-from hawthornspoke.mirror._quarantine_record import KEY, MOST_REQUESTS
+from hawthornspoke.mirror._quarantine_record import KEY, MAX_REQUESTS
 from hawthornspoke.quarantine import EVIDENCE_FOR, Evidence
 
 MADE_AT = 1000.0
@@ -156,10 +156,10 @@
 
 def test_row_is_bounded_and_forgets_what_is_over():
     entries = [entry(f"f{number}", left=number - 5) for number in range(100)]
-    store = Store(nothing(), news(*entries[:MOST_REQUESTS]), Written(revision=8))
+    store = Store(nothing(), news(*entries[:MAX_REQUESTS]), Written(revision=8))
     play(store, Suspects(seen()))
     names = [item["fingerprint"] for item in store.written[0][1]]
-    assert len(names) <= MOST_REQUESTS
+    assert len(names) <= MAX_REQUESTS
     assert "f0" not in names and names[-1] == "new"
 
 
--- a/hawthornspoke/mirror/tests/test_readers.py
+++ b/hawthornspoke/mirror/tests/test_readers.py
@@ -1,6 +1,6 @@
 """Who reads the platform."""
 
-from hawthornspoke.mirror import NeighboursTold, ReaderFailed, Readers
+from hawthornspoke.mirror import NeighbourListReceived, ReaderFailed, Readers
 
 
 def test_host_that_knows_nobody_reads_itself():
@@ -12,7 +12,7 @@
     chosen = []
     for host in hosts:
         readers = Readers(address=host)
-        readers.step(NeighboursTold(agent="a", addresses=hosts), now=0.0)
+        readers.step(NeighbourListReceived(agent="a", addresses=hosts), now=0.0)
         chosen.append(readers.reader(0.0))
     assert chosen == [None, "10.0.0.1", "10.0.0.1"]
 
@@ -20,7 +20,7 @@
 def test_failed_reader_is_passed_over_for_a_while():
     readers = Readers(address="10.0.0.3", avoid_for=3.0)
     hosts = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
-    readers.step(NeighboursTold(agent="a", addresses=hosts), now=0.0)
+    readers.step(NeighbourListReceived(agent="a", addresses=hosts), now=0.0)
     readers.step(ReaderFailed(address="10.0.0.1"), now=1.0)
     assert readers.reader(1.0) == "10.0.0.2"
     readers.step(ReaderFailed(address="10.0.0.2"), now=2.0)
@@ -30,7 +30,7 @@
 
 def test_agents_that_are_lost_take_their_word_along():
     readers = Readers(address="10.0.0.3")
-    readers.step(NeighboursTold(agent="a", addresses=("10.0.0.1",)), now=0.0)
-    readers.step(NeighboursTold(agent="b", addresses=("10.0.0.2",)), now=0.0)
-    readers.step(NeighboursTold(agent="a", addresses=()), now=1.0)
+    readers.step(NeighbourListReceived(agent="a", addresses=("10.0.0.1",)), now=0.0)
+    readers.step(NeighbourListReceived(agent="b", addresses=("10.0.0.2",)), now=0.0)
+    readers.step(NeighbourListReceived(agent="a", addresses=()), now=1.0)
     assert readers.reader(1.0) == "10.0.0.2"
--- a/hawthornspoke/mirror/tests/test_record.py
+++ b/hawthornspoke/mirror/tests/test_record.py
@@ -10,12 +10,12 @@
 from hawthornspoke.mirror import News, RecordKeeper, Row, Written
 from hawthornspoke.mirror._dating import PlatformClock
 from hawthornspoke.mirror._record import (
-    KEPT,
+    MAX_VERSIONS,
     RECORD_TABLE,
-    Dating,
-    add_dating,
+    DeclarationTime,
+    add_declaration_time,
+    decode_record,
     encode_record,
-    read_record,
 )
 
 MADE_AT = 50.0
@@ -47,15 +47,19 @@
 
 
 def read(*items):
-    return read_record(row(*items), made_at=MADE_AT)
+    return decode_record(row(*items), made_at=MADE_AT)
 
 
 def test_row_tells_what_was_written():
-    datings = [Dating(version=2, revision=20, not_before=21.0019)]
-    told = Row(key="m", data=encode_record(datings), revision=REVISION)
-    (dating,) = read_record(told, made_at=MADE_AT)
+    declaration_times = [DeclarationTime(version=2, revision=20, not_before=21.0019)]
+    told = Row(key="m", data=encode_record(declaration_times), revision=REVISION)
+    (declaration_time,) = decode_record(told, made_at=MADE_AT)
     # Cut down: a moment that is later than the known one would be no bound.
-    assert (dating.version, dating.revision, dating.not_before) == (2, 20, 21.001)
+    assert (
+        declaration_time.version,
+        declaration_time.revision,
+        declaration_time.not_before,
+    ) == (2, 20, 21.001)
 
 
 def test_row_with_a_moment_that_cant_be_true_is_refused_whole():
@@ -66,35 +70,37 @@
     assert is_failure(read(TWO, {**THREE, "revision": 20}))
     assert is_failure(read(THREE, TWO))
     assert is_failure(read(TWO, {**TWO, "revision": 21}))
-    assert is_failure(read_record(row(TWO), made_at=None))
+    assert is_failure(decode_record(row(TWO), made_at=None))
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(ITEMS, max_size=3))
 @example([TWO, THREE])
 def test_whatever_a_row_holds_it_tells_nothing_of_the_future(items):
-    datings = read(*items)
-    if is_failure(datings):
+    declaration_times = read(*items)
+    if is_failure(declaration_times):
         return
-    for dating in datings:
-        assert 0 <= dating.not_before <= MADE_AT
-        assert dating.revision < REVISION
+    for declaration_time in declaration_times:
+        assert 0 <= declaration_time.not_before <= MADE_AT
+        assert declaration_time.revision < REVISION
 
 
 def test_row_of_any_bytes_is_a_failure():
     for data in (b"", b"\xff", b"7", b"[" * 100_000):
         told = Row(key="m", data=data, revision=REVISION)
-        assert is_failure(read_record(told, made_at=MADE_AT))
+        assert is_failure(decode_record(told, made_at=MADE_AT))
 
 
 def test_only_the_last_versions_are_kept_and_none_dates_before_the_one_before():
-    datings = []
+    declaration_times = []
     for version in range(2, 10):
-        added = Dating(version=version, revision=10 * version, not_before=90.0)
-        datings = add_dating(datings, added)
-    assert [item.version for item in datings] == list(range(10 - KEPT, 10))
-    late = Dating(version=10, revision=100, not_before=80.0)
-    assert add_dating(datings, late)[-1].not_before == 90.0
+        added = DeclarationTime(version=version, revision=10 * version, not_before=90.0)
+        declaration_times = add_declaration_time(declaration_times, added)
+    assert [item.version for item in declaration_times] == list(
+        range(10 - MAX_VERSIONS, 10)
+    )
+    late = DeclarationTime(version=10, revision=100, not_before=80.0)
+    assert add_declaration_time(declaration_times, late)[-1].not_before == 90.0
 
 
 class Store:
@@ -122,7 +128,7 @@
         self.events.append(event)
 
 
-def keep(store, *, declared_at, clock=None, version=2, seconds=0.1, first_hand=True):
+def keep(store, *, declared_at, clock=None, version=2, seconds=0.1, from_platform=True):
     """Tell a keeper of a version of revision 20; return what it dates and logs."""
 
     async def run():
@@ -136,7 +142,7 @@
         declared = DeclaredWeights(model="m", version=version)
         told = Row(key="version", data=b"", revision=20, written_at=declared_at)
         task = asyncio.create_task(keeper.run())
-        keeper.take(declared, told, first_hand=first_hand)
+        keeper.take(declared, told, from_platform=from_platform)
         await asyncio.sleep(seconds)
         task.cancel()
         return dated, log.events
@@ -146,7 +152,7 @@
 
 def clock_that_saw(revision, *, made_at):
     clock = PlatformClock()
-    clock.note(asked_at=contact_clock(), made_at=made_at, revision=revision)
+    clock.add_answer(asked_at=contact_clock(), made_at=made_at, revision=revision)
     return clock
 
 
@@ -238,13 +244,13 @@
     """
     store = Store(news())
     clock = clock_that_saw(19, made_at=20.5)
-    keep(store, declared_at=contact_clock(), clock=clock, first_hand=False)
+    keep(store, declared_at=contact_clock(), clock=clock, from_platform=False)
     assert store.written == []
 
 
 def test_host_that_reads_the_platform_writes_the_row():
     store = Store(news())
     clock = clock_that_saw(19, made_at=20.5)
-    keep(store, declared_at=contact_clock(), clock=clock, first_hand=True)
+    keep(store, declared_at=contact_clock(), clock=clock, from_platform=True)
     # The stand-in tells it that another host was there, so it may try again.
     assert store.written
--- a/hawthornspoke/mirror/tests/test_tables.py
+++ b/hawthornspoke/mirror/tests/test_tables.py
@@ -12,7 +12,7 @@
 
 
 def test_unread_table_is_not_taken_for_an_empty_one():
-    assert Mirror().since("t", None) is None
+    assert Mirror().changes_since("t", None) is None
 
 
 def test_only_what_changed_since_is_told_in_order():
@@ -20,10 +20,10 @@
     mirror.take("t", News(rows=[row("a", 3), row("b", 5)], revision=6, whole=True))
     mirror.take("t", News(rows=[row("b", 8, b"z")], revision=8))
     mirror.take("t", News(rows=[row("a", 9, b"y")], revision=9))
-    news = mirror.since("t", 6)
+    news = mirror.changes_since("t", 6)
     assert told(news) == [("b", b"z"), ("a", b"y")]
     assert (news.revision, news.whole) == (9, False)
-    assert mirror.since("t", 9).rows == []
+    assert mirror.changes_since("t", 9).rows == []
 
 
 def test_what_was_removed_before_the_first_read_is_not_passed_over():
@@ -35,18 +35,18 @@
     """
     mirror = Mirror()
     mirror.take("t", News(rows=[row("a", 3)], revision=6, whole=True))
-    late = mirror.since("t", 4)
+    late = mirror.changes_since("t", 4)
     assert late.whole
     assert told(late) == [("a", b"x")]
-    assert not mirror.since("t", 6).whole
+    assert not mirror.changes_since("t", 6).whole
 
 
 def test_removed_rows_are_told():
     mirror = Mirror()
     mirror.take("t", News(rows=[row("a", 3), row("b", 5)], revision=6, whole=True))
     mirror.take("t", News(rows=[row("a", 8, None)], revision=8))
-    assert told(mirror.since("t", 6)) == [("a", None)]
-    assert told(mirror.since("t", None)) == [("b", b"x")]
+    assert told(mirror.changes_since("t", 6)) == [("a", None)]
+    assert told(mirror.changes_since("t", None)) == [("b", b"x")]
 
 
 def test_row_missing_from_a_whole_read_counts_as_removed():
@@ -58,7 +58,7 @@
     mirror = Mirror()
     mirror.take("t", News(rows=[row("a", 3), row("b", 5)], revision=6, whole=True))
     mirror.take("t", News(rows=[row("b", 5)], revision=20, whole=True))
-    assert told(mirror.since("t", 6)) == [("a", None)]
+    assert told(mirror.changes_since("t", 6)) == [("a", None)]
 
 
 def test_removed_rows_are_remembered_within_a_bound():
@@ -66,10 +66,10 @@
     mirror.take("t", News(rows=[row("kept", 1)], revision=1, whole=True))
     for number in range(2, 1000):
         mirror.take("t", News(rows=[row(f"k{number}", number, None)], revision=number))
-    late = mirror.since("t", 5)
+    late = mirror.changes_since("t", 5)
     assert late.whole
     assert told(late) == [("kept", b"x")]
-    assert not mirror.since("t", 990).whole
+    assert not mirror.changes_since("t", 990).whole
 
 
 def test_late_table_of_a_neighbour_brings_no_older_row_back():
@@ -89,7 +89,10 @@
     assert taken.whole
     assert sorted(told(taken)) == [("a", b"second"), ("c", b"x")]
     assert taken.revision == 9
-    assert sorted(told(mirror.since("t", None))) == [("a", b"second"), ("c", b"x")]
+    assert sorted(told(mirror.changes_since("t", None))) == [
+        ("a", b"second"),
+        ("c", b"x"),
+    ]
 
 
 def test_late_change_of_a_row_is_passed_over():
@@ -107,4 +110,4 @@
     mirror.take("t", News(rows=[row("a", 3), row("b", 4)], revision=5, whole=True))
     taken = mirror.take("t", News(rows=[row("a", 3)], revision=6, whole=True))
     assert told(taken) == [("a", b"x")]
-    assert told(mirror.since("t", 5)) == [("b", None)]
+    assert told(mirror.changes_since("t", 5)) == [("b", None)]
--- a/hawthornspoke/mirror/tests/test_watch.py
+++ b/hawthornspoke/mirror/tests/test_watch.py
@@ -4,12 +4,19 @@
 import socket
 
 from hawthornspoke.base import Failure, contact_clock
-from hawthornspoke.mirror import HISTORY_GONE, Neighbours, News, Row, Table, Watch
-from hawthornspoke.mirror._neighbours import ANSWER_TIME, LOOK_EVERY
+from hawthornspoke.mirror import (
+    HISTORY_GONE,
+    FollowedTable,
+    Neighbours,
+    News,
+    Row,
+    TableWatcher,
+)
+from hawthornspoke.mirror._neighbours import ANSWER_TIMEOUT, POLL_INTERVAL
 from hawthornspoke.mirror._watch import (
+    ANSWER_OVERDUE_AFTER,
     FIRST_START_PAUSE,
     NEIGHBOUR_WAIT,
-    OVERDUE_AFTER,
     RETRY_PAUSE,
     WAIT_SPREAD,
 )
@@ -73,7 +80,7 @@
         self.confirmed = []
         self.lost = []
         self.neighbours = Neighbours(address=address, port=port, log=self)
-        self.watch = Watch(
+        self.watch = TableWatcher(
             store=store,
             neighbours=self.neighbours,
             on_confirmed=self.confirmed.append,
@@ -92,12 +99,12 @@
         if not named_after:
             self.neighbours.told("agent", hosts)
         await self.neighbours.serve(self.watch)
-        table = Table(
+        table = FollowedTable(
             name="t",
             wait=0.5,
             pause=0.05,
             take=lambda news: self.seen.extend(row.data for row in news.rows),
-            confirms=True,
+            confirms_configuration=True,
         )
         self.task = asyncio.get_running_loop().create_task(self.watch.run([table]))
 
@@ -140,9 +147,9 @@
     A reader that the platform no longer answers tells so once the answer is overdue,
     one that stands still is given up after its time; then the platform is read.
     """
-    confirm_every, due, read = 1.0, 2.0, 0.4
-    assert confirm_every + OVERDUE_AFTER + LOOK_EVERY + read < due
-    assert NEIGHBOUR_WAIT + ANSWER_TIME + read < due
+    confirm_interval, due, read = 1.0, 2.0, 0.4
+    assert confirm_interval + ANSWER_OVERDUE_AFTER + POLL_INTERVAL + read < due
+    assert NEIGHBOUR_WAIT + ANSWER_TIMEOUT + read < due
 
 
 def test_asker_hears_changes_and_leaves_the_platform_alone():
@@ -282,7 +289,7 @@
             return await original(table)
 
         host.store.follow, host.store.read = gone, read
-        table = Table(name="t", wait=0.5, pause=0.0, take=host.seen.append)
+        table = FollowedTable(name="t", wait=0.5, pause=0.0, take=host.seen.append)
         following = asyncio.create_task(host.watch.run([table]))
         await asyncio.sleep(1.0)
         following.cancel()
@@ -303,11 +310,11 @@
 
     async def scenario(reader, asker):
         looks = []
-        since = reader.watch.mirror.since
+        changes_since = reader.watch.mirror.changes_since
 
         def counted(name, after):
             looks.append(contact_clock())
-            return since(name, after)
+            return changes_since(name, after)
 
         reader.watch.mirror = Counted(reader.watch.mirror, counted)
         await asyncio.sleep(NEIGHBOUR_WAIT * 2)
@@ -324,9 +331,9 @@
 class Counted:
     """A mirror whose ``since`` is replaced."""
 
-    def __init__(self, mirror, since):
+    def __init__(self, mirror, changes_since):
         self._mirror = mirror
-        self.since = since
+        self.changes_since = changes_since
 
     def __getattr__(self, name):
         return getattr(self._mirror, name)
