--- a/hawthornspoke/mirror/_record_keeper.py
+++ b/hawthornspoke/mirror/_record_keeper.py
@@ -37,14 +37,14 @@
 class _PendingDeclaration:
     """A declaration whose time has to be written or read."""
 
-    __slots__ = ("version", "revision", "not_before", "heard_at")
+    __slots__ = ("version", "revision", "not_before", "learned_at")
 
-    def __init__(self, *, version, revision, not_before, heard_at):
+    def __init__(self, *, version, revision, not_before, learned_at):
         self.version = version
         self.revision = revision
         # On the platform's clock; None if this host has to read it from the row.
         self.not_before = not_before
-        self.heard_at = heard_at
+        self.learned_at = learned_at
 
 
 class _StoredRow:
@@ -127,7 +127,7 @@
             version=declared.version,
             revision=row.revision,
             not_before=not_before,
-            heard_at=contact_clock(),
+            learned_at=contact_clock(),
         )
         self._wake.set()
 
@@ -147,7 +147,7 @@
             outcome = await self._read(model, pending)
         else:
             outcome = await self._write(model, pending)
-        is_over = contact_clock() >= pending.heard_at + RETRY_TIME_LIMIT
+        is_over = contact_clock() >= pending.learned_at + RETRY_TIME_LIMIT
         if is_failure(outcome):
             self._log.change(
                 "record_failed", model=model, reason=outcome.reason, is_over=is_over
@@ -171,7 +171,7 @@
             bound = self._clock.answer_time_bound(
                 declaration_time.not_before, received_at=received_at
             )
-            if bound > pending.heard_at:
+            if bound > pending.learned_at:
                 self._log_refused_row(
                     model, "time is later than the receipt of its version"
                 )
--- a/hawthornspoke/mirror/_watch.py
+++ b/hawthornspoke/mirror/_watch.py
@@ -15,9 +15,9 @@
 NEIGHBOUR_WAIT = 1.0
 
 #: Bounds of the random factor by which the long-poll wait of a table is multiplied. The
-#: time of a declaration is bounded by the last answer before it. A change is sent to all
-#: hosts at the same time; with equal waits their queries would stay synchronized from
-#: then on, and no host would have an answer from the last second.
+#: time of a declaration is bounded by the last answer before it. A change is sent to
+#: all hosts at the same time; with equal waits their queries would stay synchronized
+#: from then on, and no host would have an answer from the last second.
 WAIT_SPREAD = (0.4, 1.0)
 
 #: Seconds between two queries to a neighbour that has changes each time.
@@ -73,7 +73,7 @@
         Seconds between an answer with changes and the next query.
     take : callable
         Called with News.
-    confirms : bool, default=False
+    confirms_configuration : bool, default=False
         Whether an answer confirms that nothing was revoked before it was made.
     """
 
@@ -199,7 +199,7 @@
         Parameters
         ----------
         tables : iterable of Table
-        beside : iterable of coroutine functions, default=()
+        background : iterable of coroutine functions, default=()
             Run and cancelled together with the tasks that follow the tables.
         """
         # In a task group an error of one task cancels the others. Otherwise they would
@@ -272,7 +272,7 @@
             await asyncio.sleep(NEIGHBOUR_CONNECT_TIME)
 
     def _pause_after_change(self, table, reader):
-        """Return the seconds between an answer with changes and the next query."""
+        """Return the pause in seconds between an answer with changes and a query."""
         if reader is not None:
             return NEIGHBOUR_PAUSE
         if self._first_start and not self._neighbours.readers.has_neighbour_list():
--- a/hawthornspoke/mirror/tests/test_bad_answers.py
+++ b/hawthornspoke/mirror/tests/test_bad_answers.py
@@ -1,4 +1,4 @@
-"""Answers of neighbours that are not what they should be."""
+"""Malformed answers of neighbours."""
 
 import asyncio
 
@@ -12,35 +12,43 @@
 NEIGHBOUR = "127.0.0.2"
 
 
-class Log:
-    """Takes lines."""
+class FakeLog:
+    """Discards all events."""
 
     def change(self, event, **fields):
         pass
 
 
-def news(**fields):
-    """Return an answer of a neighbour with some fields changed."""
-    whole = {"current": True, "whole": True, "up_to": 3, "held_ms": 0, "age_ms": 1}
-    return TableNews(**{**whole, "rows": [], **fields})
+def answer_with(**fields):
+    """Return a valid answer of a neighbour with some fields replaced."""
+    complete_fields = {
+        "current": True,
+        "whole": True,
+        "up_to": 3,
+        "held_ms": 0,
+        "age_ms": 1,
+    }
+    return TableNews(**{**complete_fields, "rows": [], **fields})
 
 
 @pytest.mark.parametrize(
     "answer",
     [
-        news(held_ms=None),
-        news(age_ms=None),
-        news(up_to=None),
-        news(rows=[TableRow(key=None, row_revision=1, data=b"")]),
-        news(rows=[TableRow(key="k", row_revision=None, data=b"")]),
-        news(rows=[TableRow(key="k", row_revision=1, data=b"x", compressed=True)]),
+        answer_with(held_ms=None),
+        answer_with(age_ms=None),
+        answer_with(up_to=None),
+        answer_with(rows=[TableRow(key=None, row_revision=1, data=b"")]),
+        answer_with(rows=[TableRow(key="k", row_revision=None, data=b"")]),
+        answer_with(
+            rows=[TableRow(key="k", row_revision=1, data=b"x", compressed=True)]
+        ),
     ],
 )
-def test_answer_that_cannot_be_read_is_a_failure(answer):
-    """A host stopped reading for good.
+def test_malformed_answer_is_a_failure(answer):
+    """An answer without a field, or with invalid compressed data, must not raise.
 
-    Events: a neighbour's answer lacks a field, or its bytes can't be unpacked; the
-    error ends the task that follows the table. Cause: it was taken as it came.
+    The exception ended the task that follows the table, and the host received no
+    further changes.
     """
 
     async def scenario():
@@ -53,7 +61,7 @@
             on_closed=lambda link: None,
         )
         port = server.sockets[0].getsockname()[1]
-        neighbours = Neighbours(address="127.0.0.1", port=port, log=Log())
+        neighbours = Neighbours(address="127.0.0.1", port=port, log=FakeLog())
         outcome = await neighbours.ask(NEIGHBOUR, "t", after=None, wait=0.0)
         neighbours.close()
         server.close()
--- a/hawthornspoke/mirror/tests/test_dating.py
+++ b/hawthornspoke/mirror/tests/test_dating.py
@@ -1,4 +1,4 @@
-"""From when rows may date: an old declaration must not look like a new one."""
+"""Lower bounds on write times: an old declaration must not look like a new one."""
 
 import asyncio
 
@@ -7,15 +7,15 @@
 from hawthornspoke.mirror import Mirror, News, Row
 from hawthornspoke.mirror._dating import PlatformClock
 from hawthornspoke.mirror._watch import MIN_OUTAGE, NEIGHBOUR_WAIT
-from hawthornspoke.mirror.tests.test_watch import play, until
+from hawthornspoke.mirror.tests.test_watch import run_scenario, wait_until
 
 
-def test_answer_that_was_long_on_its_way_is_not_new():
-    """Old weights got the time that the news of the next version took.
+def test_answer_delay_does_not_make_rows_newer():
+    """A row must not be dated from the arrival of its answer.
 
-    Events: a question is answered within 4 ms; the next answer, with a large
-    configuration, takes 0.6 s over a narrow link. Cause: what it told was taken to
-    have been written when it arrived.
+    A query is answered within 4 ms; the next answer, with a large configuration, takes
+    0.6 s over a narrow link. Dated from its arrival, old weights would be allowed for
+    that much longer.
     """
     clock = PlatformClock()
     clock.add_answer(asked_at=100.0, made_at=7.002, revision=40)
@@ -24,13 +24,12 @@
     assert round(clock.write_time_bound(42, received_at=102.1), 3) == 100.0
 
 
-def test_question_that_was_long_on_its_way_makes_nothing_newer():
-    """A row was dated 0.9 s after it was written.
+def test_query_delay_does_not_make_rows_newer():
+    """The transit time of a query must not count as a wait for the change.
 
-    Events: a row is written at 0.95 on the platform's clock, while the reader pauses
-    between two questions; the next question takes 0.6 s to get there and is answered
-    at once. Cause: the time until the answer was taken to have been spent waiting for
-    the change.
+    A row is written at 0.95 on the platform's clock, while the reader pauses between
+    two queries. The next query takes 0.6 s to arrive and is answered immediately.
+    Counted as a wait, this dated the row 0.9 s after it was written.
     """
     clock = PlatformClock()
     clock.add_answer(asked_at=100.0, made_at=0.004, revision=4)
@@ -39,7 +38,7 @@
     assert clock.write_time_bound(5, received_at=101.95) <= 100.95
 
 
-def test_answer_is_no_later_than_its_arrival_whatever_the_platforms_clock_says():
+def test_bounds_are_never_later_than_the_arrival():
     clock = PlatformClock()
     clock.add_answer(asked_at=100.0, made_at=7.0, revision=1)
     clock.add_answer(asked_at=101.0, made_at=50.0, revision=2)
@@ -49,13 +48,13 @@
     assert clock.answer_time_bound(1.0, received_at=102.1) <= 102.1
 
 
-def test_row_older_than_all_answers_has_no_moment():
+def test_row_older_than_all_answers_has_no_bound():
     clock = PlatformClock()
     clock.add_answer(asked_at=100.0, made_at=7.0, revision=9)
     assert clock.write_time_bound(9, received_at=100.1) == UNKNOWN
 
 
-def test_rows_keep_their_moment_when_the_table_is_read_again():
+def test_rows_keep_their_write_time_when_reread():
     mirror = Mirror()
     first = News(rows=[Row(key="a", data=b"1", revision=3)], revision=3, whole=True)
     mirror.set_write_times("t", first, lambda revision: UNKNOWN)
@@ -78,43 +77,43 @@
     assert [row.written_at for row in again.rows] == [12.0, 10.6]
 
 
-def test_host_that_asks_a_neighbour_hears_since_when_a_row_is_there():
-    """An entry host that started beside others took each declaration for a new one."""
+def test_neighbour_passes_write_times_on():
+    """Otherwise a host that starts later would treat each declaration as new."""
 
     async def scenario(reader, asker):
-        await until(lambda: asker.seen)
+        await wait_until(lambda: asker.seen)
         changed_at = contact_clock()
         reader.store.put(b"2")
-        await until(lambda: asker.seen[-1] == b"2")
+        await wait_until(lambda: asker.seen[-1] == b"2")
         (row,) = asker.watch.mirror.changes_since("t", None).rows
         assert changed_at - NEIGHBOUR_WAIT < row.written_at <= contact_clock()
         asker.stop()
         await asyncio.sleep(0.3)
         assert row.written_at <= changed_at
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_host_that_has_just_started_knows_no_moment():
+def test_write_times_are_unknown_after_start():
     async def scenario(reader, asker):
-        await until(lambda: asker.seen)
+        await wait_until(lambda: asker.seen)
         for host in (reader, asker):
             (row,) = host.watch.mirror.changes_since("t", None).rows
             assert row.written_at == UNKNOWN
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_what_is_found_after_an_outage_dates_from_its_end():
-    """All callers were refused for seconds after the platform had come back.
+    """A version declared during an outage is dated from the end of the outage.
 
-    Events: the platform can't be read for 2.2 s; a version is declared meanwhile;
-    entry hosts find it. Cause: it was dated from the beginning of the outage, so that
-    old weights could answer no more before new ones could have been heard of.
+    Dated from the beginning, old weights were no longer allowed to answer before any
+    host could learn of the new version, and all callers were refused for seconds after
+    an outage of 2.2 s.
     """
 
     async def scenario(reader, asker):
-        await until(lambda: asker.seen)
+        await wait_until(lambda: asker.seen)
         for host in (reader, asker):
             host.store.fault = "down"
         await asyncio.sleep(MIN_OUTAGE + 1.2)
@@ -122,40 +121,40 @@
         for host in (reader, asker):
             host.store.put(b"2")
             host.store.fault = None
-        await until(lambda: reader.seen[-1] == asker.seen[-1] == b"2")
+        await wait_until(lambda: reader.seen[-1] == asker.seen[-1] == b"2")
         for host in (reader, asker):
             (row,) = host.watch.mirror.changes_since("t", None).rows
             assert back_at - 0.7 < row.written_at <= contact_clock()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_is_taken_tells_until_when_the_table_was_known():
-    """All hosts refused the oldest weights at once when they missed a version.
+def test_known_until_passes_through_the_mirror():
+    """The mirror keeps ``known_until`` of the answers it applies.
 
-    Events: two versions are declared between two answers, so that only the second is
-    heard of. Cause: the moment until which all was known was lost on the way, and the
-    version that was missed had no earliest moment.
+    If two versions are declared between two answers, only the second one is received.
+    Without ``known_until`` the missed one had no lower bound on its declaration time,
+    and all hosts refused the oldest weights immediately.
     """
 
     async def scenario(reader, asker):
-        await until(lambda: asker.seen)
+        await wait_until(lambda: asker.seen)
         for host in (reader, asker):
             host.news = []
             taken = host.watch.mirror.take
-            host.watch.mirror = Keeping(taken, host.news)
+            host.watch.mirror = RecordingMirror(taken, host.news)
         changed_at = contact_clock()
         reader.store.put(b"2")
-        await until(lambda: reader.seen[-1] == asker.seen[-1] == b"2")
+        await wait_until(lambda: reader.seen[-1] == asker.seen[-1] == b"2")
         for host in (reader, asker):
             news = next(item for item in host.news if item.rows)
             assert changed_at - 2 * NEIGHBOUR_WAIT < news.known_until <= contact_clock()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-class Keeping:
-    """A mirror that keeps what it told of each answer."""
+class RecordingMirror:
+    """A mirror that records the accepted part of each answer."""
 
     def __init__(self, take, kept):
         self._mirror = take.__self__
--- a/hawthornspoke/mirror/tests/test_quarantine_record.py
+++ b/hawthornspoke/mirror/tests/test_quarantine_record.py
@@ -1,4 +1,4 @@
-"""The row that keeps requests in quarantine, whoever wrote it."""
+"""The row with quarantined requests, including rows of other writers."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from hawthornspoke.quarantine import EVIDENCE_FOR, Evidence
 
 MADE_AT = 1000.0
-AWAY = Failure(code="store_failed", reason="away")
+STORE_DOWN = Failure(code="store_failed", reason="away")
 STARTS = ["e1", "e2", "e3"]
 
 
@@ -34,11 +34,11 @@
     )
 
 
-def nothing():
+def empty_news():
     return News(rows=[], revision=3, made_at=MADE_AT)
 
 
-def seen(fingerprint="new"):
+def evidence(fingerprint="new"):
     deadline = monotonic() + EVIDENCE_FOR
     return [
         Evidence(fingerprint=fingerprint, start=start, deadline=deadline)
@@ -46,8 +46,8 @@
     ]
 
 
-class Store:
-    """Answers from a list, and remembers what was written."""
+class FakeStore:
+    """Returns prepared answers, and records writes."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -61,8 +61,8 @@
         return self.answers.pop(0)
 
 
-class Suspects:
-    """Tells what is to be recorded, once, and takes what was."""
+class FakeSuspects:
+    """Returns unrecorded evidence once, and collects recorded evidence."""
 
     def __init__(self, *unrecorded):
         self.unrecorded = list(unrecorded)
@@ -77,7 +77,7 @@
         self.taken += items
 
 
-class Log:
+class FakeLog:
     def __init__(self):
         self.events = []
 
@@ -85,9 +85,9 @@
         self.events.append(event)
 
 
-def play(store, suspects, *, first_start=False, seconds=0.05):
-    """Let a record work for some time; return the log's events."""
-    log = Log()
+def run_record(store, suspects, *, first_start=False, seconds=0.05):
+    """Run a record for some time; return the logged events."""
+    log = FakeLog()
     record = QuarantineRecord(
         store=store, suspects=suspects, log=log, first_start=first_start
     )
@@ -101,63 +101,65 @@
     return log.events
 
 
-def test_process_that_starts_takes_what_was_recorded():
-    suspects = Suspects()
-    play(Store(news(entry("f"))), suspects)
+def test_recorded_requests_are_loaded_on_start():
+    suspects = FakeSuspects()
+    run_record(FakeStore(news(entry("f"))), suspects)
     assert {item.start for item in suspects.taken} == set(STARTS)
     assert all(90 < item.deadline - monotonic() <= 100 for item in suspects.taken)
 
 
-def test_first_start_of_all_reads_nothing():
-    play(Store(), Suspects(), first_start=True)
+def test_nothing_is_read_on_first_start():
+    run_record(FakeStore(), FakeSuspects(), first_start=True)
 
 
-def test_quarantine_never_lasts_longer_than_its_evidence():
-    suspects = Suspects()
-    play(Store(news(entry("f", left=1e9))), suspects)
+def test_quarantine_is_limited_to_lifetime_of_evidence():
+    suspects = FakeSuspects()
+    run_record(FakeStore(news(entry("f", left=1e9))), suspects)
     assert all(
         item.deadline - monotonic() <= EVIDENCE_FOR + 1 for item in suspects.taken
     )
 
 
-def test_request_in_quarantine_is_written_beside_the_others():
-    store = Store(nothing(), news(entry("f")), Written(revision=8))
-    play(store, Suspects(seen()))
+def test_new_request_is_added_to_the_row():
+    store = FakeStore(empty_news(), news(entry("f")), Written(revision=8))
+    run_record(store, FakeSuspects(evidence()))
     ((expected, written),) = store.written
     assert expected == 7
     assert [item["fingerprint"] for item in written] == ["f", "new"]
 
 
-def test_request_that_another_host_has_written_is_not_written_again():
-    store = Store(nothing(), news(entry("new")))
-    play(store, Suspects(seen()))
+def test_request_in_the_row_is_not_written_again():
+    store = FakeStore(empty_news(), news(entry("new")))
+    run_record(store, FakeSuspects(evidence()))
     assert store.written == []
 
 
-def test_quicker_host_is_not_overwritten():
-    store = Store(
-        nothing(),
-        nothing(),
+def test_conflicting_write_is_merged():
+    store = FakeStore(
+        empty_news(),
+        empty_news(),
         news(entry("f")),
         news(entry("f")),
         Written(revision=9),
     )
-    play(store, Suspects(seen()))
+    run_record(store, FakeSuspects(evidence()))
     assert [expected for expected, _ in store.written] == [0, 7]
     assert [item["fingerprint"] for item in store.written[-1][1]] == ["f", "new"]
 
 
-def test_platform_that_is_away_is_asked_again():
-    store = Store(AWAY, nothing(), AWAY, nothing(), Written(revision=4))
-    events = play(store, Suspects(seen()), seconds=2.6)
+def test_failed_calls_are_retried():
+    store = FakeStore(
+        STORE_DOWN, empty_news(), STORE_DOWN, empty_news(), Written(revision=4)
+    )
+    events = run_record(store, FakeSuspects(evidence()), seconds=2.6)
     assert events.count("quarantine_unrecorded") == 2
     assert len(store.written) == 1
 
 
-def test_row_is_bounded_and_forgets_what_is_over():
+def test_row_is_bounded_and_drops_expired_entries():
     entries = [entry(f"f{number}", left=number - 5) for number in range(100)]
-    store = Store(nothing(), news(*entries[:MAX_REQUESTS]), Written(revision=8))
-    play(store, Suspects(seen()))
+    store = FakeStore(empty_news(), news(*entries[:MAX_REQUESTS]), Written(revision=8))
+    run_record(store, FakeSuspects(evidence()))
     names = [item["fingerprint"] for item in store.written[0][1]]
     assert len(names) <= MAX_REQUESTS
     assert "f0" not in names and names[-1] == "new"
@@ -165,16 +167,18 @@
 
 @settings(max_examples=100, deadline=None)
 @given(data=st.one_of(st.binary(max_size=40), st.just(b'{"requests": [7]}')))
-def test_row_of_another_writer_ends_nothing(data):
-    suspects = Suspects()
-    log = Log()
-    record = QuarantineRecord(store=Store(news(data=data)), suspects=suspects, log=log)
+def test_malformed_row_is_ignored(data):
+    suspects = FakeSuspects()
+    log = FakeLog()
+    record = QuarantineRecord(
+        store=FakeStore(news(data=data)), suspects=suspects, log=log
+    )
     assert asyncio.run(record._read()) is None
     assert suspects.taken == []
 
 
-def test_row_of_another_writer_is_written_over():
-    store = Store(nothing(), news(data=b"7"), Written(revision=8))
-    events = play(store, Suspects(seen()))
+def test_malformed_row_is_overwritten():
+    store = FakeStore(empty_news(), news(data=b"7"), Written(revision=8))
+    events = run_record(store, FakeSuspects(evidence()))
     assert "quarantine_unreadable" in events
     assert store.written[0][0] == 7
--- a/hawthornspoke/mirror/tests/test_readers.py
+++ b/hawthornspoke/mirror/tests/test_readers.py
@@ -1,9 +1,9 @@
-"""Who reads the platform."""
+"""Selection of the host that reads the platform."""
 
 from hawthornspoke.mirror import NeighbourListReceived, ReaderFailed, Readers
 
 
-def test_host_that_knows_nobody_reads_itself():
+def test_host_without_neighbours_reads_the_platform():
     assert Readers(address="10.0.0.2").reader(0.0) is None
 
 
@@ -17,7 +17,7 @@
     assert chosen == [None, "10.0.0.1", "10.0.0.1"]
 
 
-def test_failed_reader_is_passed_over_for_a_while():
+def test_failed_reader_is_avoided_temporarily():
     readers = Readers(address="10.0.0.3", avoid_for=3.0)
     hosts = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
     readers.step(NeighbourListReceived(agent="a", addresses=hosts), now=0.0)
@@ -28,7 +28,7 @@
     assert readers.reader(4.0) == "10.0.0.1"
 
 
-def test_agents_that_are_lost_take_their_word_along():
+def test_lost_agent_removes_its_neighbour_list():
     readers = Readers(address="10.0.0.3")
     readers.step(NeighbourListReceived(agent="a", addresses=("10.0.0.1",)), now=0.0)
     readers.step(NeighbourListReceived(agent="b", addresses=("10.0.0.2",)), now=0.0)
--- a/hawthornspoke/mirror/tests/test_record.py
+++ b/hawthornspoke/mirror/tests/test_record.py
@@ -1,4 +1,4 @@
-"""What a row of our own may tell of declarations, whoever wrote it."""
+"""Rows with declaration times, including rows of other writers."""
 
 import asyncio
 import json
@@ -50,11 +50,13 @@
     return decode_record(row(*items), made_at=MADE_AT)
 
 
-def test_row_tells_what_was_written():
+def test_record_round_trip_rounds_down():
     declaration_times = [DeclarationTime(version=2, revision=20, not_before=21.0019)]
-    told = Row(key="m", data=encode_record(declaration_times), revision=REVISION)
-    (declaration_time,) = decode_record(told, made_at=MADE_AT)
-    # Cut down: a moment that is later than the known one would be no bound.
+    declaring_row = Row(
+        key="m", data=encode_record(declaration_times), revision=REVISION
+    )
+    (declaration_time,) = decode_record(declaring_row, made_at=MADE_AT)
+    # Rounded down: a later time would not be a lower bound.
     assert (
         declaration_time.version,
         declaration_time.revision,
@@ -62,7 +64,7 @@
     ) == (2, 20, 21.001)
 
 
-def test_row_with_a_moment_that_cant_be_true_is_refused_whole():
+def test_row_with_an_impossible_time_is_rejected():
     assert len(read(TWO, THREE)) == 2
     assert is_failure(read(TWO, {**THREE, "not_before_ms": 50001}))
     assert is_failure(read(TWO, {**THREE, "not_before_ms": 20999}))
@@ -76,7 +78,7 @@
 @settings(max_examples=300, deadline=None)
 @given(st.lists(ITEMS, max_size=3))
 @example([TWO, THREE])
-def test_whatever_a_row_holds_it_tells_nothing_of_the_future(items):
+def test_no_row_yields_times_in_the_future(items):
     declaration_times = read(*items)
     if is_failure(declaration_times):
         return
@@ -85,13 +87,13 @@
         assert declaration_time.revision < REVISION
 
 
-def test_row_of_any_bytes_is_a_failure():
+def test_malformed_record_is_a_failure():
     for data in (b"", b"\xff", b"7", b"[" * 100_000):
-        told = Row(key="m", data=data, revision=REVISION)
-        assert is_failure(decode_record(told, made_at=MADE_AT))
+        declaring_row = Row(key="m", data=data, revision=REVISION)
+        assert is_failure(decode_record(declaring_row, made_at=MADE_AT))
 
 
-def test_only_the_last_versions_are_kept_and_none_dates_before_the_one_before():
+def test_newest_versions_are_kept_with_monotonic_times():
     declaration_times = []
     for version in range(2, 10):
         added = DeclarationTime(version=version, revision=10 * version, not_before=90.0)
@@ -103,8 +105,8 @@
     assert add_declaration_time(declaration_times, late)[-1].not_before == 90.0
 
 
-class Store:
-    """Answers from a list, and remembers what it was asked."""
+class FakeStore:
+    """Returns prepared answers, and records writes."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -120,7 +122,7 @@
         return self.answers.pop(0)
 
 
-class Log:
+class FakeLog:
     def __init__(self):
         self.events = []
 
@@ -128,11 +130,13 @@
         self.events.append(event)
 
 
-def keep(store, *, declared_at, clock=None, version=2, seconds=0.1, from_platform=True):
-    """Tell a keeper of a version of revision 20; return what it dates and logs."""
+def run_keeper(
+    store, *, declared_at, clock=None, version=2, seconds=0.1, from_platform=True
+):
+    """Run a keeper with a version of revision 20; return its reports and events."""
 
     async def run():
-        dated, log = [], Log()
+        dated, log = [], FakeLog()
         keeper = RecordKeeper(
             store=store,
             clock=clock or PlatformClock(),
@@ -140,9 +144,11 @@
             log=log,
         )
         declared = DeclaredWeights(model="m", version=version)
-        told = Row(key="version", data=b"", revision=20, written_at=declared_at)
+        declaring_row = Row(
+            key="version", data=b"", revision=20, written_at=declared_at
+        )
         task = asyncio.create_task(keeper.run())
-        keeper.take(declared, told, from_platform=from_platform)
+        keeper.take(declared, declaring_row, from_platform=from_platform)
         await asyncio.sleep(seconds)
         task.cancel()
         return dated, log.events
@@ -150,7 +156,7 @@
     return asyncio.run(run())
 
 
-def clock_that_saw(revision, *, made_at):
+def clock_with_answer(revision, *, made_at):
     clock = PlatformClock()
     clock.add_answer(asked_at=contact_clock(), made_at=made_at, revision=revision)
     return clock
@@ -160,97 +166,99 @@
     return News(rows=list(rows), revision=REVISION, made_at=MADE_AT)
 
 
-def test_writer_that_was_second_leaves_the_row_as_it_is():
-    store = Store(news(row(TWO)))
-    keep(store, declared_at=1.0, clock=clock_that_saw(19, made_at=20.5))
+def test_conflict_with_same_version_keeps_the_row():
+    store = FakeStore(news(row(TWO)))
+    run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=20.5))
     assert len(store.written) == 1
 
 
-def test_moment_of_a_host_that_heard_nothing_for_long_is_written_over():
-    """Old weights were refused 6 s too early, though other hosts knew better.
+def test_much_earlier_time_is_overwritten():
+    """A later lower bound replaces that of a host that was partitioned for 6 s.
 
-    Events: a host that was cut off for 6 s is the first to write. Cause: whoever was
-    quicker was left alone, whatever its moment told.
+    When the first write was always kept, old weights were refused 6 s too early,
+    although other hosts had a better bound.
     """
     early = row({**TWO, "not_before_ms": 15000})
-    store = Store(news(early), Written(revision=41))
-    keep(store, declared_at=1.0, clock=clock_that_saw(19, made_at=21.0))
+    store = FakeStore(news(early), Written(revision=41))
+    run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=21.0))
     assert store.written[-1] == (REVISION, [TWO])
 
 
-def test_writer_that_finds_an_older_version_adds_to_it():
-    store = Store(
+def test_conflict_with_older_version_is_merged():
+    store = FakeStore(
         news(row({**TWO, "version": 1, "revision": 10})), Written(revision=41)
     )
-    keep(store, declared_at=1.0, clock=clock_that_saw(19, made_at=22.5))
+    run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=22.5))
     (_, first), (expected, second) = store.written
     assert [item["version"] for item in first] == [2]
     assert expected == REVISION
     assert [item["version"] for item in second] == [1, 2]
 
 
-def test_writer_that_finds_an_untrue_row_writes_over_it():
+def test_impossible_row_is_overwritten():
     untrue = row({**TWO, "not_before_ms": 10**9})
-    store = Store(news(untrue), Written(revision=41))
-    _, events = keep(store, declared_at=1.0, clock=clock_that_saw(19, made_at=20.5))
+    store = FakeStore(news(untrue), Written(revision=41))
+    _, events = run_keeper(
+        store, declared_at=1.0, clock=clock_with_answer(19, made_at=20.5)
+    )
     assert store.written[-1] == (REVISION, [{**TWO, "not_before_ms": 20500}])
     assert events == ["record_refused"]
 
 
-def test_row_that_was_removed_meanwhile_is_written_anew():
-    """A write that was refused, with no row to tell of, was taken for done."""
-    store = Store(
+def test_row_removed_during_the_write_is_recreated():
+    """A conflict without a row in the answer must not count as a successful write."""
+    store = FakeStore(
         news(row(TWO | {"revision": 10, "version": 1})), news(), Written(revision=41)
     )
-    keep(store, declared_at=1.0, clock=clock_that_saw(19, made_at=22.5))
+    run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=22.5))
     assert [expected for expected, _ in store.written] == [0, REVISION, 0]
 
 
-def test_version_that_a_neighbour_has_dated_costs_no_call():
-    store = Store()
-    assert keep(store, declared_at=1.0) == ([], [])
+def test_version_with_a_neighbours_time_needs_no_call():
+    store = FakeStore()
+    assert run_keeper(store, declared_at=1.0) == ([], [])
 
 
-def test_moment_after_the_version_was_heard_of_is_refused():
-    """Another writer's row would have begun the bound of old weights anew.
+def test_time_after_receipt_of_the_version_is_rejected():
+    """A time that is not in the future can still be later than the declaration.
 
-    Events: a process that has just started hears of a version; some seconds later it
-    can read our row, whose moment lies in between. Cause: a moment that is not in the
-    future can still be later than the declaration.
+    A process that has just started receives a version, and can read the row only some
+    seconds later. If the row of another writer has a time in between, accepting it
+    would restart the time for which old weights are allowed.
     """
     down = Failure(code="down")
     late = {**TWO, "not_before_ms": int(1000 * MADE_AT)}
-    store = Store(down, news(row(late)))
-    dated, events = keep(store, declared_at=float("-inf"), seconds=1.4)
+    store = FakeStore(down, news(row(late)))
+    dated, events = run_keeper(store, declared_at=float("-inf"), seconds=1.4)
     assert dated == []
     assert events == ["record_failed", "record_refused"]
 
 
-def test_calls_end_when_the_moment_is_of_no_more_use():
-    """The platform stays away, and is asked for ever. Calls are priced."""
+def test_retries_end_after_the_time_limit():
+    """An unavailable platform must not be called forever, since calls are billed."""
     down = Failure(code="down")
-    store = Store(*[down] * 100)
-    keep(store, declared_at=float("-inf"), seconds=12.0)
+    store = FakeStore(*[down] * 100)
+    run_keeper(store, declared_at=float("-inf"), seconds=12.0)
     assert 10 <= 100 - len(store.answers) <= 22
 
 
-def test_host_that_was_told_by_a_neighbour_writes_nothing():
-    """Each entry host called the platform for each version that was declared.
+def test_host_informed_by_a_neighbour_writes_nothing():
+    """A host that received a version with its time from a neighbour does not write.
 
-    Symptom: 34 of 34 hosts write the row of a version, and 31 of them are refused.
-    Sequence: at its start each host reads the platform itself for some seconds; later
-    a neighbour tells it of a version and since when. Cause: by the answers of its
-    start it can date the version too, by a moment that is long before.
+    At its start each host reads the platform itself for some seconds. The answers from
+    then also give it a bound for later versions, though a much earlier one. When hosts
+    wrote these, 34 of 34 hosts wrote the row of a version and 31 of them had a
+    conflict.
     """
-    store = Store(news())
-    clock = clock_that_saw(19, made_at=20.5)
-    keep(store, declared_at=contact_clock(), clock=clock, from_platform=False)
+    store = FakeStore(news())
+    clock = clock_with_answer(19, made_at=20.5)
+    run_keeper(store, declared_at=contact_clock(), clock=clock, from_platform=False)
     assert store.written == []
 
 
-def test_host_that_reads_the_platform_writes_the_row():
-    store = Store(news())
-    clock = clock_that_saw(19, made_at=20.5)
-    keep(store, declared_at=contact_clock(), clock=clock, from_platform=True)
-    # The stand-in tells it that another host was there, so it may try again.
+def test_platform_reader_writes_the_row():
+    store = FakeStore(news())
+    clock = clock_with_answer(19, made_at=20.5)
+    run_keeper(store, declared_at=contact_clock(), clock=clock, from_platform=True)
+    # The fake store answers with a conflict, so there may be more than one attempt.
     assert store.written
--- a/hawthornspoke/mirror/tests/test_watch.py
+++ b/hawthornspoke/mirror/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Two hosts of a failure domain on loopback: one reads, one asks it."""
+"""Hosts of a failure domain on loopback: one reads the platform, others query it."""
 
 import asyncio
 import socket
@@ -28,8 +28,8 @@
 BIG = b"configuration " * 4000
 
 
-class Store:
-    """A table with one row, and faults."""
+class FakeStore:
+    """A table with one row and injected faults."""
 
     def __init__(self):
         self.revision = 1
@@ -66,8 +66,8 @@
         return DOWN.because(self.fault)
 
 
-class Host:
-    """A watch, its neighbours and what they told."""
+class WatchingHost:
+    """A table watcher with its neighbours, recording rows and events."""
 
     def __init__(
         self, address, port, store, *, first_start=False, discovery_timeout=0.0
@@ -113,17 +113,17 @@
         self.neighbours.close()
 
 
-def play(scenario):
-    """Run a scenario with a reader and an asker, each with a store of its own."""
+def run_scenario(scenario):
+    """Run a scenario with a reader and an asker, each with its own store."""
 
     async def run():
         with socket.socket() as probe:
             probe.bind((READER, 0))
             port = probe.getsockname()[1]
-        reader = Host(READER, port, Store())
-        asker = Host(ASKER, port, Store())
+        reader = WatchingHost(READER, port, FakeStore())
+        asker = WatchingHost(ASKER, port, FakeStore())
         await reader.start((READER, ASKER))
-        await until(lambda: reader.seen)
+        await wait_until(lambda: reader.seen)
         await asker.start((READER, ASKER))
         try:
             await scenario(reader, asker)
@@ -134,150 +134,152 @@
     asyncio.run(run())
 
 
-async def until(condition, *, seconds=4.0):
-    """Wait until something holds."""
+async def wait_until(condition, *, seconds=4.0):
+    """Wait until a condition holds."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-def test_silent_reader_leaves_time_for_what_is_due():
-    """A change is due in force two seconds after it was accepted.
+def test_reader_failure_leaves_time_for_a_due_change():
+    """A change has to be in force two seconds after it was accepted.
 
-    A reader that the platform no longer answers tells so once the answer is overdue,
-    one that stands still is given up after its time; then the platform is read.
+    A reader without answers of the platform reports this once an answer is overdue, and
+    a frozen reader is detected by a timeout. In both cases there has to be time left
+    for the asker to read the platform.
     """
     confirm_interval, due, read = 1.0, 2.0, 0.4
     assert confirm_interval + ANSWER_OVERDUE_AFTER + POLL_INTERVAL + read < due
     assert NEIGHBOUR_WAIT + ANSWER_TIMEOUT + read < due
 
 
-def test_asker_hears_changes_and_leaves_the_platform_alone():
-    """Configurations were in force 3.3 s late on hosts far from the platform.
+def test_asker_gets_changes_without_platform_calls():
+    """Guards against each host of a region reading the platform.
 
-    Cause: each host of a region read each of them over the same narrow link.
+    When all read each configuration over the same narrow link, configurations were in
+    force 3.3 s late on hosts far from the platform.
     """
 
     async def scenario(reader, asker):
-        await until(lambda: asker.seen)
+        await wait_until(lambda: asker.seen)
         for number in range(2, 6):
             reader.store.put(f"{number}".encode())
-            await until(lambda: asker.seen[-1] == reader.store.data)
+            await wait_until(lambda: asker.seen[-1] == reader.store.data)
         assert asker.store.calls == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_large_rows_arrive_as_they_were():
+def test_large_rows_arrive_unchanged():
     async def scenario(reader, asker):
         reader.store.put(BIG)
-        await until(lambda: asker.seen and asker.seen[-1] == BIG)
+        await wait_until(lambda: asker.seen and asker.seen[-1] == BIG)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_asker_never_believes_more_than_its_reader_knows():
-    """A revoked key was trusted for longer than it may be.
+def test_asker_confirms_no_later_than_its_reader():
+    """An answer is confirmed as of the reader's own answer of the platform.
 
-    Cause: the neighbour's answer was taken as the platform's word of that moment.
+    When it was confirmed as of its arrival, a revoked key was trusted for too long.
     """
 
     async def scenario(reader, asker):
-        await until(lambda: len(asker.confirmed) > 2)
+        await wait_until(lambda: len(asker.confirmed) > 2)
         assert asker.confirmed[-1] <= reader.watch.confirmed_at + 0.01
         assert contact_clock() - asker.confirmed[-1] < 2.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_asker_reads_itself_once_its_reader_is_cut_off():
-    """Routes were missing on hosts that reached the platform.
+def test_asker_reads_the_platform_when_its_reader_is_partitioned():
+    """A reader without answers of the platform must not answer from its old state.
 
-    Events: the host that reads for the failure domain was cut off from the
-    platform, silently, and a configuration was accepted. Cause: it went on
-    answering its neighbours with what it knew.
+    Otherwise, after a configuration is accepted, its routes are missing on hosts that
+    could read the platform themselves.
     """
 
     async def scenario(reader, asker):
-        await until(lambda: asker.seen)
+        await wait_until(lambda: asker.seen)
         reader.store.fault = "silent"
         asker.store.put(b"newer")
-        await until(lambda: asker.seen[-1] == b"newer")
+        await wait_until(lambda: asker.seen[-1] == b"newer")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_asker_reads_itself_once_its_reader_is_gone():
+def test_asker_reads_the_platform_when_its_reader_stops():
     async def scenario(reader, asker):
-        await until(lambda: asker.seen)
+        await wait_until(lambda: asker.seen)
         reader.stop()
         asker.store.put(b"newer")
-        await until(lambda: asker.seen[-1] == b"newer")
+        await wait_until(lambda: asker.seen[-1] == b"newer")
         assert asker.lost == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_host_that_the_platform_refuses_asks_a_neighbour():
-    """Keys were refused for nine seconds on hosts whose neighbours knew them.
+def test_host_refused_by_the_platform_queries_a_neighbour():
+    """A host that the platform refuses gets changes and confirmations by a neighbour.
 
-    Events: the platform turned a third of the hosts away and served the others.
-    Cause: each host relied on what it read itself.
+    When each host relied on its own reads and the platform refused a third of the
+    hosts, these refused keys for nine seconds that their neighbours knew.
     """
 
     async def scenario(reader, asker):
-        await until(lambda: asker.seen)
+        await wait_until(lambda: asker.seen)
         reader.store.fault = "refused"
-        await until(lambda: "platform_unread" in reader.events)
+        await wait_until(lambda: "platform_unread" in reader.events)
         asker.store.put(b"newer")
-        await until(lambda: reader.seen[-1] == b"newer")
+        await wait_until(lambda: reader.seen[-1] == b"newer")
         before = contact_clock()
-        await until(lambda: reader.confirmed[-1] > before)
+        await wait_until(lambda: reader.confirmed[-1] > before)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_reader_goes_on_while_a_host_before_it_is_refused():
-    """A failure domain had no configuration for nine seconds.
+def test_reader_continues_while_an_earlier_host_is_refused():
+    """A reader keeps answering while it queries a refused host before it.
 
-    Events: the platform turns the first host away, the second reads for the others;
-    each three seconds it tries the first one again. Cause: it stopped answering
-    before it knew that the first reads again, all others then read the platform, and
-    their answers filled the link until none came in time.
+    The platform refuses the first host, the second one reads for the others, and
+    queries the first one again every three seconds. When it stopped answering before
+    the first one was known to read again, all others read the platform, their answers
+    filled the link until none arrived in time, and the failure domain had no
+    configuration for nine seconds.
     """
 
     async def scenario(first, second):
         first.store.fault = "refused"
-        await until(lambda: "platform_unread" in first.events)
-        third = Host(THIRD, second.port, Store())
+        await wait_until(lambda: "platform_unread" in first.events)
+        third = WatchingHost(THIRD, second.port, FakeStore())
         everyone = (READER, ASKER, THIRD)
         for host in (first, second):
             host.neighbours.told("agent", everyone)
         await third.start(everyone)
         try:
-            await until(lambda: third.seen and second.watch.is_current())
+            await wait_until(lambda: third.seen and second.watch.is_current())
             reads = third.store.calls
             for number in range(8):
                 second.store.put(f"{number}".encode())
-                await until(lambda: third.seen[-1] == second.store.data)
+                await wait_until(lambda: third.seen[-1] == second.store.data)
                 await asyncio.sleep(0.5)
             assert third.store.calls == reads
         finally:
             third.stop()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_history_that_is_gone_again_and_again_floods_nobody():
-    """All hosts that read the platform asked it hundreds of times a second.
+def test_repeated_loss_of_history_causes_no_busy_loop():
+    """A platform that answers each query for changes with ``HISTORY_GONE``.
 
-    Events: the platform has dropped its history and says so to each question for what
-    is new; the table is read whole, which it answers; the next question for what is
-    new is answered likewise. Cause: the table was read anew at once, each time.
+    The whole table can be read each time, but the next query for changes fails again.
+    Without a pause between the reads, all hosts that read the platform called it
+    hundreds of times per second.
     """
 
     async def run():
-        host = Host(READER, 1, Store())
+        host = WatchingHost(READER, 1, FakeStore())
         whole_reads = []
 
         async def gone(table, *, after, wait):
@@ -293,43 +295,44 @@
         following = asyncio.create_task(host.watch.run([table]))
         await asyncio.sleep(1.0)
         following.cancel()
-        # The second one comes at once, since a change may be waiting for it.
+        # The second read has no delay, since there may be a change.
         assert 2 <= len(whole_reads) <= 2 + 1.0 / RETRY_PAUSE[0]
 
     asyncio.run(run())
 
 
-def test_question_that_waits_costs_the_reader_nothing_until_there_is_news():
-    """The reader of a large failure domain spent its time on looking for news.
+def test_waiting_query_does_not_poll_the_mirror():
+    """The reader must wait for changes without polling its tables.
 
-    Symptom: an entry host that reads for nineteen others wakes 800 times a second
-    while nothing changes. Sequence: each neighbour asks for each table and waits up
-    to a second; the reader looked through the table for each of them every 50 ms.
-    Cause: the answer waited by looking, not for the news itself.
+    Each neighbour queries each table and waits up to a second. When the reader checked
+    the table for each query every 50 ms, an entry host that read for nineteen others
+    woke up 800 times per second while nothing changed.
     """
 
     async def scenario(reader, asker):
-        looks = []
+        call_times = []
         changes_since = reader.watch.mirror.changes_since
 
-        def counted(name, after):
-            looks.append(contact_clock())
+        def counting_changes_since(name, after):
+            call_times.append(contact_clock())
             return changes_since(name, after)
 
-        reader.watch.mirror = Counted(reader.watch.mirror, counted)
+        reader.watch.mirror = CountingMirror(
+            reader.watch.mirror, counting_changes_since
+        )
         await asyncio.sleep(NEIGHBOUR_WAIT * 2)
-        assert len(looks) <= 12, "at most some looks for each question"
+        assert len(call_times) <= 12, "more than a few table scans per query"
         told = len(asker.seen)
         reader.store.put(b"2")
         put_at = contact_clock()
-        await until(lambda: len(asker.seen) > told)
+        await wait_until(lambda: len(asker.seen) > told)
         assert contact_clock() < put_at + 0.5
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-class Counted:
-    """A mirror whose ``since`` is replaced."""
+class CountingMirror:
+    """A mirror with a replaced ``changes_since`` method."""
 
     def __init__(self, mirror, changes_since):
         self._mirror = mirror
@@ -339,57 +342,57 @@
         return getattr(self._mirror, name)
 
 
-def test_host_of_a_first_start_asks_rarely_until_it_knows_its_neighbours():
-    """A first start of all hosts cost 13 calls of each entry host.
+def test_first_start_limits_calls_until_neighbours_are_known():
+    """Hosts without known neighbours use a longer pause at a first start.
 
-    Sequence: engines register one after the other; each entry host reads the list for
-    itself until an agent tells it who else there is, and asks again shortly after each
-    change. Cause: the pause was meant for the one reader of a failure domain.
+    Engines register one after the other, and each entry host reads the list itself
+    until an agent has reported its neighbours. With the pause for the single reader of
+    a failure domain, a first start took 13 calls of each entry host.
     """
 
     async def run():
         with socket.socket() as probe:
             probe.bind((READER, 0))
             port = probe.getsockname()[1]
-        alone = Host(READER, port, Store(), first_start=True)
-        await alone.start(())
+        host_without_agents = WatchingHost(READER, port, FakeStore(), first_start=True)
+        await host_without_agents.start(())
         for number in range(20):
-            alone.store.put(str(number).encode())
+            host_without_agents.store.put(str(number).encode())
             await asyncio.sleep(0.1)
-        assert alone.store.calls <= 4
-        alone.neighbours.told("agent", (READER,))
+        assert host_without_agents.store.calls <= 4
+        host_without_agents.neighbours.told("agent", (READER,))
         await asyncio.sleep(FIRST_START_PAUSE)
-        alone.store.put(b"last")
-        await until(lambda: alone.seen[-1] == b"last", seconds=0.3)
-        alone.stop()
+        host_without_agents.store.put(b"last")
+        await wait_until(lambda: host_without_agents.seen[-1] == b"last", seconds=0.3)
+        host_without_agents.stop()
 
     asyncio.run(run())
 
 
-def test_questions_of_hosts_in_step_drift_apart():
-    """A declaration was dated 0.6 s too early by every host at once.
+def test_query_waits_are_randomized():
+    """Queries of different hosts must not stay synchronized.
 
-    Symptom: old weights are given up half a second before they have to be.
-    Events: a change answers the questions of all hosts at the same moment; nothing
-    changes for some seconds; then a version is declared just before the next answers.
-    Cause: all questions waited equally long, so that they stayed in step.
+    A change is answered to all hosts at the same time. With equal waits all later
+    answers were simultaneous as well, so that a version declared just before the next
+    answers was dated 0.6 s too early by every host, and old weights were given up half
+    a second before they had to be.
     """
 
     async def scenario(reader, asker):
         waits = []
         follow = reader.store.follow
 
-        async def noting(table, *, after, wait):
+        async def recording_follow(table, *, after, wait):
             waits.append(wait)
             return await follow(table, after=after, wait=wait)
 
-        reader.store.follow = noting
-        await until(lambda: len(waits) >= 6, seconds=6.0)
+        reader.store.follow = recording_follow
+        await wait_until(lambda: len(waits) >= 6, seconds=6.0)
         assert max(waits) <= 0.5
         assert min(waits) >= 0.5 * WAIT_SPREAD[0]
         assert max(waits) - min(waits) > 0.01
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_only_one_host_reads_the_configuration_after_a_mass_restart():
@@ -401,12 +404,13 @@
             port = probe.getsockname()[1]
         addresses = (READER, ASKER, THIRD)
         hosts = [
-            Host(address, port, Store(), discovery_timeout=0.5) for address in addresses
+            WatchingHost(address, port, FakeStore(), discovery_timeout=0.5)
+            for address in addresses
         ]
         try:
             for host in hosts:
                 await host.start(addresses, named_after=0.1)
-            await until(lambda: all(host.seen for host in hosts))
+            await wait_until(lambda: all(host.seen for host in hosts))
         finally:
             for host in hosts:
                 host.stop()
@@ -422,11 +426,11 @@
         with socket.socket() as probe:
             probe.bind((READER, 0))
             port = probe.getsockname()[1]
-        lone = Host(READER, port, Store(), discovery_timeout=0.3)
+        isolated = WatchingHost(READER, port, FakeStore(), discovery_timeout=0.3)
         try:
-            await lone.start((), named_after=60.0)
-            await until(lambda: lone.seen, seconds=1.0)
+            await isolated.start((), named_after=60.0)
+            await wait_until(lambda: isolated.seen, seconds=1.0)
         finally:
-            lone.stop()
+            isolated.stop()
 
     asyncio.run(run())
