--- a/hawthornspoke/mirror/tests/test_watch.py
+++ b/hawthornspoke/mirror/tests/test_watch.py
@@ -322,10 +322,10 @@
         )
         await asyncio.sleep(NEIGHBOUR_WAIT * 2)
         assert len(call_times) <= 12, "more than a few table scans per query"
-        told = len(asker.seen)
+        seen_before = len(asker.seen)
         reader.store.put(b"2")
         put_at = contact_clock()
-        await wait_until(lambda: len(asker.seen) > told)
+        await wait_until(lambda: len(asker.seen) > seen_before)
         assert contact_clock() < put_at + 0.5
 
     run_scenario(scenario)
