--- a/hawthornspoke/swarm/_planner.py
+++ b/hawthornspoke/swarm/_planner.py
@@ -199,7 +199,11 @@
             self._origin_avoid_deadline = now
             outcomes += self._plan_origin(transfer, now=now)
         peer = transfer.participants.get(message.node)
-        if peer is not None and peer.known < peer.held and not transfer.complete:
+        if (
+            peer is not None
+            and peer.known_count < peer.held_count
+            and not transfer.complete
+        ):
             outcomes += self._query_peer(transfer, message.node, now=now)
         if transfer.complete:
             return outcomes
--- a/hawthornspoke/swarm/_transfer.py
+++ b/hawthornspoke/swarm/_transfer.py
@@ -30,9 +30,9 @@
 
     Attributes
     ----------
-    held : int
+    held_count : int
         Chunks the host holds, by its own announcements.
-    known : int
+    known_count : int
         Chunks of the host of which this host knows the indices.
     last_heard_at : float
         When the host last announced something new.
@@ -49,8 +49,8 @@
         "region",
         "address",
         "port",
-        "held",
-        "known",
+        "held_count",
+        "known_count",
         "last_heard_at",
         "unreachable",
         "failures",
@@ -65,8 +65,8 @@
         self.region = region
         self.address = address
         self.port = port
-        self.held = 0
-        self.known = 0
+        self.held_count = 0
+        self.known_count = 0
         self.last_heard_at = 0.0
         self.unreachable = False
         self.failures = 0
@@ -175,14 +175,14 @@
         now : float
         """
         for name, participant in participants.items():
-            known = self.participants.get(name)
-            if known is None:
+            existing = self.participants.get(name)
+            if existing is None:
                 participant.last_heard_at = now
                 participant.next_probe_at = now + self.stall_after
                 continue
-            known.address = participant.address
-            known.port = participant.port
-            participants[name] = known
+            existing.address = participant.address
+            existing.port = participant.port
+            participants[name] = existing
         self.participants = participants
         self._group_nodes = self._compute_group()
 
@@ -262,7 +262,7 @@
         participant = self.participants.get(node)
         if participant is None:
             return
-        fresh = False
+        has_new = False
         for index in indices:
             if not 0 <= index < self.chunks:
                 continue
@@ -271,14 +271,14 @@
                 if not holders and index not in self.held:
                     self.chunks_seen += 1
                 holders.append(node)
-                participant.known += 1
-                fresh = True
+                participant.known_count += 1
+                has_new = True
         participant.unreachable = False
         participant.failures = 0
-        if held > participant.held or fresh:
+        if held > participant.held_count or has_new:
             participant.last_heard_at = now
             self.last_progress_at = now
-        participant.held = max(held, participant.held)
+        participant.held_count = max(held, participant.held_count)
 
     def remove_holding(self, node, index):
         """Remove a peer from the holders of a chunk that it turned out to lack.
@@ -292,10 +292,10 @@
         if node in holders:
             holders.remove(node)
             peer = self.participants[node]
-            peer.known -= 1
+            peer.known_count -= 1
             # A restarted host holds none of the chunks it had announced. While it
             # counts as complete, no new chunks are announced to it.
-            peer.held = min(peer.held, self.chunks - 1)
+            peer.held_count = min(peer.held_count, self.chunks - 1)
 
     def mark_held(self, index, *, now, injected):
         """Mark a chunk as held by this host.
@@ -371,7 +371,7 @@
                 continue
             for name in self.strategy.owners_before(self, index):
                 peer = self.participants[name]
-                if peer.known == 0 and now >= peer.next_probe_at:
+                if peer.known_count == 0 and now >= peer.next_probe_at:
                     return name
         return None
 
@@ -385,7 +385,7 @@
         return [
             name
             for name, peer in self.participants.items()
-            if name != self.node and peer.held < self.chunks
+            if name != self.node and peer.held_count < self.chunks
         ]
 
     def _compute_group(self):
