--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -1,8 +1,12 @@
 """The choice among endpoints that may take a request."""
 
-from hawthornspoke.placing._herd import Herd, added_load
+from hawthornspoke.placing._herd import PeerTraffic, estimated_growth
 from hawthornspoke.placing._messages import Place
-from hawthornspoke.placing._predict import first_token_at, slot_release, whole_answer
+from hawthornspoke.placing._predict import (
+    expected_first_token,
+    expected_response_time,
+    slot_release_interval,
+)
 from hawthornspoke.placing._subset import Subset
 from hawthornspoke.placing._validity import Prospect
 
@@ -11,7 +15,7 @@
 #: those that still could be on time were refused, returned, and were late as well. In
 #: a lasting overload of a third 35% of the callers were answered on time; with none,
 #: 60%, and no fewer were answered in all.
-LATE_QUEUE = 0
+MAX_LATE_QUEUE = 0
 
 #: Seconds by which an engine with all slots taken counts as slower than an empty one:
 #: callers that come next find room where few are.
@@ -19,7 +23,7 @@
 
 #: Requests for each slot of a plain endpoint above which nothing more is sent to
 #: it: with a queue of four times its slots it sheds.
-PLAIN_QUEUE = 3
+MAX_PLAIN_QUEUE = 3
 
 
 class _Candidate:
@@ -28,13 +32,13 @@
     ``prospect`` is whether it begins before its weights are too old.
     """
 
-    __slots__ = ("endpoint", "load", "expected", "prospect")
+    __slots__ = ("endpoint", "load", "expected", "forecast")
 
-    def __init__(self, *, endpoint, load, expected, prospect):
+    def __init__(self, *, endpoint, load, expected, forecast):
         self.endpoint = endpoint
         self.load = load
         self.expected = expected
-        self.prospect = prospect
+        self.forecast = forecast
 
     def cost(self, slots):
         """Return the seconds to the first token, and for the room that it takes.
@@ -50,7 +54,7 @@
         return self.expected + FULL_COST * self.load / slots
 
 
-class _Group:
+class _CandidateGroup:
     """Some of the engines, for one request.
 
     Attributes
@@ -74,7 +78,7 @@
         self.on_time = on_time
 
 
-class _Search:
+class _Selection:
     """One request that looks for an engine.
 
     Attributes
@@ -88,17 +92,17 @@
         Those that were looked at.
     """
 
-    __slots__ = ("ask", "engine", "validity", "known", "groups")
+    __slots__ = ("ask", "engine", "eligibility", "known", "groups")
 
-    def __init__(self, *, ask, engine, validity, known):
+    def __init__(self, *, ask, engine, eligibility, known):
         self.ask = ask
         self.engine = engine
-        self.validity = validity
+        self.eligibility = eligibility
         self.known = known
         self.groups = []
 
 
-class Choice:
+class EndpointSelector:
     """Ranks endpoints and takes one, or refuses if none has room.
 
     Parameters
@@ -117,20 +121,20 @@
         "entry_hosts",
         "_refusal",
         "_chance",
-        "_herd_by_service",
+        "_peer_traffic_by_service",
         "subset_by_service",
     )
 
-    def __init__(self, *, failure_domain, host, refusal, chance):
+    def __init__(self, *, failure_domain, host, refusal, rng):
         self.failure_domain = failure_domain
         self.host = host
         self.entry_hosts = (1, 1)
         self._refusal = refusal
-        self._chance = chance
-        self._herd_by_service = {}
+        self._chance = rng
+        self._peer_traffic_by_service = {}
         self.subset_by_service = {}
 
-    def plain(self, ask, endpoints, now):
+    def select_plain(self, ask, endpoints, now):
         """Return a Place at one of a plain service's endpoints, or a Decline.
 
         Parameters
@@ -143,22 +147,27 @@
         -------
         Place or Decline
         """
-        open_ones = [
+        available = [
             endpoint
             for endpoint in endpoints
-            if endpoint.load < endpoint.entry.slots * PLAIN_QUEUE
+            if endpoint.load < endpoint.entry.slots * MAX_PLAIN_QUEUE
         ]
-        if not open_ones:
-            soonest = min(whole_answer(endpoint) for endpoint in endpoints)
+        if not available:
+            soonest = min(expected_response_time(endpoint) for endpoint in endpoints)
             return self._refusal.full(ask, soonest)
         ranked = [
-            (self._rank(item, whole_answer(item), near=self._is_near(item)), item)
-            for item in open_ones
+            (
+                self._rank(
+                    item, expected_response_time(item), near=self._is_near(item)
+                ),
+                item,
+            )
+            for item in available
         ]
         best = min(ranked, key=lambda pair: pair[0])[1]
-        return _place(best, whole_answer(best), now)
+        return _place(best, expected_response_time(best), now)
 
-    def on_engine(self, ask, endpoints, engine, validity):
+    def select_engine(self, ask, endpoints, engine, eligibility):
         """Return a Place at one of the engines, or a Decline.
 
         Those that this host keeps to are looked at first, and the others only if
@@ -178,60 +187,66 @@
         Place, Decline or None
             None if no engine has weights that may answer.
         """
-        now = validity.now
-        herd = self._herd_of(ask.service)
-        herd.count_asked(now)
-        search = _Search(ask=ask, engine=engine, validity=validity, known=endpoints)
-        placed = self._near(search)
+        now = eligibility.now
+        peer_traffic = self._peer_traffic_of(ask.service)
+        peer_traffic.count_request(now)
+        selection = _Selection(
+            ask=ask, engine=engine, eligibility=eligibility, known=endpoints
+        )
+        placed = self._select_near(selection)
         if placed is None:
-            herd.count_overflowed(now)
-            placed = self._far(search)
-        return placed or self._late(search)
+            peer_traffic.count_overflow(now)
+            placed = self._select_far(selection)
+        return placed or self._select_late(selection)
 
-    def _near(self, search):
+    def _select_near(self, selection):
         """Return a Place in the own failure domain, None if none answers in time."""
-        now = search.validity.now
-        subset = self.subset(search.ask.service)
-        kept = self._group(search, near=True, followed=True)
+        now = selection.eligibility.now
+        subset = self.subset(selection.ask.service)
+        kept = self._build_group(selection, near=True, followed=True)
         if subset.near_share < 1.0:
             # With a request waiting before it no engine is better than those that
             # this host doesn't keep to: all of the failure domain are looked at.
-            free = [item for item in kept.on_time if item.load < search.engine.slots]
+            free = [item for item in kept.on_time if item.load < selection.engine.slots]
         else:
             free = kept.on_time
         subset.count(spilled=not free, now=now)
         if free:
-            return self._better_of_two(free, search)
-        others = self._group(search, near=True, followed=False)
+            return self._pick_better_of_two(free, selection)
+        others = self._build_group(selection, near=True, followed=False)
         on_time = kept.on_time + others.on_time
         if on_time:
-            return self._better_of_two(on_time, search)
+            return self._pick_better_of_two(on_time, selection)
         subset.widen(now)
         return None
 
-    def _far(self, search):
+    def _select_far(self, selection):
         """Return a Place in another failure domain, None if none answers in time."""
         for followed in (True, False):
-            group = self._group(search, near=False, followed=followed)
+            group = self._build_group(selection, near=False, followed=followed)
             if group.on_time:
-                return self._better_of_two(group.on_time, search)
+                return self._pick_better_of_two(group.on_time, selection)
         return None
 
-    def _late(self, search):
+    def _select_late(self, selection):
         """Return what becomes of a request that no engine answers in time."""
-        ask = search.ask
+        ask = selection.ask
         if ask.returned:
             for near in (True, False):
-                groups = [item for item in search.groups if item.near is near]
+                groups = [item for item in selection.groups if item.near is near]
                 valid = [item for group in groups for item in group.valid]
-                useful = _still_useful(valid, ask, search.engine)
-                if useful:
-                    return self._better_of_two(useful, search)
-        times = [item.expected for group in search.groups for item in group.candidates]
+                acceptable = _usable_when_late(valid, ask, selection.engine)
+                if acceptable:
+                    return self._pick_better_of_two(acceptable, selection)
+        times = [
+            item.expected for group in selection.groups for item in group.candidates
+        ]
         if not times:
             return None
         excess = max(0.0, min(times) - max(0.0, ask.on_time_left))
-        return self._refusal.full(ask, max(excess, slot_release(search.engine)))
+        return self._refusal.full(
+            ask, max(excess, slot_release_interval(selection.engine))
+        )
 
     def subset(self, service):
         """Return the Subset of a service's engines."""
@@ -247,93 +262,100 @@
             for service, subset in self.subset_by_service.items()
         }
 
-    def _group(self, search, *, near, followed):
+    def _build_group(self, selection, *, near, followed):
         """Return the engines near or far that this host keeps to, or all others."""
-        ask, engine, validity = search.ask, search.engine, search.validity
+        ask, engine, eligibility = (
+            selection.ask,
+            selection.engine,
+            selection.eligibility,
+        )
         kept = self.subset(ask.service).since_by_id
         usable = [
             item
-            for item in search.known
+            for item in selection.known
             if self._is_near(item) is near
             and (item.endpoint_id in kept) is followed
-            and validity.allows(item, engine, ask)
+            and eligibility.allows(item, engine, ask)
         ]
-        candidates = self._candidates(search, usable, near=near, followed=followed)
+        candidates = self._candidates(selection, usable, near=near, followed=followed)
         # Of the load that others will have added, not of the one that was told: just
         # before a bound requests would be sent only to be withdrawn, and answered
         # with an outcome that nobody knows.
-        valid = [item for item in candidates if item.prospect is not Prospect.TOO_LATE]
+        valid = [item for item in candidates if item.forecast is not Prospect.TOO_LATE]
         on_time = [item for item in valid if item.expected <= ask.on_time_left]
-        group = _Group(near=near, candidates=candidates, valid=valid, on_time=on_time)
-        search.groups.append(group)
+        group = _CandidateGroup(
+            near=near, candidates=candidates, valid=valid, on_time=on_time
+        )
+        selection.groups.append(group)
         return group
 
-    def _candidates(self, search, endpoints, *, near, followed):
+    def _candidates(self, selection, endpoints, *, near, followed):
         """Return a candidate for each endpoint."""
         if not endpoints:
             return []
-        ask, engine, now = search.ask, search.engine, search.validity.now
-        holding = slot_release(engine) * engine.slots
-        arrivals = self._herd_of(ask.service).arrivals(near=near, now=now)
+        ask, engine, now = selection.ask, selection.engine, selection.eligibility.now
+        slot_time = slot_release_interval(engine) * engine.slots
+        arrivals = self._peer_traffic_of(ask.service).arrivals(near=near, now=now)
         # The other hosts send to the engines of both groups.
         subset = self.subset(ask.service)
         share = subset.near_share if near else subset.far_share
         arrivals *= share if followed else 1.0 - share
         loads = [item.load for item in endpoints]
-        sharing = sum(load < engine.slots for load in loads)
+        engines_with_room = sum(load < engine.slots for load in loads)
         candidates = []
-        for endpoint, told in zip(endpoints, loads, strict=True):
-            load = told + added_load(
+        for endpoint, reported_load in zip(endpoints, loads, strict=True):
+            load = reported_load + estimated_growth(
                 arrivals=arrivals,
-                sharing=sharing,
-                load=told,
-                holding=holding,
+                engines_with_room=engines_with_room,
+                load=reported_load,
+                slot_time=slot_time,
                 slots=engine.slots,
                 age=endpoint.report_age(now),
             )
-            expected = first_token_at(endpoint, engine, ask, load=load, now=now)
+            expected = expected_first_token(endpoint, engine, ask, load=load, now=now)
             candidates.append(
                 _Candidate(
                     endpoint=endpoint,
                     load=load,
                     expected=expected,
-                    prospect=search.validity.prospect(endpoint, engine, expected),
+                    forecast=selection.eligibility.forecast(endpoint, engine, expected),
                 )
             )
         return candidates
 
-    def _herd_of(self, service):
-        herd = self._herd_by_service.get(service)
-        if herd is None:
-            herd = self._herd_by_service[service] = Herd()
-        herd.near_hosts, herd.all_hosts = self.entry_hosts
-        return herd
+    def _peer_traffic_of(self, service):
+        peer_traffic = self._peer_traffic_by_service.get(service)
+        if peer_traffic is None:
+            peer_traffic = self._peer_traffic_by_service[service] = PeerTraffic()
+        peer_traffic.near_hosts, peer_traffic.all_hosts = self.entry_hosts
+        return peer_traffic
 
     def _is_near(self, endpoint):
         return endpoint.is_in(self.failure_domain)
 
-    def _better_of_two(self, candidates, search):
+    def _pick_better_of_two(self, candidates, selection):
         """Return a Place at the better of two random engines.
 
         Several entry hosts see the same loads, some 0.1 s old. If each took the
         best engine, all would take the same one, and its callers be late.
         """
-        sure = [item for item in candidates if item.prospect is Prospect.SURE]
+        sure = [item for item in candidates if item.forecast is Prospect.SURE]
         among = sure or candidates
         pair = self._chance.sample(among, min(2, len(among)))
-        chosen = min(pair, key=lambda item: item.cost(search.engine.slots))
-        return _place(chosen.endpoint, chosen.expected, search.validity.now)
+        chosen = min(pair, key=lambda item: item.cost(selection.engine.slots))
+        return _place(chosen.endpoint, chosen.expected, selection.eligibility.now)
 
     def _rank(self, endpoint, expected, *, near):
         return not near, expected, endpoint.own_running, self._chance.random()
 
 
-def _still_useful(candidates, ask, engine):
+def _usable_when_late(candidates, ask, engine):
     """Return the engines for a caller that is late already."""
     return [
         item
         for item in candidates
-        if item.load - engine.slots < LATE_QUEUE and item.expected < ask.time_left / 2
+        if item.load - engine.slots < MAX_LATE_QUEUE
+        and item.expected < ask.time_left / 2
     ]
 
 
--- a/hawthornspoke/placing/_directory.py
+++ b/hawthornspoke/placing/_directory.py
@@ -5,11 +5,11 @@
 #: Seconds an entry that vanished just as the platform came back is still used.
 #: Lapsed entries return within two seconds, and an endpoint that left goes on
 #: serving for at least two.
-LAPSE_TIME = 1.5
+LAPSE_GRACE_TIME = 1.5
 LAPSE_WINDOW = 2.5
 
 
-class Directory:
+class EndpointDirectory:
     """Finds endpoints by id, service and address."""
 
     __slots__ = ("endpoint_by_id", "_ids_by_service", "_id_by_address")
@@ -19,7 +19,7 @@
         self._ids_by_service = {}
         self._id_by_address = {}
 
-    def take_list(self, message, now):
+    def update_from_list(self, message, now):
         """Take the platform's list.
 
         Parameters
@@ -33,10 +33,10 @@
             if endpoint is None:
                 self.endpoint_by_id[endpoint_id] = Endpoint(entry=entry)
                 continue
-            endpoint.take_entry(entry)
+            endpoint.update_entry(entry)
         lapsed = now < message.contact_regained_at + LAPSE_WINDOW
         self._drop_unlisted(entry_by_id, lapsed=lapsed, now=now)
-        self._index()
+        self._rebuild_index()
 
     def at(self, address):
         """Return the endpoint that is listed at an address, None if none is."""
@@ -46,7 +46,7 @@
         """Return the endpoints of a service."""
         return [self.endpoint_by_id[key] for key in self._ids_by_service.get(name, ())]
 
-    def sent_to(self, message):
+    def request_target(self, message):
         """Return the endpoint that a request was sent to, None if it is over.
 
         A request ends up to its deadline after the start that it was sent to. Were
@@ -62,11 +62,11 @@
         Endpoint or None
         """
         endpoint = self.endpoint_by_id.get(message.endpoint_id)
-        if endpoint is None or not endpoint.was_sent_to(message.incarnation):
+        if endpoint is None or not endpoint.is_target(message.incarnation):
             return None
         return endpoint
 
-    def forget_agent(self, address):
+    def clear_agent_state(self, address):
         """Go back to what the platform's list says of an address."""
         # Also where the entry is gone: it may come back with another start.
         for endpoint in self.endpoint_by_id.values():
@@ -86,11 +86,11 @@
                 continue
             if not endpoint.gone:
                 endpoint.gone = True
-                endpoint.doubtful_deadline = now + LAPSE_TIME if lapsed else now
-            if endpoint.own_running == 0 and now >= endpoint.doubtful_deadline:
+                endpoint.grace_deadline = now + LAPSE_GRACE_TIME if lapsed else now
+            if endpoint.own_running == 0 and now >= endpoint.grace_deadline:
                 del self.endpoint_by_id[endpoint_id]
 
-    def _index(self):
+    def _rebuild_index(self):
         self._ids_by_service = {}
         self._id_by_address = {}
         for endpoint_id, endpoint in self.endpoint_by_id.items():
--- a/hawthornspoke/placing/_endpoint.py
+++ b/hawthornspoke/placing/_endpoint.py
@@ -1,18 +1,18 @@
 """What one entry host believes of one endpoint."""
 
-from hawthornspoke.placing._reading import Reading
-from hawthornspoke.placing._starts import Starts
+from hawthornspoke.placing._reading import PrefillBacklog
+from hawthornspoke.placing._starts import IncarnationTracker
 
 #: Weight of the newest outcome in the failure rate. Five outcomes in a row move it
 #: from 0 to two thirds: soon enough for an endpoint that gets several requests a
 #: second, and one failure by chance moves it by a fifth only.
-OUTCOME_WEIGHT = 0.2
+FAILURE_RATE_ALPHA = 0.2
 
 #: Weight of the newest time in the mean time of a plain service's answers.
-TIME_WEIGHT = 0.1
+RESPONSE_TIME_ALPHA = 0.1
 
 #: Seconds an answer of a plain service is taken to need before any was seen.
-ASSUMED_ANSWER_TIME = 0.05
+INITIAL_RESPONSE_TIME = 0.05
 
 
 class Endpoint:
@@ -28,7 +28,7 @@
 
     Attributes
     ----------
-    agent_word : EngineReported or None
+    current_state : EngineReported or None
         The agent's word if it is about the start that holds.
     weights_version : int or None
         Version held, by the agent's word before the platform's list.
@@ -47,7 +47,7 @@
     """
 
     __slots__ = (
-        "agent_word",
+        "current_state",
         "weights_version",
         "layers",
         "loading",
@@ -55,46 +55,46 @@
         "gone",
         "moved",
         "reading",
-        "doubtful_deadline",
+        "grace_deadline",
         "own_running",
         "reported_load",
         "reported_at",
         "sent_since_report",
-        "heard_at",
+        "last_report_at",
         "_entry",
         "_state",
-        "_starts",
+        "_incarnations",
         "_has_restarted",
         "failure_rate",
-        "avoid_deadline",
-        "avoided",
-        "answer_time",
+        "ejected_until",
+        "ejection_count",
+        "mean_response_time",
     )
 
     def __init__(self, *, entry):
         self._entry = entry
         self._state = None
         self.gone = False
-        self.doubtful_deadline = 0.0
-        self.heard_at = 0.0
-        self._starts = Starts()
-        self._starts.hear_list(entry.incarnation)
+        self.grace_deadline = 0.0
+        self.last_report_at = 0.0
+        self._incarnations = IncarnationTracker()
+        self._incarnations.observe_listed(entry.incarnation)
         self._has_restarted = False
-        self._forget()
-        self._settle()
+        self._reset_counters()
+        self._refresh_state()
 
-    def _forget(self):
+    def _reset_counters(self):
         """Begin with nothing, as a new start does."""
         self.moved = False
-        self.reading = Reading()
+        self.reading = PrefillBacklog()
         self.own_running = 0
         self.reported_load = 0
         self.reported_at = None
         self.sent_since_report = 0
         self.failure_rate = 0.0
-        self.avoid_deadline = 0.0
-        self.avoided = 0
-        self.answer_time = ASSUMED_ANSWER_TIME
+        self.ejected_until = 0.0
+        self.ejection_count = 0
+        self.mean_response_time = INITIAL_RESPONSE_TIME
 
     @property
     def entry(self):
@@ -104,7 +104,7 @@
     @entry.setter
     def entry(self, entry):
         self._entry = entry
-        self._settle()
+        self._refresh_state()
 
     @property
     def endpoint_id(self):
@@ -119,14 +119,14 @@
     @state.setter
     def state(self, state):
         self._state = state
-        self._settle()
+        self._refresh_state()
 
     @property
     def incarnation(self):
         """The start that holds; what is remembered is of this one."""
-        return self._starts.current
+        return self._incarnations.current
 
-    def take_entry(self, entry):
+    def update_entry(self, entry):
         """Take the platform's word.
 
         Parameters
@@ -139,9 +139,9 @@
         self.moved = self.moved and entry == self._entry
         self._entry = entry
         self.gone = False
-        self._take_start(self._starts.hear_list(entry.incarnation))
+        self._apply_incarnation(self._incarnations.observe_listed(entry.incarnation))
 
-    def take_state(self, state, now):
+    def update_state(self, state, now):
         """Take an agent's word.
 
         Parameters
@@ -150,12 +150,12 @@
         now : float
         """
         self._state = state
-        self.heard_at = now
-        self._take_start(self._starts.hear_agent(state.incarnation))
-        if self.is_about(state.incarnation):
-            self.report(state.load, now)
+        self.last_report_at = now
+        self._apply_incarnation(self._incarnations.observe_reported(state.incarnation))
+        if self.matches(state.incarnation):
+            self.record_load(state.load, now)
 
-    def is_about(self, incarnation):
+    def matches(self, incarnation):
         """Tell whether a word is about the start that holds.
 
         Parameters
@@ -168,7 +168,7 @@
         """
         return not self.incarnation.differs_from(incarnation)
 
-    def was_sent_to(self, incarnation):
+    def is_target(self, incarnation):
         """Tell whether a request was sent to the start that holds.
 
         Parameters
@@ -183,35 +183,35 @@
         """
         if not incarnation.is_known and self._has_restarted:
             return False
-        return self.is_about(incarnation)
+        return self.matches(incarnation)
 
-    def _take_start(self, is_new):
-        if is_new:
+    def _apply_incarnation(self, restarted):
+        if restarted:
             self._has_restarted = True
-            self._forget()
-        self._settle()
+            self._reset_counters()
+        self._refresh_state()
 
-    def _settle(self):
+    def _refresh_state(self):
         """Find what the two words say now.
 
         Each choice looks at all of this for each endpoint; found there, it was a
         third of the time of a choice, and only a word can change it.
         """
-        if self.state is None or not self.is_about(self.state.incarnation):
-            self.agent_word = None
-            held = self.entry if self._list_holds else None
+        if self.state is None or not self.matches(self.state.incarnation):
+            self.current_state = None
+            source = self.entry if self._entry_is_current else None
             self.loading = False
             self.pace = 1.0
         else:
-            self.agent_word = held = self.state
-            self.loading = held.loading
-            self.pace = held.pace
-        self.weights_version = None if held is None else held.weights_version
-        self.layers = None if held is None else held.layers
+            self.current_state = source = self.state
+            self.loading = source.loading
+            self.pace = source.pace
+        self.weights_version = None if source is None else source.weights_version
+        self.layers = None if source is None else source.layers
 
     @property
-    def _list_holds(self):
-        return self.is_about(self.entry.incarnation)
+    def _entry_is_current(self):
+        return self.matches(self.entry.incarnation)
 
     @property
     def load(self):
@@ -235,19 +235,19 @@
 
     def accepts(self, now):
         """Tell whether new requests may go there as far as the list says."""
-        if self.entry.leaving and self._list_holds:
+        if self.entry.leaving and self._entry_is_current:
             return False
         if self.moved:
             return False
-        return not self.gone or now < self.doubtful_deadline
+        return not self.gone or now < self.grace_deadline
 
-    def report(self, load, now):
+    def record_load(self, load, now):
         """Take a load that the endpoint or its agent told."""
         self.reported_load = load
         self.reported_at = now
         self.sent_since_report = 0
 
-    def end_one(self):
+    def record_end(self):
         """Count that a request of this host ended, whether or not it was reported."""
         self.own_running = max(0, self.own_running - 1)
         if self.sent_since_report:
@@ -255,13 +255,15 @@
         else:
             self.reported_load = max(0, self.reported_load - 1)
 
-    def note(self, failed):
+    def record_outcome(self, failed):
         """Count one outcome."""
-        self.failure_rate += OUTCOME_WEIGHT * (float(failed) - self.failure_rate)
+        self.failure_rate += FAILURE_RATE_ALPHA * (float(failed) - self.failure_rate)
 
-    def note_time(self, seconds):
+    def record_response_time(self, seconds):
         """Count the time of one whole answer."""
-        self.answer_time += TIME_WEIGHT * (seconds - self.answer_time)
+        self.mean_response_time += RESPONSE_TIME_ALPHA * (
+            seconds - self.mean_response_time
+        )
 
     def dump(self, *, now):
         """Return the state as plain data."""
@@ -282,5 +284,5 @@
             "layers": self.layers,
             "loading": self.loading,
             "failure_rate": round(self.failure_rate, 3),
-            "avoided_for": round(max(0.0, self.avoid_deadline - now), 3),
+            "avoided_for": round(max(0.0, self.ejected_until - now), 3),
         }
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -5,9 +5,9 @@
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 from hawthornspoke.catalog import SEND_MARGIN, DeclaredVersions
-from hawthornspoke.placing._avoidance import count_outcome, without_avoided
-from hawthornspoke.placing._choice import Choice
-from hawthornspoke.placing._directory import Directory
+from hawthornspoke.placing._avoidance import count_outcome, without_ejected
+from hawthornspoke.placing._choice import EndpointSelector
+from hawthornspoke.placing._directory import EndpointDirectory
 from hawthornspoke.placing._messages import (
     AgentLost,
     Ask,
@@ -23,9 +23,9 @@
     WeightsDated,
     WeightsDeclared,
 )
-from hawthornspoke.placing._predict import reading_time
-from hawthornspoke.placing._refusal import Refusal
-from hawthornspoke.placing._validity import Validity
+from hawthornspoke.placing._predict import prefill_time
+from hawthornspoke.placing._refusal import RejectionBuilder
+from hawthornspoke.placing._validity import WeightsEligibility
 
 #: What the machine takes.
 MESSAGES = (
@@ -95,14 +95,14 @@
         self.seed = seed
         self.service_by_name = {}
         self.declared = DeclaredVersions()
-        self._directory = Directory()
+        self._directory = EndpointDirectory()
         self._random = random.Random(seed)
-        self._refusal = Refusal(chance=self._random)
-        self._choice = Choice(
+        self._refusal = RejectionBuilder(rng=self._random)
+        self._choice = EndpointSelector(
             failure_domain=failure_domain,
             host=str(seed),
             refusal=self._refusal,
-            chance=self._random,
+            rng=self._random,
         )
         self._position = 0
 
@@ -114,13 +114,13 @@
     def on_catalog_changed(self, message, *, now):
         """Replace the services with those of a newer configuration."""
         self.service_by_name = message.service_by_name
-        self._arrange(now)
+        self._update_subsets(now)
         return []
 
     def on_endpoints_listed(self, message, *, now):
         """Update the endpoints from the platform's list."""
-        self._directory.take_list(message, now)
-        self._arrange(now)
+        self._directory.update_from_list(message, now)
+        self._update_subsets(now)
         return []
 
     def on_weights_declared(self, message, *, now):
@@ -129,7 +129,7 @@
             message.declared,
             at=message.at,
             known_until=message.known_until,
-            heard_by=_heard_by(message, now),
+            heard_by=_contact_time(message, now),
         )
         return []
 
@@ -143,17 +143,17 @@
         """Update an endpoint and the declared versions from an agent's report."""
         endpoint = self._directory.at(message.address)
         if endpoint is not None:
-            if endpoint.is_about(message.incarnation):
-                self._note_load(endpoint, message.load, now)
-            endpoint.take_state(message, now)
-        heard_by = _heard_by(message, now)
+            if endpoint.matches(message.incarnation):
+                self._estimate_remote_prompts(endpoint, message.load, now)
+            endpoint.update_state(message, now)
+        heard_by = _contact_time(message, now)
         for version, at in message.declared:
             self.declared.hear(message.model, version, at=at, heard_by=heard_by)
         return []
 
     def on_agent_lost(self, message, *, now):
         """Go back to what the platform's list says."""
-        self._directory.forget_agent(message.address)
+        self._directory.clear_agent_state(message.address)
         return []
 
     def on_entry_hosts_seen(self, message, *, now):
@@ -161,36 +161,36 @@
         near = max(1, message.near)
         self._choice.entry_hosts = (near, max(near, message.all))
         self._position = message.position
-        self._arrange(now)
+        self._update_subsets(now)
         return []
 
     def on_sent(self, message, *, now):
         """Count a request that was sent."""
-        endpoint = self._directory.sent_to(message)
+        endpoint = self._directory.request_target(message)
         if endpoint is not None:
             endpoint.own_running += 1
             endpoint.sent_since_report += 1
-            engine = self._engine_of(endpoint)
+            engine = self._engine_profile(endpoint)
             if engine is not None:
-                seconds = reading_time(endpoint, engine, message.prompt_tokens)
+                seconds = prefill_time(endpoint, engine, message.prompt_tokens)
                 endpoint.reading.add(seconds, now)
         return []
 
     def on_load_seen(self, message, *, now):
         """Update an endpoint's load from a response."""
-        endpoint = self._directory.sent_to(message)
+        endpoint = self._directory.request_target(message)
         if endpoint is not None:
-            self._note_load(endpoint, message.load, now)
-            endpoint.report(message.load, now)
+            self._estimate_remote_prompts(endpoint, message.load, now)
+            endpoint.record_load(message.load, now)
         return []
 
     def on_finished(self, message, *, now):
         """Count what became of a request."""
-        endpoint = self._directory.sent_to(message)
+        endpoint = self._directory.request_target(message)
         if endpoint is None:
             return []
         if message.outcome != "unreachable":
-            endpoint.end_one()
+            endpoint.record_end()
         if message.outcome == "moved":
             # Another endpoint has the address: its own entry is on the way.
             endpoint.moved = True
@@ -218,15 +218,15 @@
         ]
         if service is None or not known:
             return [self._refusal.no_endpoint(message)]
-        known = without_avoided(
+        known = without_ejected(
             known,
             failure_domain=self.failure_domain,
             subset=self._choice.subset(message.service),
             now=now,
         )
         if service.engine is None:
-            return [self._choice.plain(message, known, now)]
-        return [self._on_engine(message, known, service.engine, now)]
+            return [self._choice.select_plain(message, known, now)]
+        return [self._select_engine(message, known, service.engine, now)]
 
     def on_recheck(self, message, *, now):
         """Look once more at a place just before the request is sent there.
@@ -243,17 +243,21 @@
         ask, place = message.ask, message.place
         service = self.service_by_name.get(ask.service)
         endpoint = self.endpoint_by_id.get(place.endpoint_id)
-        is_there = endpoint is not None and endpoint.accepts(now)
-        if service is None or not is_there or endpoint.entry.address != place.address:
+        is_available = endpoint is not None and endpoint.accepts(now)
+        if (
+            service is None
+            or not is_available
+            or endpoint.entry.address != place.address
+        ):
             return [self._refusal.no_endpoint(ask)]
         engine = service.engine
         if engine is None:
             return [place]
-        validity = self._validity(ask, now)
-        if not validity.allows(endpoint, engine, ask):
+        eligibility = self._validity(ask, now)
+        if not eligibility.allows(endpoint, engine, ask):
             return [self._refusal.no_weights(ask, [endpoint], now)]
         place = replace(place, weights_version=endpoint.weights_version)
-        return [self._with_deadline(place, engine, validity)]
+        return [self._with_deadline(place, engine, eligibility)]
 
     def followed(self):
         """Return the addresses of the engines that this host has to hear of often.
@@ -305,59 +309,59 @@
             "endpoint_by_id": self._directory.dump(now=now),
         }
 
-    def _engine_of(self, endpoint):
+    def _engine_profile(self, endpoint):
         """Return the EngineProfile of an endpoint's service, None if it is plain."""
         service = self.service_by_name.get(endpoint.entry.service)
         return None if service is None else service.engine
 
-    def _note_load(self, endpoint, load, now):
+    def _estimate_remote_prompts(self, endpoint, load, now):
         """Estimate the prompts sent by other hosts; call before the load is stored."""
-        engine = self._engine_of(endpoint)
+        engine = self._engine_profile(endpoint)
         if engine is not None:
-            endpoint.reading.note_load(
-                grown=load - endpoint.load,
+            endpoint.reading.add_remote_requests(
+                growth=load - endpoint.load,
                 age=endpoint.report_age(now),
-                usual=reading_time(endpoint, engine, engine.usual_prompt),
+                usual_seconds=prefill_time(endpoint, engine, engine.usual_prompt),
                 now=now,
             )
 
-    def _arrange(self, now):
+    def _update_subsets(self, now):
         """Choose the engines to keep to among those that are there now."""
         for name, service in self.service_by_name.items():
             if service.engine is None:
                 continue
-            here = [
+            active = [
                 item
                 for item in self._directory.of_service(name)
                 if not item.gone and not item.entry.leaving
             ]
-            near = [item for item in here if item.is_in(self.failure_domain)]
-            far = [item for item in here if not item.is_in(self.failure_domain)]
+            near = [item for item in active if item.is_in(self.failure_domain)]
+            far = [item for item in active if not item.is_in(self.failure_domain)]
             subset = self._choice.subset(name)
             hosts, _ = self._choice.entry_hosts
             subset.place(position=self._position, hosts=hosts, now=now)
-            subset.take(
+            subset.set_engines(
                 near=[item.endpoint_id for item in near],
                 far=[item.endpoint_id for item in far],
                 now=now,
             )
 
-    def _on_engine(self, ask, known, engine, now):
-        validity = self._validity(ask, now)
-        answer = self._choice.on_engine(ask, known, engine, validity)
+    def _select_engine(self, ask, known, engine, now):
+        eligibility = self._validity(ask, now)
+        answer = self._choice.select_engine(ask, known, engine, eligibility)
         if answer is None:
             return self._refusal.no_weights(ask, known, now)
         if isinstance(answer, Place):
-            answer = self._with_deadline(answer, engine, validity)
+            answer = self._with_deadline(answer, engine, eligibility)
         return answer
 
-    def _with_deadline(self, place, engine, validity):
+    def _with_deadline(self, place, engine, eligibility):
         endpoint = self.endpoint_by_id[place.endpoint_id]
-        return validity.with_deadline(place, engine, endpoint)
+        return eligibility.with_deadline(place, engine, endpoint)
 
     def _validity(self, ask, now):
         """Return what may answer at the moment of a question."""
-        return Validity(
+        return WeightsEligibility(
             declared=self.declared,
             version_bound=self.version_bound,
             version_margin=self.version_margin,
@@ -367,6 +371,6 @@
         )
 
 
-def _heard_by(message, now):
+def _contact_time(message, now):
     """Return when a message came, on the clock of declarations."""
     return now if message.contact_now is None else message.contact_now
--- a/hawthornspoke/placing/_herd.py
+++ b/hawthornspoke/placing/_herd.py
@@ -10,33 +10,33 @@
 
 #: Seconds over which the rate of questions is measured: long enough for a dozen
 #: requests of one host, short beside a burst.
-RATE_TIME = 1.0
+RATE_TIME_CONSTANT = 1.0
 
 #: Seconds of a report's age from which it tells no more about the moment. Older
 #: reports come from engines that are quiet, or from hosts that are cut off.
-MOST_AGE = 1.0
+MAX_REPORT_AGE = 1.0
 
 
-class Rate:
+class DecayingRate:
     """Events a second, with exponentially less weight on older ones."""
 
-    __slots__ = ("_value", "_seen_at")
+    __slots__ = ("_value", "_updated_at")
 
     def __init__(self):
         self._value = 0.0
-        self._seen_at = 0.0
+        self._updated_at = 0.0
 
     def count(self, now):
         """Count one event."""
-        self._value = self.value(now) + 1 / RATE_TIME
-        self._seen_at = now
+        self._value = self.value(now) + 1 / RATE_TIME_CONSTANT
+        self._updated_at = now
 
     def value(self, now):
         """Return events a second."""
-        return self._value * math.exp((self._seen_at - now) / RATE_TIME)
+        return self._value * math.exp((self._updated_at - now) / RATE_TIME_CONSTANT)
 
 
-class Herd:
+class PeerTraffic:
     """Other entry hosts' share in the load of engines.
 
     Attributes
@@ -45,21 +45,21 @@
         Entry hosts of the own failure domain, and of all, this one too.
     """
 
-    __slots__ = ("near_hosts", "all_hosts", "_asked", "_overflowed")
+    __slots__ = ("near_hosts", "all_hosts", "_request_rate", "_overflow_rate")
 
     def __init__(self):
         self.near_hosts = 1
         self.all_hosts = 1
-        self._asked = Rate()
-        self._overflowed = Rate()
+        self._request_rate = DecayingRate()
+        self._overflow_rate = DecayingRate()
 
-    def count_asked(self, now):
+    def count_request(self, now):
         """Count a request for the engines."""
-        self._asked.count(now)
+        self._request_rate.count(now)
 
-    def count_overflowed(self, now):
+    def count_overflow(self, now):
         """Count a request for which no engine of the own failure domain had room."""
-        self._overflowed.count(now)
+        self._overflow_rate.count(now)
 
     def arrivals(self, *, near, now):
         """Return the requests a second that the other hosts send, all together.
@@ -77,11 +77,11 @@
         float
         """
         if near:
-            return self._asked.value(now) * (self.near_hosts - 1)
-        return self._overflowed.value(now) * (self.all_hosts - 1)
+            return self._request_rate.value(now) * (self.near_hosts - 1)
+        return self._overflow_rate.value(now) * (self.all_hosts - 1)
 
 
-def added_load(*, arrivals, sharing, load, holding, slots, age):
+def estimated_growth(*, arrivals, engines_with_room, load, slot_time, slots, age):
     """Return the requests by which an engine's load has grown since it was told.
 
     Parameters
@@ -105,6 +105,6 @@
     """
     if age is None:
         return 0.0
-    ends = min(load, slots) / holding
-    growth = arrivals / max(1, sharing) - ends
-    return max(0.0, growth) * min(age, MOST_AGE)
+    completions = min(load, slots) / slot_time
+    growth = arrivals / max(1, engines_with_room) - completions
+    return max(0.0, growth) * min(age, MAX_REPORT_AGE)
--- a/hawthornspoke/placing/_predict.py
+++ b/hawthornspoke/placing/_predict.py
@@ -3,19 +3,19 @@
 #: Passes until the first event: half a pass on average before the prompt is read,
 #: since a request comes at any moment of the pass that is running, and the pass
 #: that makes the first event's tokens. Seen: 0.12 s at 2 to 11 running requests.
-PASSES = 1.5
+PASSES_TO_FIRST_TOKEN = 1.5
 
 #: Seconds for the way there and back, and for the prompts of others that are read
 #: in the same pass.
-OVERHEAD = 0.02
+FIRST_TOKEN_OVERHEAD = 0.02
 
 #: How much longer than its decoding alone a request holds its slot under load,
 #: since the prompts of the others are read between its tokens. At the rate at
 #: which 16 slots turn over, a third of an engine's time goes into prompts.
-READING_STRETCH = 1.4
+PREFILL_STRETCH = 1.4
 
 
-def first_token(profile, *, load, prompt_tokens, pace=1.0):
+def time_to_first_token(profile, *, load, prompt_tokens, pace=1.0):
     """Return the expected time to the first token.
 
     Parameters
@@ -32,14 +32,17 @@
         Seconds.
     """
     step = profile.step + profile.step_per_request * min(load, profile.slots)
-    one_pass = profile.steps_per_pass * step
+    pass_time = profile.steps_per_pass * step
     reading = prompt_tokens / profile.read_rate
     ahead = max(0, load + 1 - profile.slots)
-    waiting = ahead * slot_release(profile)
-    return pace * (waiting + PASSES * one_pass + reading) + OVERHEAD
+    waiting = ahead * slot_release_interval(profile)
+    return (
+        pace * (waiting + PASSES_TO_FIRST_TOKEN * pass_time + reading)
+        + FIRST_TOKEN_OVERHEAD
+    )
 
 
-def first_token_at(endpoint, profile, ask, *, load, now):
+def expected_first_token(endpoint, profile, ask, *, load, now):
     """Return the expected time to a request's first token at an endpoint.
 
     Parameters
@@ -61,7 +64,7 @@
     return (
         endpoint.link_delay
         + endpoint.reading.left(now)
-        + first_token(
+        + time_to_first_token(
             profile,
             load=load,
             prompt_tokens=ask.prompt_tokens,
@@ -70,7 +73,7 @@
     )
 
 
-def reading_time(endpoint, profile, prompt_tokens):
+def prefill_time(endpoint, profile, prompt_tokens):
     """Return the seconds in which an engine reads a prompt.
 
     Parameters
@@ -86,7 +89,7 @@
     return endpoint.pace * prompt_tokens / profile.read_rate
 
 
-def slot_release(profile):
+def slot_release_interval(profile):
     """Return the mean time between two slots of a full engine becoming free.
 
     Parameters
@@ -99,12 +102,12 @@
         Seconds.
     """
     step = profile.step + profile.step_per_request * profile.slots
-    holding = profile.usual_answer * step * READING_STRETCH
-    holding += profile.usual_prompt / profile.read_rate
-    return holding / profile.slots
+    slot_time = profile.usual_answer * step * PREFILL_STRETCH
+    slot_time += profile.usual_prompt / profile.read_rate
+    return slot_time / profile.slots
 
 
-def whole_answer(endpoint):
+def expected_response_time(endpoint):
     """Return the expected time of a plain service's answer.
 
     Parameters
@@ -118,4 +121,4 @@
     """
     slots = max(1, endpoint.entry.slots)
     ahead = max(0, endpoint.load + 1 - slots)
-    return endpoint.answer_time * (1 + ahead / slots)
+    return endpoint.mean_response_time * (1 + ahead / slots)
--- a/hawthornspoke/placing/_reading.py
+++ b/hawthornspoke/placing/_reading.py
@@ -8,13 +8,13 @@
 
 #: Requests between two reports that came from nobody known and don't count: one that
 #: this host has sent reaches the engine after the report that follows it was made.
-OVERLAP = 1
+IN_FLIGHT_ALLOWANCE = 1
 
 #: Seconds from which a report tells too little of when the requests since came.
-RECENT = 1.0
+MAX_REPORT_INTERVAL = 1.0
 
 
-class Reading:
+class PrefillBacklog:
     """Until when an engine reads the prompts that are known to be there.
 
     Attributes
@@ -22,10 +22,10 @@
     until : float
     """
 
-    __slots__ = ("until",)
+    __slots__ = ("busy_until",)
 
     def __init__(self):
-        self.until = float("-inf")
+        self.busy_until = float("-inf")
 
     def left(self, now):
         """Return the seconds of reading that are left.
@@ -38,7 +38,7 @@
         -------
         float
         """
-        return max(0.0, self.until - now)
+        return max(0.0, self.busy_until - now)
 
     def add(self, seconds, now):
         """Take a prompt that was sent there.
@@ -49,9 +49,9 @@
             That the engine needs to read it.
         now : float
         """
-        self.until = max(self.until, now) + seconds
+        self.busy_until = max(self.busy_until, now) + seconds
 
-    def note_load(self, *, grown, age, usual, now):
+    def add_remote_requests(self, *, growth, age, usual_seconds, now):
         """Take a report of a load that has grown by requests of other hosts.
 
         Parameters
@@ -64,5 +64,9 @@
             Seconds to read a usual prompt.
         now : float
         """
-        if age is not None and age < RECENT and grown > OVERLAP:
-            self.add((grown - OVERLAP) * usual, now)
+        if (
+            age is not None
+            and age < MAX_REPORT_INTERVAL
+            and growth > IN_FLIGHT_ALLOWANCE
+        ):
+            self.add((growth - IN_FLIGHT_ALLOWANCE) * usual_seconds, now)
--- a/hawthornspoke/placing/_refusal.py
+++ b/hawthornspoke/placing/_refusal.py
@@ -3,20 +3,20 @@
 from hawthornspoke.placing._messages import Decline
 
 #: Seconds until endpoints of a service that has none may be known.
-NO_ENDPOINT_TIME = 0.5
+NO_ENDPOINT_RETRY_AFTER = 0.5
 
 #: Seconds until weights may be there if no agent tells when.
-NO_WEIGHTS_TIME = 1.0
+NO_WEIGHTS_RETRY_AFTER = 1.0
 
 #: Part of the remaining time that callers are willing to wait before they return.
-RETURN_SHARE = 1 / 3
+MAX_WAIT_SHARE = 1 / 3
 
 #: Least seconds that a refused caller is told to wait: below this it comes back
 #: before anything has changed.
-LEAST_RETRY_AFTER = 0.2
+MIN_RETRY_AFTER = 0.2
 
 
-class Refusal:
+class RejectionBuilder:
     """Declines requests.
 
     Parameters
@@ -26,12 +26,12 @@
 
     __slots__ = ("_chance",)
 
-    def __init__(self, *, chance):
-        self._chance = chance
+    def __init__(self, *, rng):
+        self._chance = rng
 
     def no_endpoint(self, ask):
         """Return a Decline for want of an endpoint."""
-        return self._decline(ask, "no_endpoint", NO_ENDPOINT_TIME)
+        return self._decline(ask, "no_endpoint", NO_ENDPOINT_RETRY_AFTER)
 
     def no_weights(self, ask, endpoints, now):
         """Return a Decline for want of weights that may answer.
@@ -48,12 +48,12 @@
         Decline
         """
         times = [
-            endpoint.agent_word.next_ready_at
+            endpoint.current_state.next_ready_at
             for endpoint in endpoints
-            if endpoint.agent_word is not None
-            and endpoint.agent_word.next_ready_at is not None
+            if endpoint.current_state is not None
+            and endpoint.current_state.next_ready_at is not None
         ]
-        soonest = max(0.0, min(times) - now) if times else NO_WEIGHTS_TIME
+        soonest = max(0.0, min(times) - now) if times else NO_WEIGHTS_RETRY_AFTER
         return self._decline(ask, "no_weights", soonest)
 
     def full(self, ask, seconds):
@@ -74,7 +74,7 @@
     def _decline(self, ask, reason, seconds):
         # Callers refused together come back over a span, not at one moment. They
         # wait a third of their time at most, so a later time would only be cut.
-        most = max(LEAST_RETRY_AFTER, ask.time_left * RETURN_SHARE)
-        earliest = min(max(LEAST_RETRY_AFTER, seconds), most)
+        most = max(MIN_RETRY_AFTER, ask.time_left * MAX_WAIT_SHARE)
+        earliest = min(max(MIN_RETRY_AFTER, seconds), most)
         spread = earliest + (most - earliest) * self._chance.random()
         return Decline(reason=reason, retry_after=round(spread, 3))
--- a/hawthornspoke/placing/_starts.py
+++ b/hawthornspoke/placing/_starts.py
@@ -4,33 +4,33 @@
 
 #: Earlier starts that are remembered of each word. A word that is late is late by
 #: seconds, and an endpoint needs one at the least to start.
-KEPT = 4
+MAX_EARLIER_INCARNATIONS = 4
 
 
-class _Word:
+class _ReportHistory:
     """What one of the two told: the start now, and those before it."""
 
-    __slots__ = ("now", "before")
+    __slots__ = ("latest", "earlier")
 
     def __init__(self):
-        self.now = UNKNOWN_START
-        self.before = []
+        self.latest = UNKNOWN_START
+        self.earlier = []
 
-    def take(self, incarnation):
+    def record(self, incarnation):
         """Take a start; return whether it is another one than before."""
-        if not incarnation.is_known or incarnation == self.now:
+        if not incarnation.is_known or incarnation == self.latest:
             return False
-        if incarnation in self.before:
+        if incarnation in self.earlier:
             # It is told anew, so it is past no longer.
-            self.before.remove(incarnation)
-        if self.now.is_known:
-            self.before.append(self.now)
-            del self.before[:-KEPT]
-        self.now = incarnation
+            self.earlier.remove(incarnation)
+        if self.latest.is_known:
+            self.earlier.append(self.latest)
+            del self.earlier[:-MAX_EARLIER_INCARNATIONS]
+        self.latest = incarnation
         return True
 
 
-class Starts:
+class IncarnationTracker:
     """The start of one endpoint that holds.
 
     The platform's list and the agent beside the endpoint each tell starts in the
@@ -42,14 +42,14 @@
     another; whatever else a word changes to is the newest start.
     """
 
-    __slots__ = ("current", "_listed", "_told")
+    __slots__ = ("current", "_list_history", "_agent_history")
 
     def __init__(self):
         self.current = UNKNOWN_START
-        self._listed = _Word()
-        self._told = _Word()
+        self._list_history = _ReportHistory()
+        self._agent_history = _ReportHistory()
 
-    def hear_list(self, incarnation):
+    def observe_listed(self, incarnation):
         """Take the list's word.
 
         Parameters
@@ -61,15 +61,15 @@
         bool
             Whether another start holds now.
         """
-        return self._hear(self._listed, self._told, incarnation)
+        return self._observe(self._list_history, self._agent_history, incarnation)
 
-    def hear_agent(self, incarnation):
-        """Take the agent's word; see ``hear_list``."""
-        return self._hear(self._told, self._listed, incarnation)
+    def observe_reported(self, incarnation):
+        """Take the agent's word; see ``observe_listed``."""
+        return self._observe(self._agent_history, self._list_history, incarnation)
 
-    def _hear(self, word, other, incarnation):
-        if not word.take(incarnation) or incarnation in other.before:
+    def _observe(self, history, other, incarnation):
+        if not history.record(incarnation) or incarnation in other.earlier:
             return False
-        is_new = self.current.differs_from(incarnation)
+        restarted = self.current.differs_from(incarnation)
         self.current = incarnation
-        return is_new
+        return restarted
--- a/hawthornspoke/placing/_subset.py
+++ b/hawthornspoke/placing/_subset.py
@@ -7,7 +7,7 @@
 """
 
 from hawthornspoke.base import rendezvous_order
-from hawthornspoke.placing._herd import Rate
+from hawthornspoke.placing._herd import DecayingRate
 
 #: Engines of the own failure domain that a host keeps to at the least. Fewer would
 #: be full together while their neighbours have room: with 64 slots of eight engines
@@ -16,26 +16,26 @@
 
 #: Hosts that keep to each engine at the least. With one or two an engine would stand
 #: idle, or be full, with the callers of a single host.
-LEAST_HOSTS = 3
+MIN_HOSTS_PER_ENGINE = 3
 
 #: Engines of other failure domains that a host hears of often. They are needed only
 #: when the own has no room; two dozen take what overflows from one host.
-MOST_FAR = 24
+MAX_FAR_ENGINES = 24
 
 #: Share of the requests that find no free slot among the engines that a host keeps to
 #: from which it keeps to twice as many, and below which to half as many. With eight
 #: engines the first is exceeded from nine slots in ten taken on.
-WIDEN_SHARE = 0.03
-NARROW_SHARE = 0.005
+WIDEN_THRESHOLD = 0.03
+NARROW_THRESHOLD = 0.005
 
 #: Seconds between two widenings: the loads of the engines that were added are known
 #: half a second later. A narrowing waits longer, since a burst lasts for seconds and
 #: returns.
-WIDEN_PAUSE = 0.5
-NARROW_PAUSE = 4.0
+WIDEN_COOLDOWN = 0.5
+NARROW_COOLDOWN = 4.0
 
 #: Requests a second below which the share that finds no room tells nothing.
-LEAST_RATE = 2.0
+MIN_REQUEST_RATE = 2.0
 
 
 class Subset:
@@ -68,8 +68,8 @@
         "far_share",
         "_near",
         "_far",
-        "_asked",
-        "_spilled",
+        "_request_rate",
+        "_spill_rate",
         "_change_deadline",
     )
 
@@ -82,8 +82,8 @@
         self.near_share = self.far_share = 1.0
         self._near = ()
         self._far = ()
-        self._asked = Rate()
-        self._spilled = Rate()
+        self._request_rate = DecayingRate()
+        self._spill_rate = DecayingRate()
         self._change_deadline = float("-inf")
 
     @property
@@ -103,9 +103,9 @@
         """
         if (position, hosts) != (self.position, self.hosts):
             self.position, self.hosts = position, hosts
-            self._choose(now)
+            self._recompute(now)
 
-    def take(self, *, near, far, now):
+    def set_engines(self, *, near, far, now):
         """Take the engines that are there.
 
         Parameters
@@ -120,7 +120,7 @@
             return
         self._near = tuple(rendezvous_order(key="ring", nodes=near))
         self._far = tuple(rendezvous_order(key=self.host, nodes=far))
-        self._choose(now)
+        self._recompute(now)
 
     def count(self, *, spilled, now):
         """Count a request, and keep to more or fewer engines if it is time to.
@@ -131,22 +131,22 @@
             Whether it found no room among the engines that this host keeps to.
         now : float
         """
-        self._asked.count(now)
+        self._request_rate.count(now)
         if spilled:
-            self._spilled.count(now)
-        asked = self._asked.value(now)
-        if now < self._change_deadline or asked < LEAST_RATE:
+            self._spill_rate.count(now)
+        asked = self._request_rate.value(now)
+        if now < self._change_deadline or asked < MIN_REQUEST_RATE:
             return
-        share = self._spilled.value(now) / asked
-        if share >= WIDEN_SHARE and self._width() < len(self._near):
-            self.width = 2 * self._width()
-            self._change_deadline = now + WIDEN_PAUSE
-        elif share <= NARROW_SHARE and self.width > LEAST_NEAR:
+        share = self._spill_rate.value(now) / asked
+        if share >= WIDEN_THRESHOLD and self._effective_width() < len(self._near):
+            self.width = 2 * self._effective_width()
+            self._change_deadline = now + WIDEN_COOLDOWN
+        elif share <= NARROW_THRESHOLD and self.width > LEAST_NEAR:
             self.width = max(LEAST_NEAR, self.width // 2)
-            self._change_deadline = now + NARROW_PAUSE
+            self._change_deadline = now + NARROW_COOLDOWN
         else:
             return
-        self._choose(now)
+        self._recompute(now)
 
     def widen(self, now):
         """Keep to all engines of the failure domain.
@@ -154,30 +154,30 @@
         None of them answers the next caller in time, by loads that are a second old
         for those that this host did not keep to: it must know better.
         """
-        if self._width() < len(self._near):
+        if self._effective_width() < len(self._near):
             self.width = len(self._near)
-            self._change_deadline = now + NARROW_PAUSE
-            self._choose(now)
+            self._change_deadline = now + NARROW_COOLDOWN
+            self._recompute(now)
 
     def dump(self, *, now):
         """Return the state as plain data."""
         return {
             "position": [self.position, self.hosts],
-            "width": self._width(),
+            "width": self._effective_width(),
             "engines": [len(self._near), len(self._far)],
-            "spilled": round(self._spilled.value(now), 2),
+            "spilled": round(self._spill_rate.value(now), 2),
         }
 
-    def _width(self):
-        least = -(-LEAST_HOSTS * len(self._near) // max(1, self.hosts))
+    def _effective_width(self):
+        least = -(-MIN_HOSTS_PER_ENGINE * len(self._near) // max(1, self.hosts))
         return min(len(self._near), max(self.width, least))
 
-    def _choose(self, now):
+    def _recompute(self, now):
         """Take the own window of the ring, and the first of the far engines."""
-        count, width = len(self._near), self._width()
+        count, width = len(self._near), self._effective_width()
         first = self.position * count // max(1, self.hosts)
         near = [self._near[(first + step) % count] for step in range(width)]
-        far = self._far[:MOST_FAR]
+        far = self._far[:MAX_FAR_ENGINES]
         before = self.since_by_id
         self.since_by_id = {key: before.get(key, now) for key in (*near, *far)}
         self.near_share = width / count if count else 1.0
--- a/hawthornspoke/placing/_validity.py
+++ b/hawthornspoke/placing/_validity.py
@@ -12,7 +12,7 @@
 import enum
 from dataclasses import replace
 
-from hawthornspoke.placing._predict import first_token_at
+from hawthornspoke.placing._predict import expected_first_token
 
 #: Seconds before a bound at which a request that has not begun on older weights is
 #: taken back. Its end needs as long to reach the engine as anything else on a link
@@ -24,18 +24,18 @@
 WITHDRAW_MARGIN_FAR = 0.6
 
 #: Seconds by which a busy process notices a time late.
-TIMER_LATE = 0.15
+TIMER_LATENCY = 0.15
 
 #: Times the expected time to the first token after which a request is taken to have
 #: begun, at an engine that works at its usual pace.
-BEGIN_SHARE = 1.5
+START_FACTOR = 1.5
 
 #: What is added to that for each time that an engine is slower than usual: how slow it
 #: is was told a moment ago. Four times slower, 1.05 s were seen for 0.4 s.
-BEGIN_SHARE_SLOW = 0.6
+START_FACTOR_SLOWDOWN = 0.6
 
 #: The same where newer weights may answer instead.
-BEGIN_SHARE_SURE = 2.0
+START_FACTOR_SURE = 2.0
 
 
 class Prospect(enum.Enum):
@@ -47,7 +47,7 @@
     SURE = "sure"
 
 
-class Validity:
+class WeightsEligibility:
     """What may answer at one moment.
 
     Parameters
@@ -111,12 +111,12 @@
             return False
         if self._is_newest(endpoint, engine):
             return True
-        expected = first_token_at(
+        expected = expected_first_token(
             endpoint, engine, ask, load=endpoint.load, now=self.now
         )
-        return self.prospect(endpoint, engine, expected) is not Prospect.TOO_LATE
+        return self.forecast(endpoint, engine, expected) is not Prospect.TOO_LATE
 
-    def prospect(self, endpoint, engine, expected):
+    def forecast(self, endpoint, engine, expected):
         """Tell whether a request begins before an engine's weights are too old.
 
         Parameters
@@ -133,9 +133,9 @@
         if self._is_newest(endpoint, engine):
             return Prospect.SURE
         left = self._too_old_at(engine, endpoint.weights_version) - self.contact_now
-        if BEGIN_SHARE_SURE * expected < left - self.version_margin:
+        if START_FACTOR_SURE * expected < left - self.version_margin:
             return Prospect.SURE
-        share = BEGIN_SHARE + BEGIN_SHARE_SLOW * max(0.0, endpoint.pace - 1.0)
+        share = START_FACTOR + START_FACTOR_SLOWDOWN * max(0.0, endpoint.pace - 1.0)
         if share * expected <= left - self._withdraw_margin(endpoint):
             return Prospect.EXPECTED
         return Prospect.TOO_LATE
@@ -172,7 +172,7 @@
         # What is taken back crosses the same link as the pieces that fill it. Where
         # that takes longer than is kept for it, the engine begins the request on
         # weights that are too old, and the log says that it was withdrawn.
-        return max(margin, endpoint.link_delay + TIMER_LATE)
+        return max(margin, endpoint.link_delay + TIMER_LATENCY)
 
     def _is_newest(self, endpoint, engine):
         """Tell whether nothing is known that makes an engine's weights too old.
--- a/hawthornspoke/placing/tests/playing.py
+++ b/hawthornspoke/placing/tests/playing.py
@@ -17,7 +17,7 @@
     Place,
     Sent,
 )
-from hawthornspoke.placing._predict import slot_release
+from hawthornspoke.placing._predict import slot_release_interval
 
 SLOTS = 8
 ENGINE = engine_profile(
@@ -31,7 +31,7 @@
 )
 
 #: Seconds that a request holds its slot, on average.
-HOLDING = slot_release(ENGINE) * SLOTS
+HOLDING = slot_release_interval(ENGINE) * SLOTS
 
 #: Seconds to the first token once a request has a slot, and until which it is wanted.
 FIRST_TOKEN = 0.15
--- a/hawthornspoke/placing/tests/test_ask_cost.py
+++ b/hawthornspoke/placing/tests/test_ask_cost.py
@@ -120,13 +120,13 @@
     entries = [entry(f"e{number}", domain="abcde"[number % 5]) for number in range(150)]
     machine = fleet(*entries)
     worked_out = []
-    real = _choice.first_token_at
+    real = _choice.expected_first_token
 
     def counting(endpoint, *args, **kwargs):
         worked_out.append(endpoint.entry.failure_domain)
         return real(endpoint, *args, **kwargs)
 
-    monkeypatch.setattr(_choice, "first_token_at", counting)
+    monkeypatch.setattr(_choice, "expected_first_token", counting)
     assert isinstance(ask(machine), Place)
     assert worked_out == ["a"] * 30
 
@@ -181,7 +181,7 @@
     else:
         expected = (word, word.weights_version, word.layers, word.loading, word.pace)
     assert expected == (
-        endpoint.agent_word,
+        endpoint.current_state,
         endpoint.weights_version,
         endpoint.layers,
         endpoint.loading,
--- a/hawthornspoke/placing/tests/test_herd.py
+++ b/hawthornspoke/placing/tests/test_herd.py
@@ -16,7 +16,7 @@
     Place,
     Sent,
 )
-from hawthornspoke.placing._herd import Rate, added_load
+from hawthornspoke.placing._herd import DecayingRate, estimated_growth
 
 SLOTS = 12
 ENGINE = engine_profile(
@@ -145,20 +145,22 @@
 
 
 def test_load_does_not_grow_while_as_much_ends_as_comes():
-    shared = {"load": 12, "holding": 1.5, "slots": 12, "age": 0.5}
-    assert added_load(arrivals=80.0, sharing=10, **shared) == 0.0
-    assert added_load(arrivals=180.0, sharing=10, **shared) == pytest.approx(5.0)
+    shared = {"load": 12, "slot_time": 1.5, "slots": 12, "age": 0.5}
+    assert estimated_growth(arrivals=80.0, engines_with_room=10, **shared) == 0.0
+    assert estimated_growth(
+        arrivals=180.0, engines_with_room=10, **shared
+    ) == pytest.approx(5.0)
 
 
 def test_load_that_was_never_told_is_not_guessed():
-    grown = added_load(
-        arrivals=100.0, sharing=1, load=0, holding=1.0, slots=4, age=None
+    growth = estimated_growth(
+        arrivals=100.0, engines_with_room=1, load=0, slot_time=1.0, slots=4, age=None
     )
-    assert grown == 0.0
+    assert growth == 0.0
 
 
 def test_rate_follows_what_comes():
-    rate = Rate()
+    rate = DecayingRate()
     for number in range(400):
         rate.count(number * 0.05)
     assert rate.value(20.0) == pytest.approx(20.0, rel=0.1)
--- a/hawthornspoke/placing/tests/test_incarnations.py
+++ b/hawthornspoke/placing/tests/test_incarnations.py
@@ -53,8 +53,8 @@
     assert endpoint.load == 0
     assert endpoint.own_running == 0
     assert endpoint.failure_rate == 0.0
-    assert endpoint.avoid_deadline == 0.0
-    assert endpoint.avoided == 0
+    assert endpoint.ejected_until == 0.0
+    assert endpoint.ejection_count == 0
     assert endpoint.reported_at is None
 
 
--- a/hawthornspoke/placing/tests/test_reading.py
+++ b/hawthornspoke/placing/tests/test_reading.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hawthornspoke.placing import Place, Sent
-from hawthornspoke.placing._reading import Reading
+from hawthornspoke.placing._reading import PrefillBacklog
 from hawthornspoke.placing.tests.test_fleet import ENGINE, ask, entry, fleet, report
 
 ENGINES = 10
@@ -68,14 +68,14 @@
 
 
 def test_growth_that_nobody_here_has_sent_is_read_as_well():
-    reading = Reading()
-    reading.note_load(grown=6, age=0.1, usual=0.05, now=2.0)
+    reading = PrefillBacklog()
+    reading.add_remote_requests(growth=6, age=0.1, usual_seconds=0.05, now=2.0)
     assert reading.left(2.0) == pytest.approx(0.25)
     assert reading.left(2.5) == 0.0
 
 
-@pytest.mark.parametrize(("grown", "age"), [(1, 0.1), (-3, 0.1), (6, None), (6, 5.0)])
-def test_growth_that_tells_nothing_counts_for_nothing(grown, age):
-    reading = Reading()
-    reading.note_load(grown=grown, age=age, usual=0.05, now=2.0)
+@pytest.mark.parametrize(("growth", "age"), [(1, 0.1), (-3, 0.1), (6, None), (6, 5.0)])
+def test_growth_that_tells_nothing_counts_for_nothing(growth, age):
+    reading = PrefillBacklog()
+    reading.add_remote_requests(growth=growth, age=age, usual_seconds=0.05, now=2.0)
     assert reading.left(2.0) == 0.0
--- a/hawthornspoke/placing/tests/test_starts.py
+++ b/hawthornspoke/placing/tests/test_starts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hawthornspoke.catalog import UNKNOWN_START, Incarnation
-from hawthornspoke.placing._starts import Starts
+from hawthornspoke.placing._starts import IncarnationTracker
 
 #: In the order in which they happened; the clock was put back before the last.
 HAPPENED = tuple(Incarnation(started_ms=time) for time in (20, 30, 10))
@@ -26,9 +26,9 @@
     for places in itertools.combinations(range(length), len(listed)):
         left, right = iter(listed), iter(told)
         yield [
-            ("hear_list", next(left))
+            ("observe_listed", next(left))
             if place in places
-            else ("hear_agent", next(right))
+            else ("observe_reported", next(right))
             for place in range(length)
         ]
 
@@ -43,7 +43,7 @@
     passed over once as late was passed over for ever.
     """
     for heard in interleavings(listed, told):
-        starts = Starts()
+        starts = IncarnationTracker()
         for word, incarnation in heard:
             getattr(starts, word)(incarnation)
         assert starts.current == LAST, heard
@@ -52,7 +52,7 @@
 def test_start_never_goes_back_where_both_words_tell_all():
     """A host's memory of a new start was thrown away for the old one's late word."""
     for heard in interleavings(HAPPENED, HAPPENED):
-        starts = Starts()
+        starts = IncarnationTracker()
         begun = []
         for word, incarnation in heard:
             if getattr(starts, word)(incarnation):
@@ -61,9 +61,9 @@
 
 
 def test_unknown_start_changes_nothing():
-    starts = Starts()
-    assert not starts.hear_list(UNKNOWN_START)
-    assert not starts.hear_agent(HAPPENED[0])
-    assert not starts.hear_list(UNKNOWN_START)
+    starts = IncarnationTracker()
+    assert not starts.observe_listed(UNKNOWN_START)
+    assert not starts.observe_reported(HAPPENED[0])
+    assert not starts.observe_listed(UNKNOWN_START)
     assert starts.current == HAPPENED[0]
-    assert starts.hear_list(HAPPENED[1])
+    assert starts.observe_listed(HAPPENED[1])
--- a/hawthornspoke/placing/tests/test_subset.py
+++ b/hawthornspoke/placing/tests/test_subset.py
@@ -5,10 +5,10 @@
 import pytest
 
 from hawthornspoke.placing._subset import (
-    LEAST_HOSTS,
     LEAST_NEAR,
-    MOST_FAR,
-    NARROW_PAUSE,
+    MAX_FAR_ENGINES,
+    MIN_HOSTS_PER_ENGINE,
+    NARROW_COOLDOWN,
     Subset,
 )
 from hawthornspoke.placing.tests.playing import Play
@@ -24,7 +24,7 @@
     for place in range(hosts):
         subset = Subset(host=f"h{place}")
         subset.place(position=place, hosts=hosts, now=0.0)
-        subset.take(
+        subset.set_engines(
             near=[f"e{number}" for number in range(engines)],
             far=[f"f{number}" for number in range(far)],
             now=0.0,
@@ -48,13 +48,13 @@
     count = Counter(key for item in subsets(hosts, engines) for key in near(item))
     assert len(count) == engines
     assert max(count.values()) - min(count.values()) <= 1
-    assert min(count.values()) >= min(hosts, LEAST_HOSTS)
+    assert min(count.values()) >= min(hosts, MIN_HOSTS_PER_ENGINE)
 
 
 def test_few_engines_are_all_kept_to():
     """Deployments of a dozen engines lose nothing: all hosts hear of all of them."""
-    for subset in subsets(hosts=3, engines=LEAST_NEAR, far=MOST_FAR):
-        assert len(subset.since_by_id) == LEAST_NEAR + MOST_FAR
+    for subset in subsets(hosts=3, engines=LEAST_NEAR, far=MAX_FAR_ENGINES):
+        assert len(subset.since_by_id) == LEAST_NEAR + MAX_FAR_ENGINES
         assert (subset.near_share, subset.far_share) == (1.0, 1.0)
 
 
@@ -72,7 +72,7 @@
     (subset,) = subsets(hosts=1, engines=31)
     kept = dict(subset.since_by_id)
     names = [f"e{number}" for number in range(31)]
-    subset.take(near=reversed(names), far=(), now=5.0)
+    subset.set_engines(near=reversed(names), far=(), now=5.0)
     assert subset.since_by_id == kept
 
 
@@ -85,7 +85,7 @@
         if key.startswith("f")
     )
     assert len(count) == 125
-    assert max(count.values()) <= 2 * 99 * MOST_FAR / 125
+    assert max(count.values()) <= 2 * 99 * MAX_FAR_ENGINES / 125
 
 
 def test_host_keeps_to_more_engines_while_its_own_have_no_room():
@@ -95,7 +95,7 @@
         now += 0.05
         subset.count(spilled=True, now=now)
     assert len(near(subset)) == 31
-    for _ in range(int(4 * NARROW_PAUSE / 0.05)):
+    for _ in range(int(4 * NARROW_COOLDOWN / 0.05)):
         now += 0.05
         subset.count(spilled=False, now=now)
     assert len(near(subset)) == LEAST_NEAR
