--- a/hawthornspoke/placing/__init__.py
+++ b/hawthornspoke/placing/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing an endpoint for a request, or refusing it at once."""
+"""Endpoint selection and admission of requests."""
 
 from hawthornspoke.placing._fleet import Fleet
 from hawthornspoke.placing._messages import (
--- a/hawthornspoke/placing/_avoidance.py
+++ b/hawthornspoke/placing/_avoidance.py
@@ -1,39 +1,39 @@
-"""Which endpoints are left alone for a while."""
+"""Outlier ejection: which endpoints get no requests for a while."""
 
-#: Failure rate above which an endpoint is left alone for a while. Services whose
-#: own errors reach one answer in seven stay well below it.
+#: Failure rate above which an endpoint is ejected. Services whose own errors reach one
+#: response in seven stay well below it.
 EJECTION_FAILURE_RATE = 0.5
 
-#: Failure rate with which it comes back: two more failures put it aside again.
+#: Failure rate on readmission: two more failures eject the endpoint again.
 READMISSION_FAILURE_RATE = 0.35
 
-#: Seconds for which it is left alone, doubled each time up to the most.
+#: Duration of the first ejection in seconds; it doubles each time up to the maximum.
 MIN_EJECTION_TIME = 0.5
 MAX_EJECTION_TIME = 8.0
 
-#: Part of a service's endpoints that may be left alone at once. If most of them
-#: fail the cause is not theirs, and the rest could not carry the load.
+#: Maximum share of a service's endpoints that may be ejected at once. If most of them
+#: fail the cause lies elsewhere, and the rest could not carry the load.
 AVOID_SHARE = 0.5
 
-#: Seconds without an agent's word after which its engine is left alone: almost three
-#: of the times after which it speaks again, in the own failure domain and in others,
-#: to a host that keeps to its engine, and to one that does not.
+#: Seconds without a report after which an engine is ejected: almost three report
+#: intervals, for the own failure domain and for others, each for followed engines and
+#: for those that report to this host less often.
 REPORT_TIMEOUT_NEAR = 0.7
 REPORT_TIMEOUT_FAR = 5.0
 REPORT_TIMEOUT_NEAR_UNFOLLOWED = 2.8
 REPORT_TIMEOUT_FAR_UNFOLLOWED = 8.0
 
-#: Seconds after which an agent has surely been told that a host keeps to its engine,
-#: and has spoken since; before, its silence is no sign.
+#: Seconds after which an agent certainly knows that this host follows its engine and
+#: has sent a report; before that, a missing report is no sign of failure.
 FOLLOW_SETTLING_TIME = 1.5
 
-#: Seconds that messages wait on the way to an engine and back from which it is left
-#: alone: as long as first events may take. Beside a spread of weights 0.1 s are usual.
+#: Round-trip queueing delay in seconds at which an engine is ejected: the time within
+#: which first tokens are due. During a weights rollout 0.1 s are usual.
 MAX_LINK_DELAY = 0.4
 
 
 def count_outcome(endpoint, message, now):
-    """Count what became of a request, and leave the endpoint alone if it has to be.
+    """Record the outcome of a request and eject the endpoint if necessary.
 
     Parameters
     ----------
@@ -46,15 +46,15 @@
         endpoint.ejection_count = 0
         if message.seconds is not None:
             endpoint.record_response_time(message.seconds)
-    # What doesn't answer at all is dead, cut off or standing still; a few more
-    # requests would only wait there for nothing.
+    # An endpoint that doesn't respond at all is down, partitioned or frozen; further
+    # requests would only time out there.
     at_once = message.outcome in ("silent", "unreachable")
     if at_once or endpoint.failure_rate > EJECTION_FAILURE_RATE:
         _eject(endpoint, now)
 
 
 def without_ejected(endpoints, *, failure_domain, subset, now):
-    """Return the endpoints that are not left alone; all if most of them would be.
+    """Return the endpoints that aren't ejected; all if most of them would be.
 
     Parameters
     ----------
@@ -89,10 +89,10 @@
 
 
 def _is_unresponsive(endpoint, failure_domain, subset, now):
-    """Tell whether the agent beside an engine has said nothing for too long.
+    """Return whether the agent of an engine has been silent for too long.
 
-    The connection of a host that stands still, or is cut off, stays open; the
-    first sign of it is that its regular word is missing.
+    The connection to a host that is frozen or partitioned stays open; missing periodic
+    reports are the first sign of it.
     """
     if endpoint.state is None:
         return False
--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -1,4 +1,4 @@
-"""The choice among endpoints that may take a request."""
+"""Selects among the endpoints that may serve a request."""
 
 from hawthornspoke.placing._herd import PeerTraffic, estimated_growth
 from hawthornspoke.placing._messages import Place
@@ -10,26 +10,26 @@
 from hawthornspoke.placing._subset import Subset
 from hawthornspoke.placing._validity import Prospect
 
-#: Requests over its slots that an engine may have when it is given one of a caller
-#: that is late already. With six, returned callers took every slot as it came free:
-#: those that still could be on time were refused, returned, and were late as well. In
-#: a lasting overload of a third 35% of the callers were answered on time; with none,
-#: 60%, and no fewer were answered in all.
+#: Requests queued at an engine up to which it gets a request that is already late. With
+#: six, retrying callers took each slot as it was released: callers that could still be
+#: on time were rejected, retried, and were late as well. With demand a third above
+#: capacity, 35% of the callers were served on time; with none it was 60%, and as many
+#: were served in total.
 MAX_LATE_QUEUE = 0
 
-#: Seconds by which an engine with all slots taken counts as slower than an empty one:
-#: callers that come next find room where few are.
+#: Seconds by which a full engine counts as slower than an empty one, so that the next
+#: callers find capacity where there is little.
 FULL_COST = 0.15
 
-#: Requests for each slot of a plain endpoint above which nothing more is sent to
-#: it: with a queue of four times its slots it sheds.
+#: Load per slot of a plain endpoint at which it gets no further requests: with a queue
+#: of four times its slots it sheds load.
 MAX_PLAIN_QUEUE = 3
 
 
 class _Candidate:
-    """An engine that may take a request: its load now and what follows from it.
+    """An engine that may serve a request, its estimated load and start time.
 
-    ``prospect`` is whether it begins before its weights are too old.
+    ``forecast`` tells whether the request starts before the weights expire.
     """
 
     __slots__ = ("endpoint", "load", "expected", "forecast")
@@ -41,7 +41,7 @@
         self.forecast = forecast
 
     def cost(self, slots):
-        """Return the seconds to the first token, and for the room that it takes.
+        """Return the seconds to the first token plus a penalty for its occupancy.
 
         Parameters
         ----------
@@ -55,18 +55,18 @@
 
 
 class _CandidateGroup:
-    """Some of the engines, for one request.
+    """Some of the engines, evaluated for one request.
 
     Attributes
     ----------
     near : bool
         Whether they are in the own failure domain.
     candidates : list of _Candidate
-        All whose weights may answer.
+        Engines with eligible weights.
     valid : list of _Candidate
-        Those that begin before their weights are too old.
+        Candidates that start the request before their weights expire.
     on_time : list of _Candidate
-        Those of them that answer in time.
+        Valid candidates that respond in time.
     """
 
     __slots__ = ("near", "candidates", "valid", "on_time")
@@ -79,17 +79,17 @@
 
 
 class _Selection:
-    """One request that looks for an engine.
+    """Selection of an engine for one request.
 
     Attributes
     ----------
     ask : Ask
     engine : EngineProfile
-    validity : Validity
+    eligibility : WeightsEligibility
     known : list of Endpoint
-        All that may be chosen.
-    groups : list of _Group
-        Those that were looked at.
+        Endpoints to select from.
+    groups : list of _CandidateGroup
+        Groups evaluated so far.
     """
 
     __slots__ = ("ask", "engine", "eligibility", "known", "groups")
@@ -103,16 +103,16 @@
 
 
 class EndpointSelector:
-    """Ranks endpoints and takes one, or refuses if none has room.
+    """Ranks endpoints and selects one, or rejects the request if all are full.
 
     Parameters
     ----------
     failure_domain : str
         Of this host.
     host : str
-        What tells it from others.
-    refusal : Refusal
-    chance : random.Random
+        Identifies this host.
+    refusal : RejectionBuilder
+    rng : random.Random
     """
 
     __slots__ = (
@@ -170,22 +170,22 @@
     def select_engine(self, ask, endpoints, engine, eligibility):
         """Return a Place at one of the engines, or a Decline.
 
-        Those that this host keeps to are looked at first, and the others only if
-        none of these answers in time: a choice among all was a third of an entry
-        host's processor time.
+        The subset of this host is evaluated first, and the other engines only if none
+        in the subset responds in time: evaluating all engines took a third of an entry
+        host's CPU time.
 
         Parameters
         ----------
         ask : Ask
         endpoints : list of Endpoint
         engine : EngineProfile
-        validity : Validity
-            What may answer at this moment.
+        eligibility : WeightsEligibility
+            Evaluated at the current time.
 
         Returns
         -------
         Place, Decline or None
-            None if no engine has weights that may answer.
+            None if no engine has eligible weights.
         """
         now = eligibility.now
         peer_traffic = self._peer_traffic_of(ask.service)
@@ -200,13 +200,13 @@
         return placed or self._select_late(selection)
 
     def _select_near(self, selection):
-        """Return a Place in the own failure domain, None if none answers in time."""
+        """Return a Place in the own failure domain, None if none is on time."""
         now = selection.eligibility.now
         subset = self.subset(selection.ask.service)
         kept = self._build_group(selection, near=True, followed=True)
         if subset.near_share < 1.0:
-            # With a request waiting before it no engine is better than those that
-            # this host doesn't keep to: all of the failure domain are looked at.
+            # If a request has to queue, engines in the subset are no better than the
+            # others: evaluate the whole failure domain.
             free = [item for item in kept.on_time if item.load < selection.engine.slots]
         else:
             free = kept.on_time
@@ -221,7 +221,7 @@
         return None
 
     def _select_far(self, selection):
-        """Return a Place in another failure domain, None if none answers in time."""
+        """Return a Place in another failure domain, None if none is on time."""
         for followed in (True, False):
             group = self._build_group(selection, near=False, followed=followed)
             if group.on_time:
@@ -229,7 +229,7 @@
         return None
 
     def _select_late(self, selection):
-        """Return what becomes of a request that no engine answers in time."""
+        """Return the result for a request that no engine serves on time."""
         ask = selection.ask
         if ask.returned:
             for near in (True, False):
@@ -249,21 +249,21 @@
         )
 
     def subset(self, service):
-        """Return the Subset of a service's engines."""
+        """Return the Subset of a service's engines, creating it if necessary."""
         subset = self.subset_by_service.get(service)
         if subset is None:
             subset = self.subset_by_service[service] = Subset(host=self.host)
         return subset
 
     def dump_subsets(self, *, now):
-        """Return the engines that this host keeps to as plain data."""
+        """Return the subsets of this host as plain data."""
         return {
             service: subset.dump(now=now)
             for service, subset in self.subset_by_service.items()
         }
 
     def _build_group(self, selection, *, near, followed):
-        """Return the engines near or far that this host keeps to, or all others."""
+        """Evaluate the near or far engines that are in the subset, or those outside."""
         ask, engine, eligibility = (
             selection.ask,
             selection.engine,
@@ -278,9 +278,9 @@
             and eligibility.allows(item, engine, ask)
         ]
         candidates = self._candidates(selection, usable, near=near, followed=followed)
-        # Of the load that others will have added, not of the one that was told: just
-        # before a bound requests would be sent only to be withdrawn, and answered
-        # with an outcome that nobody knows.
+        # Based on the estimated load rather than the reported one: just before the
+        # version bound requests would otherwise be sent only to be withdrawn, with an
+        # unknown outcome for the caller.
         valid = [item for item in candidates if item.forecast is not Prospect.TOO_LATE]
         on_time = [item for item in valid if item.expected <= ask.on_time_left]
         group = _CandidateGroup(
@@ -296,7 +296,7 @@
         ask, engine, now = selection.ask, selection.engine, selection.eligibility.now
         slot_time = slot_release_interval(engine) * engine.slots
         arrivals = self._peer_traffic_of(ask.service).arrivals(near=near, now=now)
-        # The other hosts send to the engines of both groups.
+        # The other hosts send to both groups, those in the subset and those outside.
         subset = self.subset(ask.service)
         share = subset.near_share if near else subset.far_share
         arrivals *= share if followed else 1.0 - share
@@ -334,10 +334,10 @@
         return endpoint.is_in(self.failure_domain)
 
     def _pick_better_of_two(self, candidates, selection):
-        """Return a Place at the better of two random engines.
+        """Return a Place at the better of two random engines (power of two choices).
 
-        Several entry hosts see the same loads, some 0.1 s old. If each took the
-        best engine, all would take the same one, and its callers be late.
+        The entry hosts see the same loads, some of them 0.1 s old. If each took the
+        best engine, all would choose the same one, and its callers would be late.
         """
         sure = [item for item in candidates if item.forecast is Prospect.SURE]
         among = sure or candidates
@@ -350,7 +350,7 @@
 
 
 def _usable_when_late(candidates, ask, engine):
-    """Return the engines for a caller that is late already."""
+    """Return the candidates for a request that is already late."""
     return [
         item
         for item in candidates
--- a/hawthornspoke/placing/_directory.py
+++ b/hawthornspoke/placing/_directory.py
@@ -1,10 +1,10 @@
-"""The endpoints that are known, by the platform's list."""
+"""Index of the endpoints known from the platform's endpoint list."""
 
 from hawthornspoke.placing._endpoint import Endpoint
 
-#: Seconds an entry that vanished just as the platform came back is still used.
-#: Lapsed entries return within two seconds, and an endpoint that left goes on
-#: serving for at least two.
+#: Seconds for which an entry that vanished just as the platform became reachable again
+#: stays in use, and seconds after which a vanished entry counts as such. Lapsed entries
+#: return within two seconds, and a draining endpoint serves for at least two more.
 LAPSE_GRACE_TIME = 1.5
 LAPSE_WINDOW = 2.5
 
@@ -20,7 +20,7 @@
         self._id_by_address = {}
 
     def update_from_list(self, message, now):
-        """Take the platform's list.
+        """Update the endpoints from the platform's endpoint list.
 
         Parameters
         ----------
@@ -39,7 +39,7 @@
         self._rebuild_index()
 
     def at(self, address):
-        """Return the endpoint that is listed at an address, None if none is."""
+        """Return the endpoint listed at an address, None if there is none."""
         return self.endpoint_by_id.get(self._id_by_address.get(address))
 
     def of_service(self, name):
@@ -47,11 +47,12 @@
         return [self.endpoint_by_id[key] for key in self._ids_by_service.get(name, ())]
 
     def request_target(self, message):
-        """Return the endpoint that a request was sent to, None if it is over.
+        """Return the endpoint a request was sent to, None if that one is over.
 
-        A request ends up to its deadline after the start that it was sent to. Were
-        it counted for the next one, that one would be avoided for failures of
-        before, and filled beyond its slots as if its own requests had ended.
+        A request may end up to its deadline after the incarnation that it was sent
+        to. If it counted for the next incarnation, that one would be ejected for
+        failures of the previous one, and filled beyond its slots as if its own
+        requests had ended.
 
         Parameters
         ----------
@@ -67,8 +68,8 @@
         return endpoint
 
     def clear_agent_state(self, address):
-        """Go back to what the platform's list says of an address."""
-        # Also where the entry is gone: it may come back with another start.
+        """Discard the agent's reports about the endpoint at an address."""
+        # Unlisted endpoints too: they may return as another incarnation.
         for endpoint in self.endpoint_by_id.values():
             if endpoint.entry.address == address:
                 endpoint.state = None
--- a/hawthornspoke/placing/_endpoint.py
+++ b/hawthornspoke/placing/_endpoint.py
@@ -1,26 +1,27 @@
-"""What one entry host believes of one endpoint."""
+"""State that one entry host tracks for one endpoint."""
 
 from hawthornspoke.placing._reading import PrefillBacklog
 from hawthornspoke.placing._starts import IncarnationTracker
 
-#: Weight of the newest outcome in the failure rate. Five outcomes in a row move it
-#: from 0 to two thirds: soon enough for an endpoint that gets several requests a
-#: second, and one failure by chance moves it by a fifth only.
+#: Smoothing factor of the failure rate. Five consecutive failures move it from 0 to
+#: two thirds, which is fast enough for an endpoint that gets several requests a
+#: second, while a single failure moves it by a fifth only.
 FAILURE_RATE_ALPHA = 0.2
 
-#: Weight of the newest time in the mean time of a plain service's answers.
+#: Smoothing factor of the mean response time of a plain service.
 RESPONSE_TIME_ALPHA = 0.1
 
-#: Seconds an answer of a plain service is taken to need before any was seen.
+#: Response time in seconds assumed for a plain service before the first response.
 INITIAL_RESPONSE_TIME = 0.05
 
 
 class Endpoint:
-    """An endpoint, its reported load and what became of requests sent there.
+    """An endpoint, its reported load and the outcomes of requests sent to it.
 
-    All but the two words on it (``entry`` and ``state``) is of one start. A new
-    start under the same id has no requests and no failures: with those of the one
-    before it would be left alone, or filled beyond its slots.
+    Apart from the two sources (``entry`` and ``state``) all state belongs to one
+    incarnation. A new incarnation under the same id starts without requests or
+    failures: with those of the previous one it would be ejected, or filled beyond
+    its slots.
 
     Parameters
     ----------
@@ -29,21 +30,21 @@
     Attributes
     ----------
     current_state : EngineReported or None
-        The agent's word if it is about the start that holds.
+        The agent's report if it is about the current incarnation.
     weights_version : int or None
-        Version held, by the agent's word before the platform's list.
+        Version loaded; the agent's report takes precedence over the endpoint list.
     layers : tuple of (int, int) or None
-        Layers held, likewise.
+        Layers loaded, with the same precedence.
     loading : bool
-        Whether it is taking up new weights and starts nothing else.
+        Whether it is loading new weights and starts no requests meanwhile.
     pace : float
-        How many times slower than usual its engine works.
-    reading : Reading
-        Prompts that its engine has yet to read.
+        Slowdown of its engine relative to its usual speed.
+    reading : PrefillBacklog
+        Prompts whose prefill is outstanding.
     moved : bool
-        Whether another endpoint answers at its address. Its entry stays listed until
-        it lapses, seconds after a host that lost power is back with a new one, and
-        each request would use up a try there.
+        Whether another endpoint answers at its address. After a host has lost power
+        and returned with a new endpoint, the old entry stays listed for seconds until
+        it lapses, and each request sent there would waste an attempt.
     """
 
     __slots__ = (
@@ -84,7 +85,7 @@
         self._refresh_state()
 
     def _reset_counters(self):
-        """Begin with nothing, as a new start does."""
+        """Reset everything that belongs to one incarnation."""
         self.moved = False
         self.reading = PrefillBacklog()
         self.own_running = 0
@@ -98,7 +99,7 @@
 
     @property
     def entry(self):
-        """The platform's word."""
+        """The entry in the platform's endpoint list."""
         return self._entry
 
     @entry.setter
@@ -108,12 +109,12 @@
 
     @property
     def endpoint_id(self):
-        """Its id, by the platform's list."""
+        """Id in the platform's endpoint list."""
         return self._entry.endpoint_id
 
     @property
     def state(self):
-        """The agent's word, None if there is none."""
+        """The agent's last report, None if there is none."""
         return self._state
 
     @state.setter
@@ -123,18 +124,18 @@
 
     @property
     def incarnation(self):
-        """The start that holds; what is remembered is of this one."""
+        """The current incarnation, which all counters refer to."""
         return self._incarnations.current
 
     def update_entry(self, entry):
-        """Take the platform's word.
+        """Update from the platform's endpoint list.
 
         Parameters
         ----------
         entry : EndpointEntry
         """
         if entry.address != self.entry.address:
-            # The word is of what is at the other address.
+            # The agent's report is about the endpoint at the old address.
             self._state = None
         self.moved = self.moved and entry == self._entry
         self._entry = entry
@@ -142,7 +143,7 @@
         self._apply_incarnation(self._incarnations.observe_listed(entry.incarnation))
 
     def update_state(self, state, now):
-        """Take an agent's word.
+        """Update from an agent's report.
 
         Parameters
         ----------
@@ -156,7 +157,7 @@
             self.record_load(state.load, now)
 
     def matches(self, incarnation):
-        """Tell whether a word is about the start that holds.
+        """Return whether an incarnation is the current one, or unknown.
 
         Parameters
         ----------
@@ -169,13 +170,13 @@
         return not self.incarnation.differs_from(incarnation)
 
     def is_target(self, incarnation):
-        """Tell whether a request was sent to the start that holds.
+        """Return whether a request was sent to the current incarnation.
 
         Parameters
         ----------
         incarnation : Incarnation
-            That of its Place; unknown if no start had been told by then. One that
-            was told since and replaced by another is over with its requests.
+            That of the request's Place; unknown if none had been reported by then.
+            After a restart the requests of an unknown incarnation are over.
 
         Returns
         -------
@@ -192,10 +193,10 @@
         self._refresh_state()
 
     def _refresh_state(self):
-        """Find what the two words say now.
+        """Update the attributes derived from the endpoint list and the agent's report.
 
-        Each choice looks at all of this for each endpoint; found there, it was a
-        third of the time of a choice, and only a word can change it.
+        Each selection reads them for every endpoint. Deriving them there took a third
+        of the time of a selection, and they change only with a new entry or report.
         """
         if self.state is None or not self.matches(self.state.incarnation):
             self.current_state = None
@@ -215,26 +216,26 @@
 
     @property
     def load(self):
-        """Requests that are there: reported, and sent by this host since."""
+        """Requests at the endpoint: reported, plus those this host sent since."""
         return max(self.own_running, self.reported_load + self.sent_since_report)
 
     @property
     def link_delay(self):
-        """Seconds that a message there and back waits on the way."""
+        """Round-trip queueing delay in seconds on the link of the endpoint's host."""
         return self.state.link_delay if self.state is not None else 0.0
 
     def is_in(self, failure_domain):
-        """Tell whether it is in a failure domain."""
+        """Return whether the endpoint is in a failure domain."""
         return self.entry.failure_domain == failure_domain
 
     def report_age(self, now):
-        """Return the seconds since its load was told, None if it never was."""
+        """Return the age of the reported load in seconds, None if there is none."""
         if self.reported_at is None:
             return None
         return round(now - self.reported_at, 3)
 
     def accepts(self, now):
-        """Tell whether new requests may go there as far as the list says."""
+        """Return whether the endpoint list permits new requests to it."""
         if self.entry.leaving and self._entry_is_current:
             return False
         if self.moved:
@@ -242,13 +243,13 @@
         return not self.gone or now < self.grace_deadline
 
     def record_load(self, load, now):
-        """Take a load that the endpoint or its agent told."""
+        """Record a load reported by the endpoint or its agent."""
         self.reported_load = load
         self.reported_at = now
         self.sent_since_report = 0
 
     def record_end(self):
-        """Count that a request of this host ended, whether or not it was reported."""
+        """Record the end of a request of this host, whether or not reports had it."""
         self.own_running = max(0, self.own_running - 1)
         if self.sent_since_report:
             self.sent_since_report -= 1
@@ -256,11 +257,11 @@
             self.reported_load = max(0, self.reported_load - 1)
 
     def record_outcome(self, failed):
-        """Count one outcome."""
+        """Update the failure rate with one outcome."""
         self.failure_rate += FAILURE_RATE_ALPHA * (float(failed) - self.failure_rate)
 
     def record_response_time(self, seconds):
-        """Count the time of one whole answer."""
+        """Update the mean response time with one complete response."""
         self.mean_response_time += RESPONSE_TIME_ALPHA * (
             seconds - self.mean_response_time
         )
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -1,4 +1,4 @@
-"""Where a request goes, and whether it is taken at all: a pure state machine."""
+"""State machine that selects an endpoint for each request, or rejects the request."""
 
 import random
 from dataclasses import replace
@@ -27,7 +27,7 @@
 from hawthornspoke.placing._refusal import RejectionBuilder
 from hawthornspoke.placing._validity import WeightsEligibility
 
-#: What the machine takes.
+#: Messages that the machine handles.
 MESSAGES = (
     AgentLost,
     Ask,
@@ -46,18 +46,18 @@
 
 @MACHINES.register("fleet")
 class Fleet(Machine):
-    """Knows the endpoints and chooses one for each request.
+    """Tracks the endpoints and selects one for each request.
 
     Parameters
     ----------
     failure_domain : str, default=""
-        Of this host; endpoints there are preferred, since bytes between failure
-        domains are slow and dear.
+        Of this host. Endpoints there are preferred, since traffic between failure
+        domains is slow and expensive.
     version_bound : float, default=8.0
-        Seconds after its declaration from which only a version or a newer one may
-        begin to answer.
+        Seconds after the declaration of a version from which only this or a newer
+        version may start requests.
     version_margin : float, default=0.95
-        Seconds before that from which an older version comes second.
+        Seconds before the bound from which older versions lose precedence.
     seed : int, default=0
     """
 
@@ -108,7 +108,7 @@
 
     @property
     def endpoint_by_id(self):
-        """The endpoints that are known."""
+        """The known endpoints by id."""
         return self._directory.endpoint_by_id
 
     def on_catalog_changed(self, message, *, now):
@@ -134,7 +134,7 @@
         return []
 
     def on_weights_dated(self, message, *, now):
-        """Record moments before which undated versions were not declared."""
+        """Record the earliest possible times of declarations."""
         for version, at in message.moments:
             self.declared.hear(message.model, version, at=at)
         return []
@@ -152,12 +152,12 @@
         return []
 
     def on_agent_lost(self, message, *, now):
-        """Go back to what the platform's list says."""
+        """Fall back to the endpoint list for an endpoint whose agent was lost."""
         self._directory.clear_agent_state(message.address)
         return []
 
     def on_entry_hosts_seen(self, message, *, now):
-        """Set the entry host counts and this host's position; choose engines anew."""
+        """Set the entry host counts and this host's position; update the subsets."""
         near = max(1, message.near)
         self._choice.entry_hosts = (near, max(near, message.all))
         self._position = message.position
@@ -165,7 +165,7 @@
         return []
 
     def on_sent(self, message, *, now):
-        """Count a request that was sent."""
+        """Record a request that was sent."""
         endpoint = self._directory.request_target(message)
         if endpoint is not None:
             endpoint.own_running += 1
@@ -185,21 +185,21 @@
         return []
 
     def on_finished(self, message, *, now):
-        """Count what became of a request."""
+        """Record the outcome of a request."""
         endpoint = self._directory.request_target(message)
         if endpoint is None:
             return []
         if message.outcome != "unreachable":
             endpoint.record_end()
         if message.outcome == "moved":
-            # Another endpoint has the address: its own entry is on the way.
+            # Another endpoint has the address; its own entry will be listed soon.
             endpoint.moved = True
         if message.outcome not in ("left", "moved"):
             count_outcome(endpoint, message, now)
         return []
 
     def on_ask(self, message, *, now):
-        """Choose an endpoint, or say why there is none.
+        """Select an endpoint, or report why there is none.
 
         Parameters
         ----------
@@ -229,7 +229,7 @@
         return [self._select_engine(message, known, service.engine, now)]
 
     def on_recheck(self, message, *, now):
-        """Look once more at a place just before the request is sent there.
+        """Check a selected endpoint again just before the request is sent.
 
         Parameters
         ----------
@@ -260,7 +260,7 @@
         return [self._with_deadline(place, engine, eligibility)]
 
     def followed(self):
-        """Return the addresses of the engines that this host has to hear of often.
+        """Return the addresses of the engines that should report frequently.
 
         Returns
         -------
@@ -288,7 +288,7 @@
         return "" if endpoint is None else endpoint.entry.failure_domain
 
     def endpoints_in_use(self, service):
-        """Return at how many endpoints of a service requests of this host are.
+        """Return the number of endpoints with running requests of this host.
 
         Parameters
         ----------
@@ -310,12 +310,12 @@
         }
 
     def _engine_profile(self, endpoint):
-        """Return the EngineProfile of an endpoint's service, None if it is plain."""
+        """Return the EngineProfile of an endpoint's service, None for a plain one."""
         service = self.service_by_name.get(endpoint.entry.service)
         return None if service is None else service.engine
 
     def _estimate_remote_prompts(self, endpoint, load, now):
-        """Estimate the prompts sent by other hosts; call before the load is stored."""
+        """Estimate the prompts sent by other hosts; call before storing the load."""
         engine = self._engine_profile(endpoint)
         if engine is not None:
             endpoint.reading.add_remote_requests(
@@ -326,7 +326,7 @@
             )
 
     def _update_subsets(self, now):
-        """Choose the engines to keep to among those that are there now."""
+        """Update the subsets from the available engines and the entry hosts."""
         for name, service in self.service_by_name.items():
             if service.engine is None:
                 continue
@@ -360,7 +360,7 @@
         return eligibility.with_deadline(place, engine, endpoint)
 
     def _validity(self, ask, now):
-        """Return what may answer at the moment of a question."""
+        """Return the weights eligibility at the current time."""
         return WeightsEligibility(
             declared=self.declared,
             version_bound=self.version_bound,
@@ -372,5 +372,5 @@
 
 
 def _contact_time(message, now):
-    """Return when a message came, on the clock of declarations."""
+    """Return the time of receipt on the clock of declarations."""
     return now if message.contact_now is None else message.contact_now
--- a/hawthornspoke/placing/_herd.py
+++ b/hawthornspoke/placing/_herd.py
@@ -1,24 +1,24 @@
-"""How many requests other entry hosts send to an engine between two of its reports.
+"""Estimates the requests other entry hosts send to an engine between two reports.
 
-All entry hosts see the same reports. When one engine of a full fleet reports a free
-slot, each of them sends it the next request that it has: 26 of 34 hosts did within
-80 ms, the engine shed half of these and began the others 1.2 s late. So a host adds
-to a reported load what the others will have sent since.
+All entry hosts see the same reports. If one engine of a full fleet reports a free slot,
+each host sends it its next request: 26 of 34 hosts did so within 80 ms, and the engine
+shed half of these requests and started the others 1.2 s late. A host therefore adds the
+expected requests of the others to a reported load.
 """
 
 import math
 
-#: Seconds over which the rate of questions is measured: long enough for a dozen
-#: requests of one host, short beside a burst.
+#: Time constant in seconds of the request rate: long enough for a dozen requests of one
+#: host, short compared with a burst.
 RATE_TIME_CONSTANT = 1.0
 
-#: Seconds of a report's age from which it tells no more about the moment. Older
-#: reports come from engines that are quiet, or from hosts that are cut off.
+#: Report age in seconds above which the estimate stops growing. Older reports come from
+#: idle engines or from partitioned hosts.
 MAX_REPORT_AGE = 1.0
 
 
 class DecayingRate:
-    """Events a second, with exponentially less weight on older ones."""
+    """Events per second as an exponentially weighted moving average."""
 
     __slots__ = ("_value", "_updated_at")
 
@@ -32,17 +32,17 @@
         self._updated_at = now
 
     def value(self, now):
-        """Return events a second."""
+        """Return the events per second."""
         return self._value * math.exp((self._updated_at - now) / RATE_TIME_CONSTANT)
 
 
 class PeerTraffic:
-    """Other entry hosts' share in the load of engines.
+    """Request rate of the other entry hosts.
 
     Attributes
     ----------
     near_hosts, all_hosts : int
-        Entry hosts of the own failure domain, and of all, this one too.
+        Entry hosts in the own failure domain, and in all, including this one.
     """
 
     __slots__ = ("near_hosts", "all_hosts", "_request_rate", "_overflow_rate")
@@ -54,18 +54,18 @@
         self._overflow_rate = DecayingRate()
 
     def count_request(self, now):
-        """Count a request for the engines."""
+        """Count a request for the service's engines."""
         self._request_rate.count(now)
 
     def count_overflow(self, now):
-        """Count a request for which no engine of the own failure domain had room."""
+        """Count a request for which the own failure domain had no capacity."""
         self._overflow_rate.count(now)
 
     def arrivals(self, *, near, now):
-        """Return the requests a second that the other hosts send, all together.
+        """Return the total requests per second of the other hosts.
 
-        Near engines get all requests of the hosts near them. Far ones get only what
-        overflows, and may get it from every host.
+        Near engines get all requests of the hosts in their failure domain. Far engines
+        get overflow only, possibly from every host.
 
         Parameters
         ----------
@@ -82,26 +82,26 @@
 
 
 def estimated_growth(*, arrivals, engines_with_room, load, slot_time, slots, age):
-    """Return the requests by which an engine's load has grown since it was told.
+    """Return the estimated growth in an engine's load since it was reported.
 
     Parameters
     ----------
     arrivals : float
-        Requests a second, for all engines that have room.
-    sharing : int
-        How many have.
+        Requests per second for all engines with free slots.
+    engines_with_room : int
+        Number of these engines.
     load : int
-        Requests there as far as is known.
-    holding : float
-        Seconds that a request holds its slot.
+        Requests at the engine according to the report.
+    slot_time : float
+        Seconds for which a request holds its slot.
     slots : int
     age : float or None
-        Seconds since the load was told.
+        Seconds since the report.
 
     Returns
     -------
     float
-        What comes less what ends meanwhile; not below 0.
+        Arrivals less completions, at least 0.
     """
     if age is None:
         return 0.0
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the fleet machine."""
+"""Messages of the fleet state machine."""
 
 from dataclasses import dataclass, field
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EndpointsListed:
-    """The platform's list, whole.
+    """The platform's complete endpoint list.
 
     Parameters
     ----------
     entries : tuple of EndpointEntry
     contact_regained_at : float
-        When the platform could be read again after it couldn't; entries that
-        vanish just then may only have lapsed.
+        When the platform became reachable again; entries that vanish just then may
+        only have lapsed.
     """
 
     entries: tuple
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class CatalogChanged:
-    """A newer configuration is in force.
+    """A newer configuration took effect.
 
     Parameters
     ----------
@@ -35,18 +35,18 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class WeightsDeclared:
-    """A version was declared.
+    """A weights version was declared.
 
     Parameters
     ----------
     declared : DeclaredWeights
     at : float
-        A moment before which it was not, on the clock that goes on while the host
-        is suspended; ``UNKNOWN`` if there is none.
+        Earliest possible time of the declaration, on the clock that includes suspended
+        time; ``UNKNOWN`` if there is none.
     known_until : float
-        A moment until which this process knew all declarations.
+        Time until which this process knew all declarations.
     contact_now : float or None, default=None
-        When it was heard of, on the same clock; None if that is the steady one.
+        Time of receipt on the same clock; None if it is the monotonic clock.
     """
 
     declared: object
@@ -57,14 +57,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class WeightsDated:
-    """It was found out when versions of a model were declared.
+    """The declaration times of versions became known.
 
     Parameters
     ----------
     model : str
     moments : tuple of (int, float)
-        Versions and moments before which they were not declared, on the clock that
-        goes on while the host is suspended.
+        Versions and the earliest possible times of their declarations, on the clock
+        that includes suspended time.
     """
 
     model: str
@@ -73,32 +73,33 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EngineReported:
-    """An agent told the state of its engine.
+    """An agent reported the state of its engine.
 
     Parameters
     ----------
     address : str
         Of the endpoint.
     load : int
-        Requests running and waiting there.
+        Running and waiting requests.
     weights_version : int or None
     layers : tuple of (int, int) or None
     loading : bool
     pace : float
+        Slowdown relative to the usual speed.
     next_version : int or None
     next_ready_at : float or None
-        When that version is expected to be usable there.
+        When that version is expected to be ready.
     model : str
     declared : tuple of (int, float)
-        Versions and moments before which they were not declared as far as the agent
-        was told, on the clock that goes on while the host is suspended.
+        Versions and the earliest possible times of their declarations that the agent
+        knows, on the clock that includes suspended time.
     link_delay : float
-        Seconds that a message there and back waits on the link of its host.
+        Round-trip queueing delay in seconds on the link of its host.
     incarnation : Incarnation
-        The start that the word is about.
+        Incarnation of the endpoint that the report is about.
     contact_now : float or None, default=None
-        When it came, on the clock that goes on while the host is suspended; None if
-        the two are the same.
+        Time of receipt on the clock that includes suspended time; None if it is the
+        same as the monotonic clock.
     """
 
     address: str
@@ -118,22 +119,23 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AgentLost:
-    """The connection to an agent ended; its word is not taken any longer."""
+    """The connection to an agent was lost; its report is no longer used."""
 
     address: str
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EntryHostsSeen:
-    """How many entry hosts there seem to be, this one too.
+    """The number of entry hosts changed.
 
     Parameters
     ----------
     near : int
-        In the own failure domain.
+        Entry hosts in the own failure domain, including this one.
     all : int
+        Entry hosts in all failure domains.
     position : int, default=0
-        Place of this host among the near ones in the order of their addresses.
+        Position of this host among the near ones, ordered by address.
     """
 
     near: int
@@ -149,7 +151,7 @@
     ----------
     endpoint_id : str
     incarnation : Incarnation
-        The start that was chosen for it.
+        Incarnation selected for the request.
     prompt_tokens : int, default=0
     """
 
@@ -160,14 +162,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LoadSeen:
-    """A response told the endpoint's load.
+    """A response reported the endpoint's load.
 
     Parameters
     ----------
     endpoint_id : str
     load : int
     incarnation : Incarnation
-        The start that was chosen for the request.
+        Incarnation selected for the request.
     """
 
     endpoint_id: str
@@ -177,20 +179,19 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Finished:
-    """A request at an endpoint ended.
+    """A request to an endpoint ended.
 
     Parameters
     ----------
     endpoint_id : str
     outcome : str
-        ``"done"``, ``"failed"`` (an answer that is no success, a broken
-        connection), ``"silent"``, ``"unreachable"``, ``"refused"``, ``"moved"``
-        (another
-        endpoint has the address) or ``"left"`` (the caller left).
+        ``"done"``, ``"failed"`` (an error response or a broken connection),
+        ``"silent"``, ``"unreachable"``, ``"refused"``, ``"moved"`` (another endpoint
+        has the address) or ``"left"`` (the caller disconnected).
     seconds : float or None
-        Time of a whole answer.
+        Duration of a complete response.
     incarnation : Incarnation
-        The start that was chosen for it.
+        Incarnation selected for the request.
     """
 
     endpoint_id: str
@@ -201,25 +202,25 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Ask:
-    """Where should this request go?
+    """Asks for an endpoint for a request.
 
     Parameters
     ----------
     service : str
     prompt_tokens : int
     on_time_left : float
-        Seconds until its answer is late; negative if it is already.
+        Seconds until the response is late; negative if it already is.
     time_left : float
-        Seconds until its deadline.
+        Seconds until the deadline.
     returned : bool
-        The caller was refused before and has come back.
+        Whether the caller was rejected before and retries.
     tried : frozenset of str
-        Ids of endpoints that it was sent to.
+        Ids of endpoints that the request was sent to.
     same_version : int or None
-        Only endpoints with exactly this version, to go on with a stream.
+        Restricts the selection to endpoints with this version, to resume a stream.
     contact_now : float or None
-        The moment on the clock that goes on while the host is suspended; None if
-        both clocks are the same.
+        Current time on the clock that includes suspended time; None if it is the same
+        as the monotonic clock.
     """
 
     service: str
@@ -234,25 +235,25 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Place:
-    """Send it there.
+    """The endpoint selected for a request.
 
     Parameters
     ----------
     endpoint_id : str
     address : str
     load : int
-        What was believed of the endpoint's load.
+        Assumed load of the endpoint.
     report_age : float or None
-        Seconds since that load was told.
+        Age of the load report in seconds.
     expected : float
-        Seconds until the first token, or the answer of a plain service.
+        Seconds until the first token, or the response of a plain service.
     weights_version : int or None
-        Version that the endpoint is believed to hold.
+        Version that the endpoint is assumed to have.
     begin_deadline : float or None
-        When it must have begun, since its weights are too old soon after; None if
-        no newer ones are declared.
+        Time by which the request must have started, since the weights expire soon
+        after; None if no newer version is declared.
     incarnation : Incarnation
-        The start of the endpoint that was chosen.
+        Incarnation of the selected endpoint.
     """
 
     endpoint_id: str
@@ -267,12 +268,12 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Recheck:
-    """Does a place that was chosen a moment ago still hold?
+    """Asks whether an endpoint selected a moment ago is still eligible.
 
     Parameters
     ----------
     ask : Ask
-        As it would be asked now.
+        With the times left now.
     place : Place
     """
 
@@ -282,14 +283,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Decline:
-    """Nowhere now.
+    """No endpoint can serve the request now.
 
     Parameters
     ----------
     reason : str
         ``"no_endpoint"``, ``"no_weights"`` or ``"full"``.
     retry_after : float
-        Seconds after which room is expected.
+        Seconds after which capacity is expected.
     """
 
     reason: str
--- a/hawthornspoke/placing/_predict.py
+++ b/hawthornspoke/placing/_predict.py
@@ -1,17 +1,17 @@
-"""How soon an endpoint would begin to answer."""
+"""Predicts how soon an endpoint starts to respond."""
 
-#: Passes until the first event: half a pass on average before the prompt is read,
-#: since a request comes at any moment of the pass that is running, and the pass
-#: that makes the first event's tokens. Seen: 0.12 s at 2 to 11 running requests.
+#: Engine passes until the first event: half a pass on average until the prompt is
+#: processed, since requests arrive at any moment of the running pass, and the pass that
+#: generates its tokens. Measured: 0.12 s with 2 to 11 running requests.
 PASSES_TO_FIRST_TOKEN = 1.5
 
-#: Seconds for the way there and back, and for the prompts of others that are read
-#: in the same pass.
+#: Seconds for the network round trip, and for the prefill of other prompts that share
+#: the pass.
 FIRST_TOKEN_OVERHEAD = 0.02
 
-#: How much longer than its decoding alone a request holds its slot under load,
-#: since the prompts of the others are read between its tokens. At the rate at
-#: which 16 slots turn over, a third of an engine's time goes into prompts.
+#: Factor by which a request under load holds its slot longer than decoding alone takes,
+#: since the prefill of other prompts interrupts it. At full turnover of 16 slots a
+#: third of an engine's time goes into prefill.
 PREFILL_STRETCH = 1.4
 
 
@@ -22,9 +22,10 @@
     ----------
     profile : EngineProfile
     load : int
-        Requests that are there already.
+        Requests already at the engine.
     prompt_tokens : int
     pace : float, default=1.0
+        Slowdown relative to the usual speed.
 
     Returns
     -------
@@ -43,7 +44,7 @@
 
 
 def expected_first_token(endpoint, profile, ask, *, load, now):
-    """Return the expected time to a request's first token at an endpoint.
+    """Return the expected time to first token of a request at an endpoint.
 
     Parameters
     ----------
@@ -51,7 +52,7 @@
     profile : EngineProfile
     ask : Ask
     load : float
-        Requests that are there already.
+        Requests already at the endpoint.
     now : float
 
     Returns
@@ -59,8 +60,9 @@
     float
         Seconds.
     """
-    # Where pieces fill all links none can be left alone for it, and requests that
-    # can't be on time would reach engines after their callers had left.
+    # The link delay counts here rather than as a reason for ejection: if weight
+    # transfers fill all links, none can be avoided, and without it requests that can't
+    # be on time would reach engines after their callers had left.
     return (
         endpoint.link_delay
         + endpoint.reading.left(now)
@@ -74,7 +76,7 @@
 
 
 def prefill_time(endpoint, profile, prompt_tokens):
-    """Return the seconds in which an engine reads a prompt.
+    """Return the time in seconds in which an engine processes a prompt.
 
     Parameters
     ----------
@@ -90,7 +92,7 @@
 
 
 def slot_release_interval(profile):
-    """Return the mean time between two slots of a full engine becoming free.
+    """Return the mean interval at which a full engine releases slots.
 
     Parameters
     ----------
@@ -108,7 +110,7 @@
 
 
 def expected_response_time(endpoint):
-    """Return the expected time of a plain service's answer.
+    """Return the expected response time at an endpoint of a plain service.
 
     Parameters
     ----------
--- a/hawthornspoke/placing/_reading.py
+++ b/hawthornspoke/placing/_reading.py
@@ -1,25 +1,25 @@
-"""Prompts that an engine has yet to read, as far as one entry host can tell.
+"""Estimates the outstanding prefill work of an engine, as seen by one entry host.
 
-Answers the load of crowds: after a gap, or while engines change their weights, a dozen
-callers reach one engine within a tenth of a second. It has slots for all of them, but
-it reads their prompts one after the other, and the last one's first token comes half a
-second late. Loads in slots don't show that.
+Guards against bursts: after a gap, or while engines load new weights, a dozen requests
+reach one engine within a tenth of a second. It has slots for all of them but processes
+their prompts one after the other, so the last first token is half a second late. Slot
+counts don't show that.
 """
 
-#: Requests between two reports that came from nobody known and don't count: one that
-#: this host has sent reaches the engine after the report that follows it was made.
+#: Growth in load between two reports that isn't attributed to other hosts: a request
+#: of this host may reach the engine only after the next report was made.
 IN_FLIGHT_ALLOWANCE = 1
 
-#: Seconds from which a report tells too little of when the requests since came.
+#: Report interval in seconds above which the time of the new requests is too uncertain.
 MAX_REPORT_INTERVAL = 1.0
 
 
 class PrefillBacklog:
-    """Until when an engine reads the prompts that are known to be there.
+    """Tracks until when an engine is busy with the prefill of known prompts.
 
     Attributes
     ----------
-    until : float
+    busy_until : float
     """
 
     __slots__ = ("busy_until",)
@@ -28,7 +28,7 @@
         self.busy_until = float("-inf")
 
     def left(self, now):
-        """Return the seconds of reading that are left.
+        """Return the remaining prefill time in seconds.
 
         Parameters
         ----------
@@ -41,27 +41,27 @@
         return max(0.0, self.busy_until - now)
 
     def add(self, seconds, now):
-        """Take a prompt that was sent there.
+        """Add the prefill of one or more prompts.
 
         Parameters
         ----------
         seconds : float
-            That the engine needs to read it.
+            Prefill time.
         now : float
         """
         self.busy_until = max(self.busy_until, now) + seconds
 
     def add_remote_requests(self, *, growth, age, usual_seconds, now):
-        """Take a report of a load that has grown by requests of other hosts.
+        """Add the prompts of other hosts, estimated from the growth in load.
 
         Parameters
         ----------
-        grown : int
-            Requests more than were told and sent before.
+        growth : int
+            Requests in excess of those reported and sent before.
         age : float or None
-            Seconds since the report before; None if there was none.
-        usual : float
-            Seconds to read a usual prompt.
+            Seconds since the previous report; None if there was none.
+        usual_seconds : float
+            Prefill time of a typical prompt.
         now : float
         """
         if (
--- a/hawthornspoke/placing/_refusal.py
+++ b/hawthornspoke/placing/_refusal.py
@@ -1,27 +1,26 @@
-"""Refusals, and when a refused caller is told to come back."""
+"""Builds rejections and their retry delays."""
 
 from hawthornspoke.placing._messages import Decline
 
-#: Seconds until endpoints of a service that has none may be known.
+#: Retry delay in seconds for a service without known endpoints.
 NO_ENDPOINT_RETRY_AFTER = 0.5
 
-#: Seconds until weights may be there if no agent tells when.
+#: Retry delay in seconds for missing weights if no agent reports when they are ready.
 NO_WEIGHTS_RETRY_AFTER = 1.0
 
-#: Part of the remaining time that callers are willing to wait before they return.
+#: Share of the remaining time that a caller is willing to wait before it retries.
 MAX_WAIT_SHARE = 1 / 3
 
-#: Least seconds that a refused caller is told to wait: below this it comes back
-#: before anything has changed.
+#: Minimum retry delay in seconds: below it callers return before anything has changed.
 MIN_RETRY_AFTER = 0.2
 
 
 class RejectionBuilder:
-    """Declines requests.
+    """Builds Decline messages with a retry delay.
 
     Parameters
     ----------
-    chance : random.Random
+    rng : random.Random
     """
 
     __slots__ = ("_chance",)
@@ -30,17 +29,17 @@
         self._chance = rng
 
     def no_endpoint(self, ask):
-        """Return a Decline for want of an endpoint."""
+        """Return a Decline because the service has no endpoint."""
         return self._decline(ask, "no_endpoint", NO_ENDPOINT_RETRY_AFTER)
 
     def no_weights(self, ask, endpoints, now):
-        """Return a Decline for want of weights that may answer.
+        """Return a Decline because no endpoint has eligible weights.
 
         Parameters
         ----------
         ask : Ask
         endpoints : list of Endpoint
-            Those that may have them soon.
+            Endpoints that may have them soon.
         now : float
 
         Returns
@@ -57,13 +56,13 @@
         return self._decline(ask, "no_weights", soonest)
 
     def full(self, ask, seconds):
-        """Return a Decline for want of room.
+        """Return a Decline because all endpoints are full.
 
         Parameters
         ----------
         ask : Ask
         seconds : float
-            Until there may be some.
+            Time until capacity is expected.
 
         Returns
         -------
@@ -72,8 +71,8 @@
         return self._decline(ask, "full", seconds)
 
     def _decline(self, ask, reason, seconds):
-        # Callers refused together come back over a span, not at one moment. They
-        # wait a third of their time at most, so a later time would only be cut.
+        # Jitter keeps callers that were rejected together from returning together.
+        # They wait a third of their time at most, so a longer delay would be cut.
         most = max(MIN_RETRY_AFTER, ask.time_left * MAX_WAIT_SHARE)
         earliest = min(max(MIN_RETRY_AFTER, seconds), most)
         spread = earliest + (most - earliest) * self._chance.random()
--- a/hawthornspoke/placing/_starts.py
+++ b/hawthornspoke/placing/_starts.py
@@ -1,14 +1,14 @@
-"""Which start of an endpoint holds, from two words that are late now and then."""
+"""Tracks an endpoint's current incarnation from two sources that may lag."""
 
 from hawthornspoke.catalog import UNKNOWN_START
 
-#: Earlier starts that are remembered of each word. A word that is late is late by
-#: seconds, and an endpoint needs one at the least to start.
+#: Earlier incarnations remembered for each source. Reports are late by seconds at
+#: most, and an endpoint takes at least one second to start.
 MAX_EARLIER_INCARNATIONS = 4
 
 
 class _ReportHistory:
-    """What one of the two told: the start now, and those before it."""
+    """Incarnations reported by one source: the latest and those before it."""
 
     __slots__ = ("latest", "earlier")
 
@@ -17,11 +17,11 @@
         self.earlier = []
 
     def record(self, incarnation):
-        """Take a start; return whether it is another one than before."""
+        """Record an incarnation and return whether it differs from the latest."""
         if not incarnation.is_known or incarnation == self.latest:
             return False
         if incarnation in self.earlier:
-            # It is told anew, so it is past no longer.
+            # Reported again, so it is no longer a past one.
             self.earlier.remove(incarnation)
         if self.latest.is_known:
             self.earlier.append(self.latest)
@@ -31,15 +31,15 @@
 
 
 class IncarnationTracker:
-    """The start of one endpoint that holds.
-
-    The platform's list and the agent beside the endpoint each tell starts in the
-    order in which they happened: rows by their revision, the agent's looks over one
-    connection. Between the two there is no such order, and the times of two starts
-    give none where a clock was put back. Either may be late by seconds: the list of
-    a host that is cut off, the agent's word in a cut that heals. What shows that a
-    word is late is that the other told this start before and has gone on to
-    another; whatever else a word changes to is the newest start.
+    """Determines which incarnation of an endpoint is current.
+
+    The platform's endpoint list and the agent on the endpoint's host each report
+    incarnations in the order in which they happened: list rows by revision, agent
+    reports over one connection. There is no order between the two sources, and start
+    times don't give one if a clock was set back. Either source may lag by seconds:
+    the list on a host that is partitioned, the agent's report when a partition heals.
+    A report is stale if the other source reported the same incarnation before and has
+    moved on to another one; any other change is the newest incarnation.
     """
 
     __slots__ = ("current", "_list_history", "_agent_history")
@@ -50,7 +50,7 @@
         self._agent_history = _ReportHistory()
 
     def observe_listed(self, incarnation):
-        """Take the list's word.
+        """Record an incarnation from the endpoint list.
 
         Parameters
         ----------
@@ -59,12 +59,12 @@
         Returns
         -------
         bool
-            Whether another start holds now.
+            Whether the current incarnation changed.
         """
         return self._observe(self._list_history, self._agent_history, incarnation)
 
     def observe_reported(self, incarnation):
-        """Take the agent's word; see ``observe_listed``."""
+        """Record an incarnation from the agent; see ``observe_listed``."""
         return self._observe(self._agent_history, self._list_history, incarnation)
 
     def _observe(self, history, other, incarnation):
--- a/hawthornspoke/placing/_subset.py
+++ b/hawthornspoke/placing/_subset.py
@@ -1,61 +1,61 @@
-"""Which engines an entry host sends to first, and hears of often.
+"""Subsetting: the engines that an entry host prefers and gets frequent reports from.
 
-Answers the load of many hosts: where each of 99 entry hosts hears each change at each
-of 150 engines, engines tell 29,000 loads a second in all, and reading and writing
-these takes longer than the requests. A host that keeps to a few engines needs to hear
-only of these.
+Limits the reporting load with many hosts: if 99 entry hosts got each load change of
+150 engines, there would be 29,000 reports a second in all, and encoding and decoding
+them would take longer than the requests. A host that prefers a few engines needs
+frequent reports from these only.
 """
 
 from hawthornspoke.base import rendezvous_order
 from hawthornspoke.placing._herd import DecayingRate
 
-#: Engines of the own failure domain that a host keeps to at the least. Fewer would
-#: be full together while their neighbours have room: with 64 slots of eight engines
-#: a burst of one host's callers is a small part of them.
+#: Minimum number of engines of the own failure domain in a subset. Fewer would be full
+#: at once while others have capacity; eight engines have 64 slots, of which a burst of
+#: one host's callers takes a small part.
 LEAST_NEAR = 8
 
-#: Hosts that keep to each engine at the least. With one or two an engine would stand
-#: idle, or be full, with the callers of a single host.
+#: Minimum number of hosts that share an engine. With one or two, an engine would be
+#: idle or full depending on the callers of a single host.
 MIN_HOSTS_PER_ENGINE = 3
 
-#: Engines of other failure domains that a host hears of often. They are needed only
-#: when the own has no room; two dozen take what overflows from one host.
+#: Maximum number of engines of other failure domains in a subset. They are needed only
+#: if the own failure domain is full; 24 take the overflow of one host.
 MAX_FAR_ENGINES = 24
 
-#: Share of the requests that find no free slot among the engines that a host keeps to
-#: from which it keeps to twice as many, and below which to half as many. With eight
-#: engines the first is exceeded from nine slots in ten taken on.
+#: Share of requests without a free slot in the subset above which the subset doubles,
+#: and below which it halves. With eight engines the former is exceeded from an
+#: occupancy of nine slots in ten on.
 WIDEN_THRESHOLD = 0.03
 NARROW_THRESHOLD = 0.005
 
-#: Seconds between two widenings: the loads of the engines that were added are known
-#: half a second later. A narrowing waits longer, since a burst lasts for seconds and
-#: returns.
+#: Minimum seconds between two widenings: the loads of added engines are known after
+#: half a second. Narrowing waits longer, since a burst lasts for seconds and recurs.
 WIDEN_COOLDOWN = 0.5
 NARROW_COOLDOWN = 4.0
 
-#: Requests a second below which the share that finds no room tells nothing.
+#: Requests a second below which the share of spilled requests isn't significant.
 MIN_REQUEST_RATE = 2.0
 
 
 class Subset:
-    """The engines of one service that a host keeps to.
+    """The engines of one service that a host prefers.
 
     The engines of the own failure domain form a ring that is the same on every host.
-    Each host takes as many in a row, beginning at its own place, so that all engines
-    have as many hosts but for one, and a host or engine that comes or goes moves few.
+    Each host takes a window of consecutive engines that starts at its own position, so
+    that hosts per engine differ by one at most, and few assignments change if a host or
+    an engine joins or leaves.
 
     Parameters
     ----------
     host : str
-        What tells this host from others; far engines are drawn by it.
+        Identifies this host; it determines the choice of far engines.
 
     Attributes
     ----------
     since_by_id : dict of str to float
-        By id of each engine that this host keeps to, or hears of often: since when.
+        By id of each engine in the subset: since when it has been in it.
     near_share, far_share : float
-        Share of the engines in the own failure domain, and in others, that these are.
+        Share of the subset among the engines of the own failure domain, and of others.
     """
 
     __slots__ = (
@@ -88,11 +88,11 @@
 
     @property
     def is_known(self):
-        """Whether the engines are known; until then all are heard of often."""
+        """Whether the engines are known; until then all report frequently."""
         return bool(self._near or self._far)
 
     def place(self, *, position, hosts, now):
-        """Take the place of this host among those of its failure domain.
+        """Set the position of this host among those of its failure domain.
 
         Parameters
         ----------
@@ -106,16 +106,16 @@
             self._recompute(now)
 
     def set_engines(self, *, near, far, now):
-        """Take the engines that are there.
+        """Set the available engines.
 
         Parameters
         ----------
         near, far : iterable of str
-            Ids of those in the own failure domain, and in others.
+            Ids of the engines in the own failure domain, and in others.
         now : float
         """
         near, far = set(near), set(far)
-        # Told twice a second; both orders follow from who is there.
+        # Called twice a second; both orders depend on the sets only.
         if (near, far) == (set(self._near), set(self._far)):
             return
         self._near = tuple(rendezvous_order(key="ring", nodes=near))
@@ -123,12 +123,12 @@
         self._recompute(now)
 
     def count(self, *, spilled, now):
-        """Count a request, and keep to more or fewer engines if it is time to.
+        """Count a request, and widen or narrow the subset if necessary.
 
         Parameters
         ----------
         spilled : bool
-            Whether it found no room among the engines that this host keeps to.
+            Whether it found no free slot in the subset.
         now : float
         """
         self._request_rate.count(now)
@@ -149,10 +149,10 @@
         self._recompute(now)
 
     def widen(self, now):
-        """Keep to all engines of the failure domain.
+        """Extend the subset to all engines of the failure domain.
 
-        None of them answers the next caller in time, by loads that are a second old
-        for those that this host did not keep to: it must know better.
+        Called if none of them can serve the next request in time, judging by reports
+        that are a second old for engines outside the subset: it needs fresher ones.
         """
         if self._effective_width() < len(self._near):
             self.width = len(self._near)
@@ -173,7 +173,7 @@
         return min(len(self._near), max(self.width, least))
 
     def _recompute(self, now):
-        """Take the own window of the ring, and the first of the far engines."""
+        """Take this host's window of the ring and the first of the far engines."""
         count, width = len(self._near), self._effective_width()
         first = self.position * count // max(1, self.hosts)
         near = [self._near[(first + step) % count] for step in range(width)]
--- a/hawthornspoke/placing/_validity.py
+++ b/hawthornspoke/placing/_validity.py
@@ -1,12 +1,13 @@
-"""Which weights may begin to answer, and until when.
-
-A bound after its declaration only a version or a newer one may begin to answer. What
-keeps it is the withdrawal: a request that has not begun ``WITHDRAW_MARGIN`` before the
-bound is taken back. Until then older weights answer all that is expected to begin
-before it. Were they left alone sooner, whole fleets stood idle for a second before each
-bound, with nothing newer to serve from yet. Only where newer weights answer as well do
-older ones come second, from ``SEND_MARGIN`` before the bound: there a request that
-begins later than expected would be withdrawn for nothing.
+"""Which weights versions may start to serve requests, and until when.
+
+Once ``version_bound`` seconds have passed since the declaration of a version, only this
+or a newer version may start requests. Withdrawal enforces this bound: a request that
+has not started ``WITHDRAW_MARGIN`` before the bound is withdrawn from the engine. Until
+then older weights serve all requests that are expected to start in time. Excluding them
+earlier left whole fleets idle for a second before each bound, with no newer weights
+ready. Older weights lose precedence ``SEND_MARGIN`` before the bound only if newer ones
+can serve the request as well: a request that starts later than expected would be
+withdrawn needlessly.
 """
 
 import enum
@@ -14,56 +15,56 @@
 
 from hawthornspoke.placing._predict import expected_first_token
 
-#: Seconds before a bound at which a request that has not begun on older weights is
-#: taken back. Its end needs as long to reach the engine as anything else on a link
-#: full of pieces, 0.18 s as seen, and a busy process notices the time 0.1 s late.
+#: Seconds before the bound at which a request that has not started on older weights is
+#: withdrawn. On a link saturated by weight transfers the withdrawal takes 0.18 s to
+#: reach the engine, and timers of a busy process fire 0.1 s late.
 WITHDRAW_MARGIN = 0.4
 
-#: The same for engines of other failure domains: links between regions carry pieces
-#: and configurations too, and nobody measures how long a message waits there.
+#: Margin for engines of other failure domains: links between regions carry weights and
+#: configurations too, and their queueing delay isn't measured.
 WITHDRAW_MARGIN_FAR = 0.6
 
-#: Seconds by which a busy process notices a time late.
+#: Seconds by which timers of a busy process fire late.
 TIMER_LATENCY = 0.15
 
-#: Times the expected time to the first token after which a request is taken to have
-#: begun, at an engine that works at its usual pace.
+#: Multiple of the expected time to first token within which a request is assumed to
+#: start on an engine of usual speed.
 START_FACTOR = 1.5
 
-#: What is added to that for each time that an engine is slower than usual: how slow it
-#: is was told a moment ago. Four times slower, 1.05 s were seen for 0.4 s.
+#: Increase of the factor per unit of slowdown, since the slowdown was reported a moment
+#: ago. With a slowdown of 4, 1.05 s were measured where 0.4 s were expected.
 START_FACTOR_SLOWDOWN = 0.6
 
-#: The same where newer weights may answer instead.
+#: Factor if newer weights can serve the request instead.
 START_FACTOR_SURE = 2.0
 
 
 class Prospect(enum.Enum):
-    """Whether a request begins before an engine's weights are too old for it."""
+    """Whether a request starts before an engine's weights expire."""
 
     TOO_LATE = "too_late"
     EXPECTED = "expected"
-    #: With time to spare.
+    #: In time with a safety margin.
     SURE = "sure"
 
 
 class WeightsEligibility:
-    """What may answer at one moment.
+    """Decides which endpoints have eligible weights at one point in time.
 
     Parameters
     ----------
     declared : DeclaredVersions
     version_bound : float
-        Seconds after its declaration from which only a version or a newer one may
-        begin to answer.
+        Seconds after the declaration of a version from which only this or a newer
+        version may start requests.
     version_margin : float
-        Seconds before that from which an older version comes second.
+        Seconds before the bound from which older versions lose precedence.
     failure_domain : str
         Of this host.
     contact_now : float
-        The moment on the clock of declarations.
+        Current time on the clock of declarations.
     now : float
-        The same on the clock of deadlines.
+        Current time on the clock of deadlines.
     """
 
     __slots__ = (
@@ -95,7 +96,7 @@
         self._too_old_at_by_version = {}
 
     def allows(self, endpoint, engine, ask):
-        """Tell whether an engine has the weights for a request and begins in time.
+        """Return whether an engine has eligible weights and starts a request in time.
 
         Parameters
         ----------
@@ -117,14 +118,14 @@
         return self.forecast(endpoint, engine, expected) is not Prospect.TOO_LATE
 
     def forecast(self, endpoint, engine, expected):
-        """Tell whether a request begins before an engine's weights are too old.
+        """Return whether a request starts before an engine's weights expire.
 
         Parameters
         ----------
         endpoint : Endpoint
         engine : EngineProfile
         expected : float
-            Seconds to the first token.
+            Time to first token in seconds.
 
         Returns
         -------
@@ -141,14 +142,14 @@
         return Prospect.TOO_LATE
 
     def with_deadline(self, place, engine, endpoint):
-        """Return a place with the moment at which a request must have begun there.
+        """Return a Place with the deadline by which the request must have started.
 
         Parameters
         ----------
         place : Place
         engine : EngineProfile
         endpoint : Endpoint
-            The one of the place.
+            The endpoint of the Place.
 
         Returns
         -------
@@ -160,26 +161,26 @@
         too_old_at = self._too_old_at(engine, version)
         if too_old_at is None:
             return place
-        # Seconds by which the clock of declarations is ahead of that of deadlines.
+        # Time that the host was suspended, which the clock of deadlines doesn't count.
         suspended = self.contact_now - self.now
         deadline = too_old_at - suspended - self._withdraw_margin(endpoint)
         return replace(place, begin_deadline=deadline)
 
     def _withdraw_margin(self, endpoint):
-        """Return the seconds before a bound at which a request is taken back."""
+        """Return the seconds before the bound at which a request is withdrawn."""
         near = endpoint.is_in(self.failure_domain)
         margin = WITHDRAW_MARGIN if near else WITHDRAW_MARGIN_FAR
-        # What is taken back crosses the same link as the pieces that fill it. Where
-        # that takes longer than is kept for it, the engine begins the request on
-        # weights that are too old, and the log says that it was withdrawn.
+        # The withdrawal shares the link with the transfers that saturate it. If it
+        # takes longer than the margin, the engine starts the request on expired
+        # weights while the log reports a withdrawal.
         return max(margin, endpoint.link_delay + TIMER_LATENCY)
 
     def _is_newest(self, endpoint, engine):
-        """Tell whether nothing is known that makes an engine's weights too old.
+        """Return whether no newer version limits the use of an engine's weights.
 
-        That is so for all engines but in the seconds in which a version spreads, so
-        it is looked at before a time to the first token is worked out. What only
-        agents told counts as well: it binds from the same moment.
+        This holds for all engines except for the seconds of a rollout, so it is checked
+        before the time to first token is computed. Versions known from agents only
+        count as well: they take effect at the same time.
         """
         version = endpoint.weights_version
         if not engine.layers or version is None:
@@ -187,7 +188,7 @@
         return self._too_old_at(engine, version) is None
 
     def _too_old_at(self, engine, version):
-        """Return from when a version may not begin, None if nothing newer is known."""
+        """Return when a version expires, None if no newer one is known."""
         key = engine.model, version
         if key not in self._too_old_at_by_version:
             self._too_old_at_by_version[key] = self.declared.too_old_at(
