--- a/hawthornspoke/placing/tests/playing.py
+++ b/hawthornspoke/placing/tests/playing.py
@@ -1,4 +1,4 @@
-"""Plays callers before many entry hosts and engines, and the loads told to them."""
+"""Simulates callers, entry hosts and engines, including the load reports."""
 
 import heapq
 import itertools
@@ -30,44 +30,45 @@
     layers=0,
 )
 
-#: Seconds that a request holds its slot, on average.
-HOLDING = slot_release_interval(ENGINE) * SLOTS
+#: Mean seconds for which a request holds its slot.
+MEAN_SLOT_TIME = slot_release_interval(ENGINE) * SLOTS
 
-#: Seconds to the first token once a request has a slot, and until which it is wanted.
+#: Seconds to the first token of a request in a slot, until a request is late, and until
+#: its deadline.
 FIRST_TOKEN = 0.15
-AIM = 0.55
-TIME = 6.0
+TARGET_LATENCY = 0.55
+CALLER_TIMEOUT = 6.0
 
-#: Seconds between two looks of agents at their engines, between two of entry hosts at
-#: what they keep to, and after which a load is told again: as the programs have them.
-LOOK_EVERY = 0.1
-ATTEND_EVERY = 0.5
-TELL_EVERY = 0.25
-TELL_RARELY = 1.0
+#: Seconds between load samples of agents, between subset updates of entry hosts, and
+#: maximum report intervals for followed and other engines, all as in the programs.
+SAMPLE_INTERVAL = 0.1
+SUBSET_UPDATE_INTERVAL = 0.5
+REPORT_INTERVAL = 0.25
+UNFOLLOWED_REPORT_INTERVAL = 1.0
 
-#: Seconds at the beginning that are not counted.
+#: Warm-up in seconds, excluded from the results.
 WARM_UP = 2.0
 
 
 class _Request:
-    __slots__ = ("host", "asked_at", "holding", "returned")
+    __slots__ = ("host", "asked_at", "slot_time", "returned")
 
-    def __init__(self, *, host, asked_at, holding):
+    def __init__(self, *, host, asked_at, slot_time):
         self.host = host
         self.asked_at = asked_at
-        self.holding = holding
+        self.slot_time = slot_time
         self.returned = False
 
 
 class Play:
-    """Callers of one failure domain, for some seconds.
+    """Simulation of the callers of one failure domain.
 
     Parameters
     ----------
     taken : float
-        Slots that are needed on average, as a share of those there.
+        Mean demand as a share of the available slots.
     keeps : bool
-        Whether hosts keep to a subset of the engines, or hear of all.
+        Whether hosts use a subset of the engines, or all of them.
     hosts, engines : int
     seconds : float
     seed : int
@@ -75,9 +76,9 @@
     Attributes
     ----------
     on_time, late, refused : int
-        Requests by what became of them.
+        Requests by outcome.
     messages : int
-        Loads told.
+        Load reports sent.
     got : list of int
         Requests by engine.
     """
@@ -85,7 +86,7 @@
     def __init__(self, *, taken, keeps, hosts=20, engines=31, seconds=8.0, seed=3):
         self.seconds = seconds
         self.on_time = self.late = self.refused = self.messages = 0
-        self.got = [0] * engines
+        self.requests_by_engine = [0] * engines
         self._keeps = keeps
         self._fleets = [self._fleet(place, hosts, engines) for place in range(hosts)]
         self._running = [0] * engines
@@ -95,21 +96,21 @@
         self._order = itertools.count()
         self._followed = [fleet.followed() for fleet in self._fleets]
         rng = random.Random(seed)
-        rate = taken * engines * SLOTS / HOLDING
+        rate = taken * engines * SLOTS / MEAN_SLOT_TIME
         now = 0.0
         while now < seconds:
             now += rng.expovariate(rate)
             request = _Request(
                 host=rng.randrange(hosts),
                 asked_at=now,
-                holding=HOLDING * rng.uniform(0.7, 1.3),
+                slot_time=MEAN_SLOT_TIME * rng.uniform(0.7, 1.3),
             )
             self._at(now, self._ask, request)
-        self._at(0.0, self._look)
-        self._at(ATTEND_EVERY, self._attend)
+        self._at(0.0, self._sample_loads)
+        self._at(SUBSET_UPDATE_INTERVAL, self._update_followed)
 
     def run(self):
-        """Play until the time is over; return this play."""
+        """Run the simulation to its end and return it."""
         while self._events:
             now, _, step, args = heapq.heappop(self._events)
             if now > self.seconds:
@@ -118,12 +119,16 @@
         return self
 
     def share_on_time(self):
-        """Return the share of the callers that were answered in time."""
+        """Return the share of requests that were served on time."""
         return self.on_time / (self.on_time + self.late + self.refused)
 
     def imbalance(self):
-        """Return what the busiest engine got, by the mean."""
-        return max(self.got) * len(self.got) / sum(self.got)
+        """Return the requests of the busiest engine relative to the mean."""
+        return (
+            max(self.requests_by_engine)
+            * len(self.requests_by_engine)
+            / sum(self.requests_by_engine)
+        )
 
     def _fleet(self, place, hosts, engines):
         fleet = Fleet(failure_domain="a", seed=place)
@@ -140,7 +145,7 @@
             for number in range(engines)
         )
         if not self._keeps:
-            # So large that halving it for the time of a play leaves all of them.
+            # So large that halving it during the simulation still leaves all engines.
             fleet._choice.subset("s").width = engines * 2**20
         fleet.step(EndpointsListed(entries=entries), now=0.0)
         seen = EntryHostsSeen(near=hosts, all=hosts, position=place)
@@ -155,8 +160,8 @@
         ask = Ask(
             service="s",
             prompt_tokens=900,
-            on_time_left=AIM - waited,
-            time_left=TIME - waited,
+            on_time_left=TARGET_LATENCY - waited,
+            time_left=CALLER_TIMEOUT - waited,
             returned=request.returned,
         )
         (answer,) = self._fleets[request.host].step(ask, now=now)
@@ -170,7 +175,7 @@
 
     def _send(self, now, request, endpoint_id):
         number = int(endpoint_id[1:])
-        self.got[number] += 1
+        self.requests_by_engine[number] += 1
         self._fleets[request.host].step(Sent(endpoint_id=endpoint_id), now=now)
         if self._running[number] < SLOTS:
             self._start(now, number, request)
@@ -180,10 +185,10 @@
     def _start(self, now, number, request):
         self._running[number] += 1
         if now > WARM_UP:
-            in_time = now + FIRST_TOKEN - request.asked_at <= AIM
+            in_time = now + FIRST_TOKEN - request.asked_at <= TARGET_LATENCY
             self.on_time += in_time
             self.late += not in_time
-        self._at(now + request.holding, self._end, number, request)
+        self._at(now + request.slot_time, self._end, number, request)
 
     def _end(self, now, number, request):
         self._running[number] -= 1
@@ -192,23 +197,23 @@
         if self._waiting[number]:
             self._start(now, number, self._waiting[number].pop(0))
 
-    def _attend(self, now):
+    def _update_followed(self, now):
         self._followed = [fleet.followed() for fleet in self._fleets]
-        self._at(now + ATTEND_EVERY, self._attend)
+        self._at(now + SUBSET_UPDATE_INTERVAL, self._update_followed)
 
-    def _look(self, now):
+    def _sample_loads(self, now):
         for place, fleet in enumerate(self._fleets):
             for number, running in enumerate(self._running):
                 load = running + len(self._waiting[number])
                 if self._is_due(place, number, load, now):
                     self._tell(fleet, place, number, load, now)
-        self._at(now + LOOK_EVERY, self._look)
+        self._at(now + SAMPLE_INTERVAL, self._sample_loads)
 
     def _is_due(self, place, number, load, now):
         told, told_at = self._told.get((place, number), (None, float("-inf")))
         if _address(number) not in self._followed[place]:
-            return now >= told_at + TELL_RARELY
-        return load != told or now >= told_at + TELL_EVERY
+            return now >= told_at + UNFOLLOWED_REPORT_INTERVAL
+        return load != told or now >= told_at + REPORT_INTERVAL
 
     def _tell(self, fleet, place, number, load, now):
         self.messages += 1
--- a/hawthornspoke/placing/tests/test_ask_cost.py
+++ b/hawthornspoke/placing/tests/test_ask_cost.py
@@ -1,4 +1,4 @@
-"""What one choice among many endpoints costs, counted in steps."""
+"""The cost of one selection among many endpoints, in function calls."""
 
 import sys
 from dataclasses import replace
@@ -19,12 +19,12 @@
 
 
 def start(number):
-    """Return a known start."""
+    """Return a known incarnation."""
     return Incarnation(started_ms=1000 + number)
 
 
 def reported(number, *, load=0, incarnation=None):
-    """Return what an agent tells of its engine."""
+    """Return an agent's report of its engine."""
     return EngineReported(
         address=f"e{number}:1",
         load=load,
@@ -37,7 +37,7 @@
 
 
 def known_fleet():
-    """Return a machine whose endpoints the list and all agents have told."""
+    """Return a state machine with listed endpoints and reports of all agents."""
     machine = fleet(
         *(entry(f"e{number}", incarnation=start(number)) for number in range(ENDPOINTS))
     )
@@ -59,14 +59,13 @@
     return calls
 
 
-def test_choice_compares_no_starts(monkeypatch):
-    """An entry host's processor time grows with each fact that a choice looks at.
+def test_selection_compares_no_incarnations(monkeypatch):
+    """CPU time of an entry host grows with each property that a selection evaluates.
 
-    Symptom: 1.0 ms for one choice among 60 engines, a third of it spent on whether
-    the agent's word is about the start that holds. Sequence: each of seven looks at
-    an endpoint asks that anew, at each request. Cause: the answer changes only with
-    a word of the list or of an agent, and was kept nowhere. Figure: 421 comparisons
-    a choice before, none after.
+    One selection among 60 engines took 1.0 ms, a third of it for whether the agent's
+    report is about the current incarnation. Seven checks of an endpoint evaluated this
+    for each request. Cause: the result changes only with a list or a report but wasn't
+    cached: 421 comparisons per selection before, none after.
     """
     machine = known_fleet()
     calls = counted(monkeypatch, Incarnation, "differs_from")
@@ -74,12 +73,12 @@
     assert len(calls) == 0
 
 
-def test_choice_asks_until_when_a_version_may_answer_once_a_version(monkeypatch):
-    """The same, of the moment until which a version may answer.
+def test_selection_computes_expiry_once_per_version(monkeypatch):
+    """CPU time spent on when a version expires.
 
-    Sequence: it is found anew for each endpoint, twice. Cause: it depends on the
-    moment only, and no engine that holds the newest version can begin too late.
-    Figure: 120 times a choice before, once after.
+    It was computed twice for each endpoint. Cause: it depends on the time only, and no
+    engine with the newest version can start too late: 120 calls per selection before,
+    one after.
     """
     machine = known_fleet()
     calls = counted(monkeypatch, DeclaredVersions, "too_old_at")
@@ -87,20 +86,20 @@
     assert len(calls) == 1
 
 
-def test_choice_takes_few_steps_an_endpoint():
-    """Calls of our own functions in one choice, since times differ by machine.
+def test_selection_makes_few_calls_per_endpoint():
+    """Counts function calls of this project, since times differ between machines.
 
-    Figure: 91 an endpoint before, 32 after.
+    91 calls per endpoint before caching, 32 after.
     """
     machine = known_fleet()
     calls = []
 
-    def note(frame, event, argument):
+    def count_call(frame, event, argument):
         if event == "call":
             calls.append(frame.f_code.co_name)
 
     before = sys.getprofile()
-    sys.setprofile(note)
+    sys.setprofile(count_call)
     try:
         ask(machine)
     finally:
@@ -108,30 +107,32 @@
     assert len(calls) / ENDPOINTS < 35
 
 
-def test_choice_leaves_other_failure_domains_alone_while_the_own_has_room(monkeypatch):
-    """An entry host's processor time grew with the engines of all failure domains.
+def test_other_failure_domains_are_not_evaluated_while_the_own_has_capacity(
+    monkeypatch,
+):
+    """CPU time of an entry host grew with the engines of all failure domains.
 
-    Symptom: 1.3 to 1.8 ms a choice among 150 engines in five failure domains, a third
-    of what the process does. Sequence: each request works out the time to the first
-    token at each engine, and sorts them all; one of the own failure domain is taken.
-    Cause: the others were looked at before it was known whether they are needed.
-    Figure: 150 of these times a choice before, 30 after; 0.5 ms.
+    A selection among 150 engines in five failure domains took 1.3 to 1.8 ms, a third
+    of the process's CPU time. Each request computed the time to first token at each
+    engine and sorted them, and one of the own failure domain was selected. Cause: the
+    others were evaluated before it was known whether they are needed: 150 times per
+    selection before, 30 after, which takes 0.5 ms.
     """
     entries = [entry(f"e{number}", domain="abcde"[number % 5]) for number in range(150)]
     machine = fleet(*entries)
-    worked_out = []
+    evaluated_domains = []
     real = _choice.expected_first_token
 
     def counting(endpoint, *args, **kwargs):
-        worked_out.append(endpoint.entry.failure_domain)
+        evaluated_domains.append(endpoint.entry.failure_domain)
         return real(endpoint, *args, **kwargs)
 
     monkeypatch.setattr(_choice, "expected_first_token", counting)
     assert isinstance(ask(machine), Place)
-    assert worked_out == ["a"] * 30
+    assert evaluated_domains == ["a"] * 30
 
 
-def test_other_failure_domains_are_asked_once_the_own_is_full():
+def test_other_failure_domains_are_used_once_the_own_is_full():
     entries = [entry(f"e{number}", domain="ab"[number % 2]) for number in range(6)]
     machine = fleet(*entries)
     for number in range(0, 6, 2):
@@ -141,7 +142,7 @@
     assert int(place.endpoint_id[1:]) % 2 == 1
 
 
-WORDS = {
+UPDATES = {
     "nothing": None,
     "agent lost": AgentLost(address="e0:1"),
     "list tells another start": EndpointsListed(
@@ -158,28 +159,34 @@
 }
 
 
-@pytest.mark.parametrize("before", WORDS)
-@pytest.mark.parametrize("after", WORDS)
-def test_what_is_kept_of_an_endpoint_follows_each_word(before, after):
-    """What is kept is what comes out of the two words as they are now.
+@pytest.mark.parametrize("before", UPDATES)
+@pytest.mark.parametrize("after", UPDATES)
+def test_cached_attributes_match_the_latest_updates(before, after):
+    """The cached attributes match the latest entry and report.
 
-    Sequence: a word changes, and what was found from the one before stays. Then
-    requests go to weights that are gone, or to none though there are some.
+    If an update left outdated attributes behind, requests would be sent to weights
+    that are gone, or to none though there are some.
     """
     machine = known_fleet()
     for name in (before, after):
-        if WORDS[name] is not None:
-            machine.step(WORDS[name], now=1.0)
+        if UPDATES[name] is not None:
+            machine.step(UPDATES[name], now=1.0)
     endpoint = machine.endpoint_by_id["e0"]
-    held, word, listed = endpoint.incarnation, endpoint.state, endpoint.entry
-    if word is not None and held.differs_from(word.incarnation):
-        word = None
-    if word is None and held.differs_from(listed.incarnation):
+    current, agent_state, listed = endpoint.incarnation, endpoint.state, endpoint.entry
+    if agent_state is not None and current.differs_from(agent_state.incarnation):
+        agent_state = None
+    if agent_state is None and current.differs_from(listed.incarnation):
         expected = (None, None, None, False, 1.0)
-    elif word is None:
+    elif agent_state is None:
         expected = (None, listed.weights_version, listed.layers, False, 1.0)
     else:
-        expected = (word, word.weights_version, word.layers, word.loading, word.pace)
+        expected = (
+            agent_state,
+            agent_state.weights_version,
+            agent_state.layers,
+            agent_state.loading,
+            agent_state.pace,
+        )
     assert expected == (
         endpoint.current_state,
         endpoint.weights_version,
--- a/hawthornspoke/placing/tests/test_fleet.py
+++ b/hawthornspoke/placing/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Where requests go, and whether they are taken: the fleet machine."""
+"""Endpoint selection and admission by the fleet state machine."""
 
 import random
 from collections import Counter
@@ -37,7 +37,7 @@
 
 
 def entry(name, domain="a", **changes):
-    """Return an engine's entry with whole weights of version 1."""
+    """Return the entry of an engine with complete weights of version 1."""
     fields = {
         "endpoint_id": name,
         "service": "llm",
@@ -51,7 +51,7 @@
 
 
 def fleet(*entries, domain="a"):
-    """Return a machine that knows some endpoints."""
+    """Return a state machine that knows some endpoints."""
     machine = Fleet(failure_domain=domain, seed=1)
     services = {
         "llm": Service(name="llm", engine=ENGINE),
@@ -63,7 +63,7 @@
 
 
 def ask(machine, *, now=1.0, **changes):
-    """Return the machine's answer to a usual request."""
+    """Return the state machine's answer to a typical request."""
     fields = {
         "service": "llm",
         "prompt_tokens": 900,
@@ -75,7 +75,7 @@
 
 
 def report(machine, name, *, load=0, version=1, now=1.0, **changes):
-    """Let an agent tell its engine's state."""
+    """Deliver an agent's report of its engine's state."""
     message = EngineReported(
         address=f"{name}:1",
         load=load,
@@ -86,19 +86,19 @@
     machine.step(message, now=now)
 
 
-def test_own_failure_domain_goes_first_and_the_least_loaded_there():
+def test_least_loaded_endpoint_of_own_failure_domain_is_preferred():
     machine = fleet(entry("far", "b"), entry("busy"), entry("idle"))
     report(machine, "busy", load=9)
     assert ask(machine).endpoint_id == "idle"
 
 
-def test_another_failure_domain_takes_what_the_own_one_cannot_do_in_time():
+def test_other_failure_domain_takes_requests_that_would_be_late():
     machine = fleet(entry("far", "b"), entry("near"))
     report(machine, "near", load=30)
     assert ask(machine).endpoint_id == "far"
 
 
-def test_full_engines_refuse_at_once_with_a_time_to_come_back():
+def test_full_engines_reject_at_once_with_a_retry_delay():
     machine = fleet(entry("one"), entry("two"))
     for name in ("one", "two"):
         report(machine, name, load=30)
@@ -108,11 +108,11 @@
     assert 0.2 <= answer.retry_after <= 2.0
 
 
-def test_refused_callers_are_spread_over_time():
-    """All callers refused in an overload came back at one moment.
+def test_retry_delays_are_spread():
+    """All callers rejected during an overload returned at once.
 
-    Cause: they were told the same time. Half of the span must not hold more than
-    two thirds of them.
+    Cause: all got the same retry delay. No half of the range may contain more than
+    two thirds of the delays.
     """
     machine = fleet(entry("one"))
     report(machine, "one", load=30)
@@ -122,12 +122,12 @@
     assert 200 / 3 < early < 400 / 3
 
 
-def test_returned_caller_takes_a_free_slot_but_no_place_in_the_queue():
-    """In a lasting overload two thirds of the callers were answered late.
+def test_late_returning_caller_gets_a_free_slot_but_does_not_queue():
+    """During a sustained overload two thirds of the callers were served late.
 
-    Events: callers that were refused come back and wait at full engines; each slot
-    that comes free is theirs; those that come first are refused, and come back late.
-    Cause: returned callers were let wait where first ones were refused.
+    Rejected callers returned and queued at full engines, so they got each slot that
+    was released; new callers were rejected and were late when they returned.
+    Cause: returning callers were allowed to queue where new ones were rejected.
     """
     machine = fleet(entry("one"))
     report(machine, "one", load=15)
@@ -146,12 +146,12 @@
         {"layers": None, "weights_version": None},
     ],
 )
-def test_endpoint_that_cannot_answer_gets_nothing(changes):
+def test_ineligible_endpoint_gets_no_requests(changes):
     machine = fleet(entry("one", **changes))
     assert isinstance(ask(machine), Decline)
 
 
-def test_loading_engine_gets_nothing_until_it_has_ended():
+def test_loading_engine_gets_no_requests():
     machine = fleet(entry("one"))
     report(machine, "one", loading=True, next_ready_at=3.0, next_version=2)
     answer = ask(machine)
@@ -160,11 +160,11 @@
     assert isinstance(ask(machine), Place)
 
 
-def test_older_weights_answer_nothing_once_their_time_is_over():
-    """A request began on old weights 8.08 s after newer ones were declared.
+def test_expired_weights_get_no_requests():
+    """A request started on old weights 8.08 s after newer ones were declared.
 
-    Events: it was sent 0.76 s before the bound; a link full of pieces and the
-    engine's own work took 0.84 s. Cause: too small a margin.
+    It was sent 0.76 s before the bound; a link saturated by weight transfers and the
+    engine itself took 0.84 s. Cause: the margin was too small.
     """
     machine = fleet(entry("old"), entry("new", weights_version=2))
     report(machine, "new", version=2, load=9)
@@ -179,8 +179,8 @@
     assert ask(stale, now=18.0).reason == "no_weights"
 
 
-def test_slow_engine_gets_nothing_on_old_weights_even_earlier():
-    """A request began on old weights 0.06 s after their bound, on a slow engine."""
+def test_old_weights_expire_earlier_on_a_slow_engine():
+    """A request started on a slow engine 0.06 s after the bound of its weights."""
     machine = fleet(entry("slow"))
     declared = WeightsDeclared(declared=DeclaredWeights(model="m", version=2), at=10.0)
     machine.step(declared, now=10.0)
@@ -190,7 +190,7 @@
     assert isinstance(ask(machine, now=16.4), Place)
 
 
-def test_silent_endpoint_is_left_alone_at_once():
+def test_unresponsive_endpoint_is_ejected_at_once():
     machine = fleet(entry("bad"), entry("good"))
     report(machine, "good", load=10)
     assert ask(machine).endpoint_id == "bad"
@@ -199,11 +199,11 @@
     assert ask(machine, now=1.4).endpoint_id == "good"
 
 
-def test_engine_whose_agent_is_quiet_is_left_alone():
-    """Requests went to a host that stood still and were given up after 1.2 s.
+def test_engine_without_agent_reports_is_ejected():
+    """Requests were sent to a frozen host and timed out after 1.2 s.
 
-    Events: a host is suspended; its connections stay open. Cause: nothing but
-    failed requests told of it.
+    Connections to a suspended host stay open. Cause: only failed requests revealed
+    its state.
     """
     machine = fleet(entry("still"), entry("moving"))
     report(machine, "still", load=0, now=1.0)
@@ -214,7 +214,7 @@
     assert ask(machine, now=1.9).endpoint_id == "still"
 
 
-def test_failing_endpoint_is_avoided_and_comes_back():
+def test_failing_endpoint_is_ejected_and_readmitted():
     machine = fleet(entry("bad"), entry("good"))
     for moment in range(6):
         machine.step(Sent(endpoint_id="bad"), now=float(moment))
@@ -224,16 +224,16 @@
     assert ask(machine, now=20.0).endpoint_id == "bad"
 
 
-def test_most_endpoints_failing_is_not_their_fault():
-    """A whole service was put aside, and requests were refused with engines idle."""
+def test_no_ejection_if_most_endpoints_fail():
+    """A whole service was ejected and requests were rejected with idle engines."""
     machine = fleet(entry("one"), entry("two"), entry("three"))
     for name in ("one", "two", "three"):
         machine.step(Finished(endpoint_id=name, outcome="unreachable"), now=1.0)
     assert isinstance(ask(machine, now=1.1), Place)
 
 
-def test_some_errors_of_its_own_do_not_put_an_endpoint_aside():
-    """Services whose own errors reach one in seven must stay in use."""
+def test_low_error_rate_does_not_eject_an_endpoint():
+    """Services whose own errors reach one response in seven must stay in use."""
     machine = fleet(entry("one", service="plain", layers=None, slots=6))
     rng = random.Random(3)
     for number in range(300):
@@ -246,11 +246,11 @@
         assert isinstance(answer, Place)
 
 
-def test_entry_that_lapsed_with_the_platform_is_still_used_for_a_moment():
-    """Everything was refused for two seconds after the platform's outage.
+def test_entry_that_lapsed_during_an_outage_is_used_briefly():
+    """All requests were rejected for two seconds after an outage of the platform.
 
-    Events: entries lapse while the platform is away; the first list after it lacks
-    them; they are back two seconds later.
+    Entries lapse while the platform is unreachable; the first list afterwards lacks
+    them, and they return two seconds later.
     """
     machine = fleet(entry("one"))
     machine.step(EndpointsListed(entries=(), contact_regained_at=10.0), now=10.1)
@@ -258,26 +258,25 @@
     assert isinstance(ask(machine, now=12.0), Decline)
 
 
-def test_entry_that_vanishes_at_other_times_is_gone():
+def test_entry_that_vanishes_without_an_outage_is_not_used():
     machine = fleet(entry("one"))
     machine.step(EndpointsListed(entries=()), now=50.0)
     assert isinstance(ask(machine, now=50.0), Decline)
 
 
-def test_endpoint_that_moved_gets_nothing_under_its_old_id():
+def test_moved_endpoint_gets_no_requests():
     machine = fleet(entry("one"), entry("two"))
     machine.step(Finished(endpoint_id="one", outcome="moved"), now=1.0)
     assert ask(machine).endpoint_id == "two"
 
 
-def test_endpoint_that_moved_stays_out_while_its_entry_stands():
-    """Each request used up a try at an address that another endpoint had.
+def test_moved_endpoint_is_excluded_while_its_entry_is_listed():
+    """Each request wasted an attempt at an address that another endpoint had.
 
-    Symptom: three tries in four of the second after a loss of power are answered "not
-    run", and callers that would have been on time are refused.
-    Events: a host is back with a new entry; the one of before is listed for two more
-    seconds, and told again with each change of the list.
-    Cause: each word of the list took the entry for a new one.
+    In the second after a power loss three attempts in four got "not run", and callers
+    that would have been on time were rejected. The host returns with a new entry while
+    the old one stays listed for two seconds and is repeated with each change of the
+    list. Cause: each update of the list cleared the mark of the old entry.
     """
     machine = fleet(entry("one"), entry("two"))
     machine.step(Finished(endpoint_id="one", outcome="moved"), now=1.0)
@@ -289,7 +288,7 @@
     assert chosen == {"one", "two"}
 
 
-def test_load_is_what_was_told_and_what_was_sent_since():
+def test_load_is_the_reported_load_plus_requests_sent_since():
     machine = fleet(entry("one"), entry("two"))
     machine.step(LoadSeen(endpoint_id="one", load=3), now=1.0)
     machine.step(Sent(endpoint_id="one"), now=1.0)
@@ -298,11 +297,11 @@
     assert machine.endpoint_by_id["one"].load == 2
 
 
-def test_endpoint_that_never_tells_its_load_does_not_fill_up():
-    """A service without load reports was refused as full after some dozen requests.
+def test_endpoint_without_load_reports_does_not_fill_up():
+    """A service without load reports was rejected as full after some dozen requests.
 
-    Events: requests are sent and end well; no response tells a load. Cause: what was
-    sent since the last report was counted, and there was no report.
+    Requests complete, but no response reports a load. Cause: the count of requests
+    sent since the last report was never reset, as there was no report.
     """
     machine = fleet(entry("one", service="plain", layers=None, slots=2))
     for number in range(50):
@@ -312,11 +311,11 @@
     assert machine.endpoint_by_id["one"].load == 0
 
 
-def test_entry_hosts_do_not_all_choose_the_same_engine():
-    """First tokens came late from one engine while its neighbours had room.
+def test_entry_hosts_do_not_all_select_the_same_engine():
+    """First tokens of one engine were late while other engines had capacity.
 
-    Events: eight entry hosts of a failure domain place a dozen requests between two
-    reports of the engines' loads. Cause: each took the least loaded engine.
+    Eight entry hosts of a failure domain place a dozen requests between two load
+    reports. Cause: each of them selected the least loaded engine.
     """
     names = [f"e{number}" for number in range(6)]
     hosts = []
@@ -332,11 +331,11 @@
     assert max(chosen.values()) <= 8
 
 
-def test_overload_keeps_what_is_taken_on_time():
-    """A load of one and a half times what engines can do.
+def test_admitted_requests_are_on_time_during_overload():
+    """Demand is one and a half times the capacity.
 
-    Each engine frees a slot in its usual time. Of the callers that are taken, nine
-    in ten must get their first token in time, and engines must not stand idle.
+    Each engine releases slots at its usual rate. Nine in ten admitted callers must get
+    their first token on time, and engines must not be idle.
     """
     names = ("one", "two", "three")
     machine = fleet(*(entry(name) for name in names))
@@ -370,12 +369,12 @@
     assert taken >= 0.9 * 20.0 * 3 / release
 
 
-def test_engine_behind_a_full_link_is_left_alone():
+def test_engine_behind_a_saturated_link_is_ejected():
     """Requests reached an engine two seconds late, after their callers had left.
 
-    Events: the link of an engine's host became ten times narrower; its reports went
-    on coming, each of them late, and told of few requests. Cause: only the load
-    decided, and that there were reports.
+    The link of the engine's host became ten times slower; its reports continued, each
+    of them late, and showed few requests. Cause: only the load and the presence of
+    reports were considered.
     """
     machine = fleet(entry("narrow"), entry("sound"), entry("other"))
     for name, load in (("sound", 9), ("other", 9)):
--- a/hawthornspoke/placing/tests/test_herd.py
+++ b/hawthornspoke/placing/tests/test_herd.py
@@ -1,4 +1,4 @@
-"""Several entry hosts that see the same reports of the same engines."""
+"""Several entry hosts that select engines by the same reports."""
 
 import random
 
@@ -30,7 +30,7 @@
 )
 HOSTS = 34
 REQUESTS_A_SECOND = 12.0
-AIM = 0.4
+TARGET_LATENCY = 0.4
 
 
 def fleets(engines, hosts=HOSTS):
@@ -57,7 +57,7 @@
 
 
 def report(fleets, load_by_engine, now):
-    """Let every host hear the load of every engine."""
+    """Report the load of each engine to each host."""
     for fleet in fleets:
         for number, load in enumerate(load_by_engine):
             message = EngineReported(
@@ -69,10 +69,12 @@
             fleet.step(message, now=now)
 
 
-def play(fleets, load_by_engine, *, seconds, start, aim=AIM, returned=False):
-    """Let callers come to all hosts; return how many requests each engine gets."""
+def simulate(
+    fleets, load_by_engine, *, seconds, start, aim=TARGET_LATENCY, returned=False
+):
+    """Simulate callers at all hosts; return requests by engine, and rejections."""
     rng = random.Random(7)
-    got = [0] * len(load_by_engine)
+    requests_by_engine = [0] * len(load_by_engine)
     declined = 0
     now = start
     while now < start + seconds:
@@ -88,63 +90,69 @@
         (answer,) = fleet.step(ask, now=now)
         if isinstance(answer, Place):
             fleet.step(Sent(endpoint_id=answer.endpoint_id), now=now)
-            got[int(answer.endpoint_id[1:])] += 1
+            requests_by_engine[int(answer.endpoint_id[1:])] += 1
         else:
             declined += 1
-    return got, declined
+    return requests_by_engine, declined
 
 
-def test_one_free_slot_is_not_taken_by_every_host():
-    """An engine shed half of what it got and began the rest 1.2 s late.
+def test_free_slot_does_not_attract_every_host():
+    """An engine shed half of its requests and started the others 1.2 s late.
 
-    Events: all engines of a fleet are full; one reports two free slots; within
-    80 ms 26 of 34 entry hosts send it a request. Cause: each of them sees the same
-    report, and only its own requests since.
+    All engines of a fleet are full; one reports two free slots; within 80 ms 26 of 34
+    entry hosts send it a request. Cause: each host considered the same report and only
+    its own requests since.
     """
     hosts = fleets(engines=6)
     full = [SLOTS + 8] * 6
     report(hosts, full, now=1.0)
-    play(hosts, full, seconds=1.0, start=1.0)
+    simulate(hosts, full, seconds=1.0, start=1.0)
     report(hosts, [SLOTS - 2, *full[1:]], now=2.0)
-    got, _ = play(hosts, full, seconds=0.1, start=2.0)
-    assert 1 <= got[0] <= 10
-    assert sum(got[1:]) == 0
+    requests_by_engine, _ = simulate(hosts, full, seconds=0.1, start=2.0)
+    assert 1 <= requests_by_engine[0] <= 10
+    assert sum(requests_by_engine[1:]) == 0
 
 
-def test_callers_that_are_late_spread_over_free_engines():
-    """An engine got 40 requests within 0.3 s and began none of them.
+def test_late_requests_are_spread_over_free_engines():
+    """An engine got 40 requests within 0.3 s and started none of them.
 
-    Events: callers whose first tries failed return; one engine reports the fewest
-    requests. Cause: each entry host sent all of them to the engine with the least
-    expected time.
+    Callers whose first attempts failed return; one engine reports the lowest load.
+    Cause: each entry host sent all of them to the engine with the lowest expected time
+    to first token.
     """
     hosts = fleets(engines=12)
     loads = [3, *[5] * 11]
     report(hosts, loads, now=1.0)
-    got, declined = play(hosts, loads, seconds=0.2, start=1.0, aim=-0.2, returned=True)
+    requests_by_engine, declined = simulate(
+        hosts, loads, seconds=0.2, start=1.0, aim=-0.2, returned=True
+    )
     assert declined == 0
-    assert got[0] <= 3 * sum(got) / len(got)
+    assert requests_by_engine[0] <= 3 * sum(requests_by_engine) / len(
+        requests_by_engine
+    )
 
 
-def test_engines_with_room_get_what_comes():
-    """Nothing is refused where the fleet has room, also on reports that are old."""
+def test_nothing_is_rejected_while_engines_have_capacity():
+    """No request is rejected while the fleet has capacity, even on old reports."""
     hosts = fleets(engines=40)
-    calm = [5] * 40
-    report(hosts, calm, now=1.0)
-    got, declined = play(hosts, calm, seconds=0.5, start=1.0)
+    low_loads = [5] * 40
+    report(hosts, low_loads, now=1.0)
+    requests_by_engine, declined = simulate(hosts, low_loads, seconds=0.5, start=1.0)
     assert declined == 0
-    assert max(got) <= 4 * sum(got) / len(got)
+    assert max(requests_by_engine) <= 4 * sum(requests_by_engine) / len(
+        requests_by_engine
+    )
 
 
-def test_single_host_counts_only_itself():
+def test_single_host_expects_no_other_traffic():
     (alone,) = fleets(engines=2, hosts=1)
     report([alone], [5, 5], now=1.0)
-    got, declined = play([alone], [0, 0], seconds=0.5, start=1.0)
+    requests_by_engine, declined = simulate([alone], [0, 0], seconds=0.5, start=1.0)
     assert declined == 0
-    assert sum(got) > 0
+    assert sum(requests_by_engine) > 0
 
 
-def test_load_does_not_grow_while_as_much_ends_as_comes():
+def test_no_growth_while_completions_match_arrivals():
     shared = {"load": 12, "slot_time": 1.5, "slots": 12, "age": 0.5}
     assert estimated_growth(arrivals=80.0, engines_with_room=10, **shared) == 0.0
     assert estimated_growth(
@@ -152,14 +160,14 @@
     ) == pytest.approx(5.0)
 
 
-def test_load_that_was_never_told_is_not_guessed():
+def test_no_growth_without_a_report():
     growth = estimated_growth(
         arrivals=100.0, engines_with_room=1, load=0, slot_time=1.0, slots=4, age=None
     )
     assert growth == 0.0
 
 
-def test_rate_follows_what_comes():
+def test_rate_follows_the_events():
     rate = DecayingRate()
     for number in range(400):
         rate.count(number * 0.05)
--- a/hawthornspoke/placing/tests/test_reading.py
+++ b/hawthornspoke/placing/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""A crowd that comes at once, and the prompts that engines read one after the other."""
+"""A burst of requests, and the prompts that engines process one after the other."""
 
 import random
 
@@ -10,16 +10,16 @@
 
 ENGINES = 10
 
-#: Callers within a fifth of a second, and the seconds that each has until it is late.
-CROWD = 60
-WITHIN = 0.2
-AIM = 0.45
+#: Requests of the burst, its duration, and the seconds until each request is late.
+CALLERS = 60
+ARRIVAL_SPAN = 0.2
+TARGET_LATENCY = 0.45
 
 PROMPT = 1500
 
 
-def read_in_turn(arrivals):
-    """Return the seconds until each prompt of an engine is read."""
+def prefill_waits(arrivals):
+    """Return the time until the prefill of each prompt of an engine is complete."""
     free_at, waits = 0.0, []
     for arrived in sorted(arrivals):
         free_at = max(free_at, arrived) + PROMPT / ENGINE.read_rate
@@ -27,19 +27,19 @@
     return waits
 
 
-def play_crowd(seed):
-    """Return the share of a crowd's callers whose first token comes in time."""
+def simulate_burst(seed):
+    """Return the share of a burst's requests with the first token on time."""
     names = [f"e{number}" for number in range(ENGINES)]
     machine = fleet(*(entry(name) for name in names))
     rng = random.Random(seed)
-    # Some engines have just changed their weights and are empty; the others' answers
-    # are nearly over.
+    # Some engines have just loaded new weights and are empty; the responses of the
+    # others are nearly complete.
     for number, name in enumerate(names):
         report(machine, name, load=0 if number < ENGINES // 2 else 12, now=1.0)
     arrivals_by_name = {name: [] for name in names}
-    for moment in sorted(rng.uniform(0.0, WITHIN) for _ in range(CROWD)):
+    for moment in sorted(rng.uniform(0.0, ARRIVAL_SPAN) for _ in range(CALLERS)):
         now = 1.0 + moment
-        place = ask(machine, now=now, on_time_left=AIM, prompt_tokens=PROMPT)
+        place = ask(machine, now=now, on_time_left=TARGET_LATENCY, prompt_tokens=PROMPT)
         if isinstance(place, Place):
             name = place.endpoint_id
             machine.step(Sent(endpoint_id=name, prompt_tokens=PROMPT), now=now)
@@ -47,35 +47,35 @@
     waits = [
         wait
         for arrivals in arrivals_by_name.values()
-        for wait in read_in_turn(arrivals)
+        for wait in prefill_waits(arrivals)
     ]
-    return sum(wait <= AIM - 0.1 for wait in waits) / CROWD
+    return sum(wait <= TARGET_LATENCY - 0.1 for wait in waits) / CALLERS
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_crowd_is_spread_by_what_engines_have_yet_to_read(seed):
-    """The first engines that were back got a dozen callers within a tenth of a second.
+def test_burst_is_spread_by_prefill_backlog(seed):
+    """The first ready engines got a dozen requests within a tenth of a second.
 
-    Symptom: first tokens come 0.2 to 0.5 s later than expected in the second after a
-    gap, or while engines change their weights, though slots are free everywhere.
-    Events: half of the engines are empty, the others three quarters full; each caller
-    goes to the emptier of two; an engine reads one prompt after the other.
-    Cause: only slots counted, and of these there are enough for all.
+    First tokens were 0.2 to 0.5 s later than expected in the second after a gap, or
+    while engines loaded new weights, though all of them had free slots. Half of the
+    engines are empty, the others three quarters full; each request goes to the less
+    loaded of two; an engine processes one prompt after the other. Cause: only slots
+    were considered, and there are enough for all.
 
-    Figure: 0.93 of the callers in time before, 1.00 after.
+    0.93 of the requests were on time before the fix, 1.00 after.
     """
-    assert play_crowd(seed) >= 0.95
+    assert simulate_burst(seed) >= 0.95
 
 
-def test_growth_that_nobody_here_has_sent_is_read_as_well():
-    reading = PrefillBacklog()
-    reading.add_remote_requests(growth=6, age=0.1, usual_seconds=0.05, now=2.0)
-    assert reading.left(2.0) == pytest.approx(0.25)
-    assert reading.left(2.5) == 0.0
+def test_growth_caused_by_other_hosts_adds_prefill_time():
+    backlog = PrefillBacklog()
+    backlog.add_remote_requests(growth=6, age=0.1, usual_seconds=0.05, now=2.0)
+    assert backlog.left(2.0) == pytest.approx(0.25)
+    assert backlog.left(2.5) == 0.0
 
 
 @pytest.mark.parametrize(("growth", "age"), [(1, 0.1), (-3, 0.1), (6, None), (6, 5.0)])
-def test_growth_that_tells_nothing_counts_for_nothing(growth, age):
-    reading = PrefillBacklog()
-    reading.add_remote_requests(growth=growth, age=age, usual_seconds=0.05, now=2.0)
-    assert reading.left(2.0) == 0.0
+def test_inconclusive_growth_is_ignored(growth, age):
+    backlog = PrefillBacklog()
+    backlog.add_remote_requests(growth=growth, age=age, usual_seconds=0.05, now=2.0)
+    assert backlog.left(2.0) == 0.0
--- a/hawthornspoke/placing/tests/test_recheck.py
+++ b/hawthornspoke/placing/tests/test_recheck.py
@@ -1,4 +1,4 @@
-"""A place that was chosen a moment ago, looked at once more before the send."""
+"""Rechecking a selected endpoint just before the request is sent."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def entry(**changes):
-    """Return the list's entry of the one endpoint."""
+    """Return the list entry of the only endpoint."""
     fields = {
         "endpoint_id": "e",
         "service": "s",
@@ -33,7 +33,7 @@
 
 
 def fleet(engine):
-    """Return a fleet with one endpoint of a plain service, or with an engine."""
+    """Return a fleet with one endpoint, of a plain service or with an engine."""
     machine = Fleet(failure_domain="a")
     services = {"s": Service(name="s", engine=engine)}
     machine.step(CatalogChanged(service_by_name=services), now=0.0)
@@ -42,14 +42,14 @@
 
 
 def choose(machine, now=0.0):
-    """Return the place that is chosen."""
+    """Return the selected endpoint."""
     (place,) = machine.step(Ask(service="s"), now=now)
     assert isinstance(place, Place)
     return place
 
 
 def recheck(machine, place, now=0.0):
-    """Return the answer to a second look."""
+    """Return the answer to a recheck."""
     (answer,) = machine.step(Recheck(ask=Ask(service="s"), place=place), now=now)
     return answer
 
@@ -75,16 +75,16 @@
     assert isinstance(recheck(machine, place, now=1.0), Decline)
 
 
-def test_service_is_gone(machine):
+def test_service_was_removed(machine):
     place = choose(machine)
     machine.step(CatalogChanged(service_by_name={}), now=1.0)
     assert isinstance(recheck(machine, place, now=1.0), Decline)
 
 
-def test_declaration_between_both_looks_bounds_the_begin():
-    """Symptom: a request that was placed just before a declaration was not withdrawn.
+def test_recheck_applies_a_declaration_since_the_selection():
+    """A request selected just before a declaration was not withdrawn.
 
-    Cause: until when it must have begun was computed once, when it was placed.
+    Cause: its start deadline was computed only once, on selection.
     """
     machine = fleet(ENGINE)
     place = choose(machine)
--- a/hawthornspoke/placing/tests/test_starts.py
+++ b/hawthornspoke/placing/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""Which start holds when two words on it are late in any order."""
+"""The current incarnation if two sources lag in any order."""
 
 import itertools
 
@@ -7,63 +7,70 @@
 from hawthornspoke.catalog import UNKNOWN_START, Incarnation
 from hawthornspoke.placing._starts import IncarnationTracker
 
-#: In the order in which they happened; the clock was put back before the last.
-HAPPENED = tuple(Incarnation(started_ms=time) for time in (20, 30, 10))
-LAST = HAPPENED[-1]
+#: In chronological order; the clock was set back before the last.
+CHRONOLOGICAL = tuple(Incarnation(started_ms=time) for time in (20, 30, 10))
+LAST = CHRONOLOGICAL[-1]
 
 
 def streams():
-    """Return what one of the words may tell: some starts in order, the last too."""
+    """Return what one source may report: some incarnations in order, and the last."""
     return [
-        (*[item for item, told in zip(HAPPENED, flags, strict=False) if told], LAST)
-        for flags in itertools.product((True, False), repeat=len(HAPPENED) - 1)
+        (
+            *[
+                item
+                for item, reported in zip(CHRONOLOGICAL, flags, strict=False)
+                if reported
+            ],
+            LAST,
+        )
+        for flags in itertools.product((True, False), repeat=len(CHRONOLOGICAL) - 1)
     ]
 
 
-def interleavings(listed, told):
-    """Return all orders in which two streams may be heard, as (word, start)."""
-    length = len(listed) + len(told)
-    for places in itertools.combinations(range(length), len(listed)):
-        left, right = iter(listed), iter(told)
+def interleavings(listed, reported):
+    """Return all orders of two streams of reports, as (method, incarnation)."""
+    length = len(listed) + len(reported)
+    for positions in itertools.combinations(range(length), len(listed)):
+        left, right = iter(listed), iter(reported)
         yield [
             ("observe_listed", next(left))
-            if place in places
+            if place in positions
             else ("observe_reported", next(right))
             for place in range(length)
         ]
 
 
 @pytest.mark.parametrize("listed", streams())
-@pytest.mark.parametrize("told", streams())
-def test_last_start_holds_in_the_end_whatever_was_late(listed, told):
-    """A host stayed with an earlier start for good.
+@pytest.mark.parametrize("reported", streams())
+def test_last_incarnation_wins_whichever_source_lags(listed, reported):
+    """A host kept an earlier incarnation for good.
 
-    Events: a host hears of some starts by the list, of some by the agent, each in
-    order, but one of them up to seconds after the other. Cause: a word that had been
-    passed over once as late was passed over for ever.
+    It gets some incarnations from the list and some from the agent, each in order, but
+    one source lags by up to seconds. Cause: an incarnation that had once been ignored
+    as stale was ignored forever.
     """
-    for heard in interleavings(listed, told):
-        starts = IncarnationTracker()
-        for word, incarnation in heard:
-            getattr(starts, word)(incarnation)
-        assert starts.current == LAST, heard
+    for reports in interleavings(listed, reported):
+        tracker = IncarnationTracker()
+        for method, incarnation in reports:
+            getattr(tracker, method)(incarnation)
+        assert tracker.current == LAST, reports
 
 
-def test_start_never_goes_back_where_both_words_tell_all():
-    """A host's memory of a new start was thrown away for the old one's late word."""
-    for heard in interleavings(HAPPENED, HAPPENED):
-        starts = IncarnationTracker()
-        begun = []
-        for word, incarnation in heard:
-            if getattr(starts, word)(incarnation):
-                begun.append(HAPPENED.index(starts.current))
-        assert begun == sorted(set(begun)), heard
+def test_incarnation_never_goes_back_if_both_sources_are_complete():
+    """State of a new incarnation was discarded because of a stale report."""
+    for reports in interleavings(CHRONOLOGICAL, CHRONOLOGICAL):
+        tracker = IncarnationTracker()
+        observed = []
+        for method, incarnation in reports:
+            if getattr(tracker, method)(incarnation):
+                observed.append(CHRONOLOGICAL.index(tracker.current))
+        assert observed == sorted(set(observed)), reports
 
 
-def test_unknown_start_changes_nothing():
-    starts = IncarnationTracker()
-    assert not starts.observe_listed(UNKNOWN_START)
-    assert not starts.observe_reported(HAPPENED[0])
-    assert not starts.observe_listed(UNKNOWN_START)
-    assert starts.current == HAPPENED[0]
-    assert starts.observe_listed(HAPPENED[1])
+def test_unknown_incarnation_changes_nothing():
+    tracker = IncarnationTracker()
+    assert not tracker.observe_listed(UNKNOWN_START)
+    assert not tracker.observe_reported(CHRONOLOGICAL[0])
+    assert not tracker.observe_listed(UNKNOWN_START)
+    assert tracker.current == CHRONOLOGICAL[0]
+    assert tracker.observe_listed(CHRONOLOGICAL[1])
--- a/hawthornspoke/placing/tests/test_subset.py
+++ b/hawthornspoke/placing/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Entry hosts that keep to a few engines: who has whom, and what callers get."""
+"""Subsets of entry hosts: the assignment of engines, and the effect on callers."""
 
 from collections import Counter
 
@@ -13,13 +13,13 @@
 )
 from hawthornspoke.placing.tests.playing import Play
 
-#: Entry hosts and engines of one failure domain, as deployments have them: few, and a
+#: Entry hosts and engines of one failure domain in typical deployments: few, a
 #: fifth of 99 and of 156, and a ninth of 330 and of 1,600.
 SIZES = [(1, 5), (3, 3), (11, 10), (20, 16), (20, 31), (37, 178)]
 
 
 def subsets(hosts, engines, far=0):
-    """Return what each host of a failure domain keeps to."""
+    """Return the subset of each host of a failure domain."""
     made = []
     for place in range(hosts):
         subset = Subset(host=f"h{place}")
@@ -34,16 +34,16 @@
 
 
 def near(subset):
-    """Return the ids of the engines of the own failure domain that are kept to."""
+    """Return the ids of the near engines in a subset."""
     return {key for key in subset.since_by_id if key.startswith("e")}
 
 
 @pytest.mark.parametrize(("hosts", "engines"), SIZES)
-def test_all_engines_have_as_many_hosts_but_for_one(hosts, engines):
-    """An engine that fewer hosts keep to than others stands idle while they are full.
+def test_hosts_per_engine_differ_by_one_at_most(hosts, engines):
+    """An engine preferred by fewer hosts is idle while the others are full.
 
-    Cause: engines drawn by each host for itself have two hosts and nine, where eight
-    of 31 are drawn by 20 hosts.
+    If each of 20 hosts draws eight of 31 engines at random, some engines get two hosts
+    and others nine.
     """
     count = Counter(key for item in subsets(hosts, engines) for key in near(item))
     assert len(count) == engines
@@ -51,14 +51,14 @@
     assert min(count.values()) >= min(hosts, MIN_HOSTS_PER_ENGINE)
 
 
-def test_few_engines_are_all_kept_to():
-    """Deployments of a dozen engines lose nothing: all hosts hear of all of them."""
+def test_subset_includes_all_of_few_engines():
+    """With a dozen engines all hosts follow all engines."""
     for subset in subsets(hosts=3, engines=LEAST_NEAR, far=MAX_FAR_ENGINES):
         assert len(subset.since_by_id) == LEAST_NEAR + MAX_FAR_ENGINES
         assert (subset.near_share, subset.far_share) == (1.0, 1.0)
 
 
-def test_host_that_leaves_moves_few():
+def test_leaving_host_changes_few_assignments():
     before = subsets(hosts=20, engines=31)
     after = subsets(hosts=19, engines=31)
     moved = [
@@ -68,7 +68,7 @@
     assert max(moved) <= 2
 
 
-def test_engine_that_starts_again_under_its_id_moves_nothing():
+def test_restarted_engine_changes_no_assignment():
     (subset,) = subsets(hosts=1, engines=31)
     kept = dict(subset.since_by_id)
     names = [f"e{number}" for number in range(31)]
@@ -76,8 +76,8 @@
     assert subset.since_by_id == kept
 
 
-def test_far_engines_are_shared_by_the_hosts():
-    """All hosts that overflow would send to the same engines."""
+def test_far_engines_are_spread_over_the_hosts():
+    """Otherwise the overflow of all hosts would go to the same engines."""
     count = Counter(
         key
         for subset in subsets(hosts=99, engines=31, far=125)
@@ -88,7 +88,7 @@
     assert max(count.values()) <= 2 * 99 * MAX_FAR_ENGINES / 125
 
 
-def test_host_keeps_to_more_engines_while_its_own_have_no_room():
+def test_subset_widens_while_it_is_full():
     subset = subsets(hosts=20, engines=31)[0]
     now = 0.0
     for _ in range(200):
@@ -101,38 +101,38 @@
     assert len(near(subset)) == LEAST_NEAR
 
 
-def test_caller_that_would_be_refused_widens_at_once():
-    """Callers were refused on loads that were a second old, with slots free."""
+def test_imminent_rejection_widens_the_subset_at_once():
+    """Requests were rejected on load reports a second old while slots were free."""
     subset = subsets(hosts=20, engines=31)[0]
     subset.widen(now=1.0)
     assert len(near(subset)) == 31
 
 
-def test_callers_get_the_same_from_hosts_that_keep_to_few_engines():
-    """Agents told 3,500 loads a second in one failure domain, most for nothing.
+def test_subset_serves_callers_as_well_with_fewer_messages():
+    """Agents sent 3,500 load reports a second in one failure domain, most without use.
 
-    The load: 20 hosts before 31 engines, eight slots in ten taken. Hosts that keep to
-    eight engines, and take others once these are full, answer as many callers in time,
-    by less than half of the messages; the busiest engine gets no more.
+    20 hosts send to 31 engines with eight slots in ten occupied. Hosts that prefer
+    eight engines, and use others once these are full, serve as many requests on time
+    with less than half of the messages, and the busiest engine gets no more.
     """
-    all_heard = Play(taken=0.8, keeps=False).run()
+    without_subset = Play(taken=0.8, keeps=False).run()
     kept = Play(taken=0.8, keeps=True).run()
-    assert kept.share_on_time() >= all_heard.share_on_time() - 0.01
-    assert kept.imbalance() <= all_heard.imbalance() + 0.1
-    assert kept.messages <= 0.5 * all_heard.messages
+    assert kept.share_on_time() >= without_subset.share_on_time() - 0.01
+    assert kept.imbalance() <= without_subset.imbalance() + 0.1
+    assert kept.messages <= 0.5 * without_subset.messages
 
 
 @pytest.mark.parametrize("taken", [0.9, 1.0, 1.2])
-def test_full_engines_answer_as_many_callers_in_time(taken):
-    """The same where nearly all slots are taken, or more are needed than there are.
+def test_subset_serves_as_many_on_time_at_full_load(taken):
+    """The same with nearly all slots occupied, or demand above capacity.
 
-    A host then hears of all engines; what is to be seen is that it does so in time.
-    Sums of three seeds: at 1.0 a single one differs by several in a hundred.
+    A host then has to widen its subset to all engines in time. Sums of three seeds,
+    since single runs differ by several percent at 1.0.
     """
     shares = []
     for keeps in (False, True):
         plays = [Play(taken=taken, keeps=keeps, seed=seed).run() for seed in (3, 4, 5)]
         asked = sum(item.on_time + item.late + item.refused for item in plays)
         shares.append(sum(item.on_time for item in plays) / asked)
-    all_heard, kept = shares
-    assert kept >= all_heard - 0.03
+    without_subset, kept = shares
+    assert kept >= without_subset - 0.03
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -205,7 +205,7 @@
         file="placing/_endpoint.py",
         old="            self._reset_counters()\n        self._refresh_state()",
         new="            pass\n        self._refresh_state()",
-        test="hawthornspoke/placing/tests/test_incarnations.py -k new_start_in_the",
+        test="hawthornspoke/placing/tests/test_incarnations.py -k incarnation_in_the",
     ),
     Mutation(
         name="agents are told what they know already",
@@ -226,14 +226,14 @@
         file="placing/_endpoint.py",
         old="            self._reset_counters()\n        self._refresh_state()",
         new="            self._reset_counters()",
-        test="hawthornspoke/placing/tests/test_ask_cost.py -k follows_each_word",
+        test="hawthornspoke/placing/tests/test_ask_cost.py -k match_the_latest",
     ),
     Mutation(
         name="a request's end counts for any start",
         file="placing/_directory.py",
         old="if endpoint is None or not endpoint.is_target(message.incarnation):",
         new="if endpoint is None:",
-        test="hawthornspoke/placing/tests/test_incarnations.py -k sent_to_the_earlier",
+        test="hawthornspoke/placing/tests/test_incarnations.py -k to_the_earlier",
     ),
     Mutation(
         name="an agent's late word changes the start",
@@ -247,14 +247,14 @@
         file="placing/_endpoint.py",
         old="if self.state is None or not self.matches(self.state.incarnation):",
         new="if self.state is None:",
-        test="hawthornspoke/placing/tests/test_incarnations.py -k cut_off",
+        test="hawthornspoke/placing/tests/test_incarnations.py -k after_a_partition",
     ),
     Mutation(
         name="the list's word of another start is believed",
         file="placing/_endpoint.py",
         old="        return self.matches(self.entry.incarnation)",
         new="        return True",
-        test="hawthornspoke/placing/tests/test_incarnations.py -k does_not_know_yet",
+        test="hawthornspoke/placing/tests/test_incarnations.py -k before_the_list",
     ),
     Mutation(
         name="connections are kept by id alone",
