--- a/hawthornspoke/quarantine/__init__.py
+++ b/hawthornspoke/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the endpoints that run them, recognized when they come again."""
+"""Detection and quarantine of requests that crash the endpoints that run them."""
 
 from hawthornspoke.quarantine._evidence import EVIDENCE_FOR, Evidence
 from hawthornspoke.quarantine._exchange import EvidenceExchange
--- a/hawthornspoke/quarantine/_evidence.py
+++ b/hawthornspoke/quarantine/_evidence.py
@@ -1,27 +1,27 @@
-"""Which requests ran at which endpoints that ended: a set that only grows together."""
+"""Evidence of which requests ran at which endpoints that ended."""
 
 from dataclasses import dataclass
 
-#: Seconds for which evidence holds.
+#: Lifetime of evidence in seconds.
 EVIDENCE_FOR = 900.0
 
-#: Requests of which evidence is kept, and ends of endpoints for each.
-MOST_REQUESTS = 512
-MOST_ENDS = 8
+#: Maximum number of requests with evidence, and of ends for each.
+MAX_REQUESTS = 512
+MAX_ENDS_PER_REQUEST = 8
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Evidence:
-    """A request was being run by an endpoint when that ended.
+    """A request was running at an endpoint when the endpoint ended.
 
     Parameters
     ----------
     fingerprint : str
         Of the request.
     start : str
-        Of the endpoint: its id, with the time of this start if that is known.
+        Of the endpoint's incarnation: its id, with the start time if that is known.
     deadline : float
-        Until when it holds, on the steady clock.
+        Expiry on the monotonic clock.
     cleared : bool, default=False
         Whether the request is known not to be the cause.
     """
@@ -32,11 +32,11 @@
     cleared: bool = False
 
 
-class EvidenceBook:
-    """Evidence by request and endpoint, bounded.
+class EvidenceStore:
+    """Bounded store of evidence by request and endpoint incarnation.
 
-    Books of several processes agree once they have told each other what they hold,
-    in any order: an item is added once, and one that was cleared stays so.
+    Stores of several processes converge once they have exchanged their items, in any
+    order: adding an item is idempotent, and a cleared item stays cleared.
     """
 
     __slots__ = ("_item_by_start_by_fingerprint",)
@@ -45,7 +45,7 @@
         self._item_by_start_by_fingerprint = {}
 
     def add(self, item, *, now):
-        """Take an item.
+        """Add an item.
 
         Parameters
         ----------
@@ -55,27 +55,27 @@
         Returns
         -------
         bool
-            Whether it tells anything new.
+            Whether the store changed.
         """
         if now >= item.deadline:
             return False
         item_by_start = {
-            known.start: known for known in self.of(item.fingerprint, now=now)
+            known.start: known for known in self.items_of(item.fingerprint, now=now)
         }
         known = item_by_start.get(item.start)
         if known is not None and (known.cleared or not item.cleared):
             return False
-        if known is None and len(item_by_start) >= MOST_ENDS:
+        if known is None and len(item_by_start) >= MAX_ENDS_PER_REQUEST:
             return False
         item_by_start[item.start] = item
-        # The request with the newest evidence stands last.
+        # Requests are ordered by their latest evidence.
         self._item_by_start_by_fingerprint.pop(item.fingerprint, None)
         self._item_by_start_by_fingerprint[item.fingerprint] = item_by_start
-        self._shrink()
+        self._evict()
         return True
 
-    def of(self, fingerprint, *, now):
-        """Return what is held of a request.
+    def items_of(self, fingerprint, *, now):
+        """Return the evidence about a request.
 
         Parameters
         ----------
@@ -91,8 +91,8 @@
             return []
         return [item for item in item_by_start.values() if now < item.deadline]
 
-    def suspected(self, fingerprint, *, now):
-        """Return the starts of endpoints that a request may have ended.
+    def suspected_starts(self, fingerprint, *, now):
+        """Return the endpoint incarnations that a request may have ended.
 
         Parameters
         ----------
@@ -104,17 +104,19 @@
         frozenset of str
         """
         return frozenset(
-            item.start for item in self.of(fingerprint, now=now) if not item.cleared
+            item.start
+            for item in self.items_of(fingerprint, now=now)
+            if not item.cleared
         )
 
     def fingerprints(self):
-        """Return the requests of which there is evidence, the newest last."""
+        """Return the requests with evidence, latest last."""
         return list(self._item_by_start_by_fingerprint)
 
     def sweep(self, *, now):
-        """Drop what doesn't hold any longer."""
+        """Remove expired evidence."""
         for fingerprint in self.fingerprints():
-            if not self.of(fingerprint, now=now):
+            if not self.items_of(fingerprint, now=now):
                 del self._item_by_start_by_fingerprint[fingerprint]
 
     def __contains__(self, fingerprint):
@@ -123,12 +125,14 @@
     def __len__(self):
         return len(self._item_by_start_by_fingerprint)
 
-    def _shrink(self):
+    def _evict(self):
         by_fingerprint = self._item_by_start_by_fingerprint
-        if len(by_fingerprint) <= MOST_REQUESTS:
+        if len(by_fingerprint) <= MAX_REQUESTS:
             return
-        # Many requests ran beside one that ends endpoints: each is seen at one end,
-        # and together they must not displace the one that was seen at several.
+        # Many requests run beside one that ends endpoints: each of them is seen at one
+        # end, and together they must not evict the one that was seen at several.
         oldest = next(iter(by_fingerprint))
-        once = (name for name, items in by_fingerprint.items() if len(items) == 1)
-        del by_fingerprint[next(once, oldest)]
+        seen_at_one_end = (
+            name for name, items in by_fingerprint.items() if len(items) == 1
+        )
+        del by_fingerprint[next(seen_at_one_end, oldest)]
--- a/hawthornspoke/quarantine/_exchange.py
+++ b/hawthornspoke/quarantine/_exchange.py
@@ -1,28 +1,28 @@
-"""Evidence on its way between entry hosts: a pure state machine of agents."""
+"""State machine of agents that exchanges evidence between entry hosts."""
 
 from hawthornspoke.base import MACHINES, Machine
-from hawthornspoke.quarantine._evidence import EvidenceBook
+from hawthornspoke.quarantine._evidence import EvidenceStore
 from hawthornspoke.quarantine._messages import EvidenceHeard, News
 
-#: What the machine takes.
+#: Messages that the machine handles.
 MESSAGES = (EvidenceHeard,)
 
-#: Ends of endpoints from which all entry hosts are told of a request. Most requests
-#: that ran at one end only ran beside the one that caused it.
-TOLD_FROM = 2
+#: Number of ends from which evidence of a request is shared with all entry hosts. Most
+#: requests with one end only ran beside the cause.
+SHARE_THRESHOLD = 2
 
 
 @MACHINES.register("evidence_exchange")
 class EvidenceExchange(Machine):
-    """Joins what entry hosts saw, each of which sees a part of a request's repeats."""
+    """Merges evidence of entry hosts, each of which sees some repeats of a request."""
 
-    __slots__ = ("_book",)
+    __slots__ = ("_store",)
 
     def __init__(self):
-        self._book = EvidenceBook()
+        self._store = EvidenceStore()
 
     def on_evidence_heard(self, message, *, now):
-        """Take what an entry host knows; return what all of them should.
+        """Merge evidence of an entry host; return what to send to all of them.
 
         Parameters
         ----------
@@ -36,32 +36,32 @@
         changed = {
             item.fingerprint: None
             for item in message.items
-            if self._book.add(item, now=now)
+            if self._store.add(item, now=now)
         }
-        return _news(self._told_of(changed, now))
+        return _to_messages(self._shareable(changed, now))
 
     def evidence(self, *, now):
-        """Return what an entry host has to know that has just connected.
+        """Return the evidence to send to an entry host that has just connected.
 
         Returns
         -------
         list of Evidence
         """
-        self._book.sweep(now=now)
-        return self._told_of(self._book.fingerprints(), now)
+        self._store.sweep(now=now)
+        return self._shareable(self._store.fingerprints(), now)
 
     def dump(self, *, now):
         """Return the state as plain data."""
-        return {"requests": len(self._book), "told": len(self.evidence(now=now))}
+        return {"requests": len(self._store), "told": len(self.evidence(now=now))}
 
-    def _told_of(self, fingerprints, now):
+    def _shareable(self, fingerprints, now):
         found = []
         for fingerprint in fingerprints:
-            items = self._book.of(fingerprint, now=now)
-            if len(items) >= TOLD_FROM:
+            items = self._store.items_of(fingerprint, now=now)
+            if len(items) >= SHARE_THRESHOLD:
                 found += items
         return found
 
 
-def _news(items):
+def _to_messages(items):
     return [News(items=tuple(items))] if items else []
--- a/hawthornspoke/quarantine/_fingerprint.py
+++ b/hawthornspoke/quarantine/_fingerprint.py
@@ -1,22 +1,22 @@
-"""What a request has in common with its repeats."""
+"""Fingerprints that identify repeats of a request."""
 
 import hashlib
 
-#: Bytes of a fingerprint: enough that no two requests share one by chance.
-SIZE = 12
+#: Fingerprint size in bytes, large enough to rule out accidental collisions.
+DIGEST_SIZE = 12
 
 
 def fingerprint_of(*, organisation, method, host, target, body):
-    """Return what tells a request's repeats from other requests.
+    """Return the fingerprint of a request, the same for all its repeats.
 
-    Callers repeat a request under new ids and at other entry hosts. The hash is a
-    cryptographic one, since a caller who found another organisation's value could get
-    its requests refused.
+    Callers repeat a request under new ids and at other entry hosts. A cryptographic
+    hash is required, since a caller who finds a collision with a request of another
+    organisation could get that refused.
 
     Parameters
     ----------
     organisation : str
-        Name of the caller's organisation, empty if it needs none.
+        Name of the caller's organisation, empty if none is required.
     method, host, target : str
     body : bytes-like
 
@@ -25,10 +25,10 @@
     str
         In hexadecimal.
     """
-    digest = hashlib.blake2b(digest_size=SIZE)
+    digest = hashlib.blake2b(digest_size=DIGEST_SIZE)
     for part in (organisation, method, host, target):
         data = part.encode(errors="surrogatepass")
-        # With its length in front, no part can pass for the end of another.
+        # The length prefix keeps bytes from moving between adjacent parts.
         digest.update(b"%d:" % len(data))
         digest.update(data)
     digest.update(body)
--- a/hawthornspoke/quarantine/_messages.py
+++ b/hawthornspoke/quarantine/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the machines that tell which requests end endpoints."""
+"""Messages of the quarantine and evidence exchange state machines."""
 
 from dataclasses import dataclass
 
@@ -10,11 +10,11 @@
     Parameters
     ----------
     start : str
-        Of the endpoint; see ``Evidence``.
+        Of the endpoint's incarnation; see ``Evidence``.
     fingerprints : tuple of str
-        Of this host's requests there.
+        Of this host's requests that ran there.
     in_use : int
-        Endpoints that still run requests of this host.
+        Number of endpoints that still run requests of this host.
     """
 
     start: str
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EvidenceHeard:
-    """Another process told what it knows.
+    """Another process sent evidence.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Answered:
-    """An endpoint ran a request to its end and lives.
+    """An endpoint completed a request and is still running.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class News:
-    """What other processes should know.
+    """New evidence to send to other processes.
 
     Parameters
     ----------
@@ -60,13 +60,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Quarantined:
-    """A request is not sent to endpoints any more.
+    """A request was quarantined and is no longer sent to endpoints.
 
     Parameters
     ----------
     fingerprint : str
     starts : tuple of str
-        Of the endpoints that ended under it.
+        Incarnations of the endpoints that ended while running it.
     """
 
     fingerprint: str
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Released:
-    """A request that was in quarantine is sent again.
+    """A request was released from quarantine.
 
     Parameters
     ----------
--- a/hawthornspoke/quarantine/_quarantine.py
+++ b/hawthornspoke/quarantine/_quarantine.py
@@ -1,7 +1,7 @@
-"""Which requests are not sent to endpoints any more: a pure state machine."""
+"""State machine that decides which requests are no longer sent to endpoints."""
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
-from hawthornspoke.quarantine._evidence import EVIDENCE_FOR, Evidence, EvidenceBook
+from hawthornspoke.quarantine._evidence import EVIDENCE_FOR, Evidence, EvidenceStore
 from hawthornspoke.quarantine._messages import (
     Answered,
     EndpointEnded,
@@ -11,24 +11,24 @@
     Released,
 )
 
-#: What the machine takes.
+#: Messages that the machine handles.
 MESSAGES = (Answered, EndpointEnded, EvidenceHeard)
 
-#: Further ends after which a request is in quarantine even if others ran at each of
-#: its ends, since one of them may have been the cause.
-COMPANY_ENDS = 2
+#: Ends beyond the threshold at which a request is quarantined even if other requests
+#: ran at each of its ends, since one of those may have been the cause.
+SHARED_ENDS_MARGIN = 2
 
-#: Seconds within which ends of endpoints count as one event.
-SAME_EVENT = 0.1
+#: Window in seconds within which ends of endpoints count as one event.
+SIMULTANEOUS_WINDOW = 0.1
 
-#: Endpoints that end together, and their part of those that a host uses, from which
-#: the cause is not a request: no request runs at that many.
-MASS_ENDS = 2
-MASS_SHARE = 0.75
+#: Number of endpoints that end together, and their share of those used by a host, from
+#: which the cause isn't a request: no request runs at that many endpoints.
+MIN_MASS_ENDS = 2
+MIN_MASS_SHARE = 0.75
 
 
-class _End:
-    """An endpoint's end as this host saw it."""
+class _RecentEnd:
+    """The end of an endpoint as seen by this host."""
 
     __slots__ = ("at", "fingerprints")
 
@@ -39,35 +39,35 @@
 
 @MACHINES.register("quarantine")
 class Quarantine(Machine):
-    """Tells requests that end endpoints from those that ran beside them.
+    """Separates requests that end endpoints from those that ran beside them.
 
-    A request may end each process that begins to run it (a "query of death"). It
-    comes again under new ids and at other hosts, and each time more endpoints are
-    lost than requests are served. A request at enough ends, that no other request at
-    those ends explains, is refused without being sent.
+    A "query of death" may end each process that starts to run it. The caller repeats it
+    under new ids and at other hosts, so that more and more endpoints are lost. A
+    request that was running at enough ends, and whose ends aren't explained by another
+    request, is refused without being sent.
 
     Parameters
     ----------
-    most_ends : int, default=3
-        Ends of endpoints from which a request is in quarantine.
+    end_threshold : int, default=3
+        Number of ends of endpoints from which a request is quarantined.
 
     Notes
     -----
-    Not counted is a request that an endpoint answers, and one at the end of most of
-    the endpoints in use at once, unless one more end is enough. An end doesn't count
-    against a request if another one that ran there has as many ends or more: the
-    cause has one more as soon as it is sent again, and is refused at ``COMPANY_ENDS``
-    more in any case.
+    Requests that an endpoint completes don't count, nor do those at the end of most
+    endpoints in use at once, unless they are one end short of the threshold. An end
+    doesn't count against a request if another request that ran there has at least as
+    many ends: the cause gets one more as soon as it is sent again, and is refused at
+    ``SHARED_ENDS_MARGIN`` more in any case.
     """
 
-    __slots__ = ("most_ends", "_book", "_end_by_start", "_held")
-    PARAMS = {"most_ends": Bounds(kind=int, low=1)}
+    __slots__ = ("end_threshold", "_store", "_recent_end_by_start", "_quarantined")
+    PARAMS = {"end_threshold": Bounds(kind=int, low=1)}
 
-    def __init__(self, *, most_ends=3):
-        self.most_ends = most_ends
-        self._book = EvidenceBook()
-        self._end_by_start = {}
-        self._held = set()
+    def __init__(self, *, end_threshold=3):
+        self.end_threshold = end_threshold
+        self._store = EvidenceStore()
+        self._recent_end_by_start = {}
+        self._quarantined = set()
 
     def on_endpoint_ended(self, message, *, now):
         """Add an endpoint's end as evidence against the requests that it was running.
@@ -81,16 +81,16 @@
         -------
         list of News, Quarantined or Released
         """
-        end = self._end_by_start.setdefault(message.start, _End(at=now))
+        end = self._recent_end_by_start.setdefault(message.start, _RecentEnd(at=now))
         end.fingerprints.update(message.fingerprints)
-        self._forget_ends(now)
+        self._expire_ends(now)
         items = [
             Evidence(fingerprint=name, start=message.start, deadline=now + EVIDENCE_FOR)
             for name in message.fingerprints
         ]
-        if self._is_mass(message, now):
-            items += self._cleared_by_mass(now)
-        return self._take(items, now)
+        if self._is_mass_failure(message, now):
+            items += self._clear_mass_failure(now)
+        return self._merge(items, now)
 
     def on_evidence_heard(self, message, *, now):
         """Merge evidence received from another process.
@@ -104,10 +104,10 @@
         -------
         list of News, Quarantined or Released
         """
-        return self._take(message.items, now)
+        return self._merge(message.items, now)
 
     def on_answered(self, message, *, now):
-        """Clear a request that an endpoint has run to its end.
+        """Clear a request that an endpoint has completed.
 
         Parameters
         ----------
@@ -118,13 +118,13 @@
         -------
         list of News or Released
         """
-        if message.fingerprint not in self._book:
+        if message.fingerprint not in self._store:
             return []
-        known = self._book.of(message.fingerprint, now=now)
-        return self._take([_cleared(item) for item in known], now)
+        known = self._store.items_of(message.fingerprint, now=now)
+        return self._merge([_cleared(item) for item in known], now)
 
     def refused_until(self, fingerprint, *, now):
-        """Return until when a request is in quarantine.
+        """Return until when a request is quarantined.
 
         Parameters
         ----------
@@ -134,24 +134,24 @@
         Returns
         -------
         float or None
-            On the steady clock; None if it is not.
+            On the monotonic clock; None if it isn't quarantined.
         """
-        if fingerprint not in self._held:
+        if fingerprint not in self._quarantined:
             return None
-        suspected = [
+        suspected_starts = [
             item.deadline
-            for item in self._book.of(fingerprint, now=now)
+            for item in self._store.items_of(fingerprint, now=now)
             if not item.cleared
         ]
-        if len(suspected) < self.most_ends:
-            # Its evidence is too old, which no message tells.
-            self._held.discard(fingerprint)
+        if len(suspected_starts) < self.end_threshold:
+            # The evidence has expired, which no message reports.
+            self._quarantined.discard(fingerprint)
             return None
-        # It ends as soon as too few of its ends count.
-        return sorted(suspected)[-self.most_ends]
+        # The quarantine ends as soon as fewer ends than the threshold are left.
+        return sorted(suspected_starts)[-self.end_threshold]
 
     def has_evidence(self, fingerprint):
-        """Tell whether a request was seen at the end of an endpoint.
+        """Return whether a request ran at the end of an endpoint.
 
         Parameters
         ----------
@@ -161,81 +161,85 @@
         -------
         bool
         """
-        return fingerprint in self._book
+        return fingerprint in self._store
 
     def evidence(self, *, now):
-        """Return all that is known, to be told to a process that has just started.
+        """Return all evidence, to be sent to a process that has just started.
 
         Returns
         -------
         list of Evidence
         """
-        self._book.sweep(now=now)
+        self._store.sweep(now=now)
         return [
             item
-            for fingerprint in self._book.fingerprints()
-            for item in self._book.of(fingerprint, now=now)
+            for fingerprint in self._store.fingerprints()
+            for item in self._store.items_of(fingerprint, now=now)
         ]
 
     def dump(self, *, now):
         """Return the state as plain data."""
         return {
-            "requests": len(self._book),
+            "requests": len(self._store),
             "refused_for": {
                 fingerprint: round(deadline - now, 1)
-                for fingerprint in sorted(self._held)
+                for fingerprint in sorted(self._quarantined)
                 if (deadline := self.refused_until(fingerprint, now=now)) is not None
             },
         }
 
-    def _take(self, items, now):
-        news = tuple(item for item in items if self._book.add(item, now=now))
+    def _merge(self, items, now):
+        news = tuple(item for item in items if self._store.add(item, now=now))
         if not news:
             return []
-        return [News(items=news), *self._decide(now)]
+        return [News(items=news), *self._update_quarantine(now)]
 
-    def _decide(self, now):
-        """Find out who is in quarantine now; return what that changes."""
+    def _update_quarantine(self, now):
+        """Update the quarantined requests; return the changes."""
         starts_by_fingerprint = {
             fingerprint: starts
-            for fingerprint in self._book.fingerprints()
-            if len(starts := self._book.suspected(fingerprint, now=now))
-            >= self.most_ends
+            for fingerprint in self._store.fingerprints()
+            if len(starts := self._store.suspected_starts(fingerprint, now=now))
+            >= self.end_threshold
         }
-        held = {
+        current = {
             fingerprint
             for fingerprint, starts in starts_by_fingerprint.items()
             if self._is_cause(fingerprint, starts, starts_by_fingerprint)
         }
-        before, self._held = self._held, held
+        previous, self._quarantined = self._quarantined, current
         quarantined = [
             Quarantined(
                 fingerprint=fingerprint,
                 starts=tuple(sorted(starts_by_fingerprint[fingerprint])),
             )
-            for fingerprint in sorted(held - before)
+            for fingerprint in sorted(current - previous)
         ]
         return quarantined + [
-            Released(fingerprint=fingerprint) for fingerprint in sorted(before - held)
+            Released(fingerprint=fingerprint)
+            for fingerprint in sorted(previous - current)
         ]
 
     def _is_cause(self, fingerprint, starts, starts_by_fingerprint):
-        if len(starts) >= self.most_ends + COMPANY_ENDS:
+        if len(starts) >= self.end_threshold + SHARED_ENDS_MARGIN:
             return True
         unexplained = set(starts)
         for other, others in starts_by_fingerprint.items():
             if other != fingerprint and len(others) >= len(starts):
                 unexplained -= others
-        return len(unexplained) >= self.most_ends
-
-    def _is_mass(self, message, now):
-        together = len(self._end_by_start)
-        in_use = together + message.in_use
-        return together >= MASS_ENDS and together >= MASS_SHARE * in_use
-
-    def _cleared_by_mass(self, now):
-        """Return evidence against requests that ran at few of the ends of a mass."""
-        starts = self._end_by_start
+        return len(unexplained) >= self.end_threshold
+
+    def _is_mass_failure(self, message, now):
+        ended_together = len(self._recent_end_by_start)
+        in_use = ended_together + message.in_use
+        return (
+            ended_together >= MIN_MASS_ENDS
+            and ended_together >= MIN_MASS_SHARE * in_use
+        )
+
+    def _clear_mass_failure(self, now):
+        """Return clearances for requests that ran at few ends of a mass failure."""
+        starts = self._recent_end_by_start
         return [
             Evidence(
                 fingerprint=fingerprint,
@@ -245,23 +249,26 @@
             )
             for start, end in starts.items()
             for fingerprint in end.fingerprints
-            if self._absences(fingerprint) >= MASS_ENDS - 1
-            and not self._is_nearly_held(fingerprint, now)
+            if self._count_absences(fingerprint) >= MIN_MASS_ENDS - 1
+            and not self._is_near_threshold(fingerprint, now)
         ]
 
-    def _is_nearly_held(self, fingerprint, now):
-        """Tell whether one more end than those before this event is enough."""
-        suspected = self._book.suspected(fingerprint, now=now)
-        return len(suspected - self._end_by_start.keys()) >= self.most_ends - 1
+    def _is_near_threshold(self, fingerprint, now):
+        """Return whether one end more than before this event reaches the threshold."""
+        suspected_starts = self._store.suspected_starts(fingerprint, now=now)
+        return (
+            len(suspected_starts - self._recent_end_by_start.keys())
+            >= self.end_threshold - 1
+        )
 
-    def _absences(self, fingerprint):
-        ends = self._end_by_start.values()
+    def _count_absences(self, fingerprint):
+        ends = self._recent_end_by_start.values()
         return sum(fingerprint not in end.fingerprints for end in ends)
 
-    def _forget_ends(self, now):
-        for start, end in list(self._end_by_start.items()):
-            if now >= end.at + SAME_EVENT:
-                del self._end_by_start[start]
+    def _expire_ends(self, now):
+        for start, end in list(self._recent_end_by_start.items()):
+            if now >= end.at + SIMULTANEOUS_WINDOW:
+                del self._recent_end_by_start[start]
 
 
 def _cleared(item):
--- a/hawthornspoke/quarantine/_wire.py
+++ b/hawthornspoke/quarantine/_wire.py
@@ -1,20 +1,20 @@
-"""Evidence of requests that end endpoints, on the wire."""
+"""Encoding and decoding of evidence for the wire."""
 
 from hawthornspoke.protocol import EndEvidence
 from hawthornspoke.quarantine._evidence import EVIDENCE_FOR, Evidence
 
-#: Characters of the longest fingerprint or start that is believed.
-MOST_CHARACTERS = 200
+#: Maximum length of a fingerprint or an incarnation.
+MAX_LENGTH = 200
 
 
 def write_evidence(items, *, now):
-    """Return evidence as it is sent.
+    """Encode evidence.
 
     Parameters
     ----------
     items : iterable of Evidence
     now : float
-        On the steady clock; deadlines travel as the time that is left.
+        On the monotonic clock; deadlines are sent as remaining time.
 
     Returns
     -------
@@ -32,7 +32,7 @@
 
 
 def read_evidence(received, *, now):
-    """Return evidence that was received, without items that can't be used.
+    """Decode received evidence, skipping invalid items.
 
     Parameters
     ----------
@@ -57,6 +57,6 @@
 
 def _is_usable(item):
     names = (item.fingerprint, item.endpoint_start)
-    if not all(name and len(name) <= MOST_CHARACTERS for name in names):
+    if not all(name and len(name) <= MAX_LENGTH for name in names):
         return False
     return item.left_ms is not None and item.left_ms > 0
--- a/hawthornspoke/quarantine/tests/test_exchange.py
+++ b/hawthornspoke/quarantine/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""What agents tell entry hosts of requests that end endpoints."""
+"""Exchange of evidence between agents and entry hosts."""
 
 from hawthornspoke.quarantine import Evidence, EvidenceExchange, EvidenceHeard
 
@@ -9,40 +9,40 @@
     )
 
 
-def hear(exchange, *items, now=1.0):
-    """Return the starts that are told on hearing some items."""
+def deliver(exchange, *items, now=1.0):
+    """Return the incarnations that are shared after delivering some items."""
     outcomes = exchange.step(EvidenceHeard(items=items), now=now)
-    return [told.start for news in outcomes for told in news.items]
+    return [shared.start for news in outcomes for shared in news.items]
 
 
-def test_request_seen_at_one_end_is_told_to_nobody():
+def test_request_with_one_end_is_not_shared():
     exchange = EvidenceExchange()
-    assert hear(exchange, item("e1")) == []
+    assert deliver(exchange, item("e1")) == []
     assert exchange.evidence(now=1.0) == []
 
 
-def test_request_seen_at_two_ends_is_told_with_both():
+def test_request_with_two_ends_is_shared():
     exchange = EvidenceExchange()
-    hear(exchange, item("e1"))
-    assert hear(exchange, item("e2")) == ["e1", "e2"]
+    deliver(exchange, item("e1"))
+    assert deliver(exchange, item("e2")) == ["e1", "e2"]
     assert len(exchange.evidence(now=1.0)) == 2
 
 
-def test_what_is_known_is_not_told_again():
+def test_known_evidence_is_not_shared_again():
     exchange = EvidenceExchange()
-    hear(exchange, item("e1"), item("e2"))
-    assert hear(exchange, item("e1"), item("e2")) == []
+    deliver(exchange, item("e1"), item("e2"))
+    assert deliver(exchange, item("e1"), item("e2")) == []
 
 
-def test_cleared_request_is_told_so():
+def test_clearance_is_shared():
     exchange = EvidenceExchange()
-    hear(exchange, item("e1"), item("e2"))
-    hear(exchange, item("e1", cleared=True))
-    told = {known.start: known.cleared for known in exchange.evidence(now=1.0)}
-    assert told == {"e1": True, "e2": False}
+    deliver(exchange, item("e1"), item("e2"))
+    deliver(exchange, item("e1", cleared=True))
+    shared = {known.start: known.cleared for known in exchange.evidence(now=1.0)}
+    assert shared == {"e1": True, "e2": False}
 
 
-def test_old_evidence_is_told_to_nobody():
+def test_expired_evidence_is_not_shared():
     exchange = EvidenceExchange()
-    hear(exchange, item("e1"), item("e2"))
+    deliver(exchange, item("e1"), item("e2"))
     assert exchange.evidence(now=100.0) == []
--- a/hawthornspoke/quarantine/tests/test_fingerprint.py
+++ b/hawthornspoke/quarantine/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Which requests share a fingerprint."""
+"""Fingerprints of requests."""
 
 import pytest
 
@@ -34,5 +34,5 @@
     assert fingerprint_of(**REQUEST) != fingerprint_of(**(REQUEST | changed))
 
 
-def test_target_with_bytes_that_are_no_text_has_a_fingerprint():
+def test_target_with_undecodable_bytes_has_a_fingerprint():
     assert fingerprint_of(**(REQUEST | {"target": "/\udcff"}))
--- a/hawthornspoke/quarantine/tests/test_quarantine.py
+++ b/hawthornspoke/quarantine/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are refused after endpoints have ended under them."""
+"""Quarantine of requests after endpoints have ended while running them."""
 
 from hypothesis import given, settings, strategies
 
@@ -13,11 +13,11 @@
     Quarantined,
     Released,
 )
-from hawthornspoke.quarantine._evidence import MOST_REQUESTS
+from hawthornspoke.quarantine._evidence import MAX_REQUESTS
 
 
 def end(machine, start, *fingerprints, now, in_use=10):
-    """Let an endpoint end under some requests."""
+    """End an endpoint that runs some requests."""
     message = EndpointEnded(start=start, fingerprints=fingerprints, in_use=in_use)
     return machine.step(message, now=now)
 
@@ -41,14 +41,14 @@
     assert is_refused(machine, "poison")
 
 
-def test_end_that_is_told_twice_counts_once():
+def test_end_reported_twice_counts_once():
     machine = Quarantine()
     for start in ("e1", "e2", "e2", "e2"):
         end(machine, start, "poison", now=1.0)
     assert not is_refused(machine, "poison")
 
 
-def test_quarantine_ends_when_its_evidence_is_too_old():
+def test_quarantine_ends_when_its_evidence_expires():
     machine = Quarantine()
     for number in range(3):
         end(machine, f"e{number}", "poison", now=float(number))
@@ -75,7 +75,7 @@
     assert not is_refused(machine, "beside")
 
 
-def test_two_requests_at_the_same_ends_are_both_sent_once_more():
+def test_neither_of_two_requests_at_the_same_ends_is_refused():
     machine = Quarantine()
     for number in range(3):
         end(machine, f"e{number}", "poison", "beside", now=float(number))
@@ -86,14 +86,14 @@
     assert not is_refused(machine, "beside")
 
 
-def test_poison_request_never_alone_is_refused_all_the_same():
+def test_poison_request_that_never_runs_alone_is_refused():
     machine = Quarantine()
     for number in range(5):
         end(machine, f"e{number}", "poison", "beside", now=float(number))
     assert is_refused(machine, "poison")
 
 
-def test_two_poison_requests_are_each_found():
+def test_two_poison_requests_are_both_identified():
     machine = Quarantine()
     for number in range(3):
         end(machine, f"a{number}", "poison-1", "beside-1", now=float(number))
@@ -106,7 +106,7 @@
     assert not is_refused(machine, "beside-2")
 
 
-def test_answered_request_is_cleared_and_others_are_told():
+def test_completed_request_is_cleared_and_shared():
     machine = Quarantine()
     end(machine, "e1", "popular", now=1.0)
     end(machine, "e2", "popular", now=2.0)
@@ -116,7 +116,7 @@
     assert not is_refused(machine, "popular")
 
 
-def test_answer_that_comes_late_releases_a_request():
+def test_completion_releases_a_quarantined_request():
     machine = Quarantine()
     for number in range(3):
         end(machine, f"e{number}", "popular", now=float(number))
@@ -125,27 +125,27 @@
     assert not is_refused(machine, "popular")
 
 
-def test_answer_to_an_unsuspected_request_changes_nothing():
+def test_completion_of_an_unsuspected_request_changes_nothing():
     assert Quarantine().step(Answered(fingerprint="usual"), now=1.0) == []
 
 
 def test_mass_end_of_endpoints_is_no_evidence_against_their_requests():
     machine = Quarantine()
-    for wave in range(4):
+    for round_number in range(4):
         for number in range(6):
             end(
                 machine,
-                f"e{number}-{wave}",
+                f"e{number}-{round_number}",
                 f"usual-{number}",
-                now=10.0 * wave + 0.01 * number,
+                now=10.0 * round_number + 0.01 * number,
                 in_use=5 - number,
             )
     for number in range(6):
         assert not is_refused(machine, f"usual-{number}", now=40.0)
 
 
-def test_mass_end_clears_no_request_that_was_seen_at_two_ends_before():
-    """Guards against hosts that take two poison requests at once for a mass end."""
+def test_mass_end_does_not_clear_a_request_with_two_earlier_ends():
+    """Guards against taking two poison requests at once for a mass failure."""
     machine = Quarantine()
     end(machine, "e1", "poison", now=1.0)
     end(machine, "e2", "poison", now=2.0)
@@ -155,17 +155,23 @@
     assert not is_refused(machine, "beside")
 
 
-def test_mass_ends_of_which_a_host_saw_one_end_first_are_no_evidence():
-    """Guards against a mass end that counts as a host used one endpoint then."""
+def test_mass_end_preceded_by_a_single_end_is_no_evidence():
+    """Guards against missing mass failures while a host uses one endpoint."""
     machine = Quarantine()
     end(machine, "e1", "usual", now=1.0, in_use=0)
-    for wave in range(2, 6):
-        end(machine, f"e1-{wave}", "usual", now=3.0 * wave, in_use=1)
-        end(machine, f"e2-{wave}", "other", now=3.0 * wave + 0.01, in_use=0)
-        assert not is_refused(machine, "usual", now=3.0 * wave + 0.01)
+    for round_number in range(2, 6):
+        end(machine, f"e1-{round_number}", "usual", now=3.0 * round_number, in_use=1)
+        end(
+            machine,
+            f"e2-{round_number}",
+            "other",
+            now=3.0 * round_number + 0.01,
+            in_use=0,
+        )
+        assert not is_refused(machine, "usual", now=3.0 * round_number + 0.01)
 
 
-def test_poison_request_sent_to_many_endpoints_at_once_is_no_mass_end():
+def test_poison_request_at_many_endpoints_at_once_is_no_mass_end():
     machine = Quarantine()
     for number in range(4):
         end(machine, f"e{number}", "poison", f"x{number}", now=0.05 * number, in_use=0)
@@ -173,7 +179,7 @@
     assert not any(is_refused(machine, f"x{number}") for number in range(4))
 
 
-def test_ends_seen_by_several_hosts_count_together():
+def test_ends_seen_by_several_hosts_add_up():
     hosts = [Quarantine() for _ in range(3)]
     news = []
     for number, host in enumerate(hosts):
@@ -184,24 +190,24 @@
         assert is_refused(host, "poison")
 
 
-def test_what_was_heard_before_is_no_news():
+def test_known_evidence_is_ignored():
     machine = Quarantine()
     item = Evidence(fingerprint="f", start="e", deadline=100.0)
     assert machine.step(EvidenceHeard(items=(item,)), now=1.0)
     assert machine.step(EvidenceHeard(items=(item,)), now=1.0) == []
 
 
-def test_flood_of_requests_seen_once_displaces_no_request_in_quarantine():
+def test_requests_with_one_end_do_not_displace_a_quarantined_one():
     machine = Quarantine()
     for number in range(3):
         end(machine, f"e{number}", "poison", now=float(number))
-    for number in range(3 * MOST_REQUESTS):
+    for number in range(3 * MAX_REQUESTS):
         end(machine, f"x{number}", f"usual-{number}", now=4.0 + 0.3 * number)
     assert is_refused(machine, "poison", now=EVIDENCE_FOR - 1.0)
-    assert machine.dump(now=5.0)["requests"] <= MOST_REQUESTS
+    assert machine.dump(now=5.0)["requests"] <= MAX_REQUESTS
 
 
-def test_flood_of_ends_under_one_request_is_bounded():
+def test_evidence_per_request_is_bounded():
     machine = Quarantine()
     for number in range(100):
         end(machine, f"e{number}", "poison", now=float(number))
@@ -219,8 +225,8 @@
 
 @settings(max_examples=200, deadline=None)
 @given(items=strategies.lists(ITEMS, max_size=20), seed=strategies.randoms())
-def test_hosts_agree_in_whatever_order_they_hear(items, seed):
-    """Guards against one host that refuses what another one sends."""
+def test_hosts_agree_whatever_the_order_of_evidence(items, seed):
+    """Guards against one host refusing a request that another one sends."""
     first, second = Quarantine(), Quarantine()
     first.step(EvidenceHeard(items=tuple(items)), now=1.0)
     shuffled = list(items)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -371,7 +371,7 @@
     Mutation(
         name="poison: nobody recognizes a repeat",
         file="quarantine/_quarantine.py",
-        old="        if fingerprint not in self._held:",
+        old="        if fingerprint not in self._quarantined:",
         new="        if True:",
         test="platform/adapter/tests/test_requests_that_end_engines.py "
         "-k reaches_few_more",
@@ -395,7 +395,7 @@
     Mutation(
         name="poison: a mass end counts",
         file="quarantine/_quarantine.py",
-        old="        if self._is_mass(message, now):",
+        old="        if self._is_mass_failure(message, now):",
         new="        if False:",
         test="hawthornspoke/quarantine/tests/test_quarantine.py -k mass_end_of",
     ),
