--- a/hawthornspoke/limits/__init__.py
+++ b/hawthornspoke/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits of an organisation, held by all entry hosts together."""
+"""Rate limits of organisations, shared by all entry hosts."""
 
 from hawthornspoke.limits._shares import (
     Admitted,
--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -1,4 +1,4 @@
-"""Rate limits divided among entry hosts by gossip of demand."""
+"""Rate limits divided among entry hosts by their gossiped demand."""
 
 from dataclasses import dataclass
 
@@ -6,27 +6,27 @@
 
 OVER_LIMIT = Failure(code="over_limit")
 
-#: Part of a limit that is divided equally whatever the demand, so that an entry
-#: host whose demand starts from nothing can admit before the others hear of it.
-EQUAL_PART = 0.2
+#: Share of a limit that is divided equally regardless of demand, so that an entry host
+#: with new demand can admit requests before the others know of it.
+EQUAL_SHARE = 0.2
 
-#: Seconds of its part that a host may admit at once when it starts.
-START_SECONDS = 0.25
+#: Seconds of its rate that a host may admit at once when it starts.
+INITIAL_FILL_SECONDS = 0.25
 
-#: Seconds over which demand is averaged.
+#: Time constant in seconds of the demand average.
 DEMAND_WINDOW = 1.0
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SetLimits:
-    """Limits by the document in force.
+    """Limits of the current configuration document.
 
     Parameters
     ----------
     rate_by_organisation : dict of str to float
-        Requests a second over all entry hosts.
+        Requests per second over all entry hosts.
     burst_by_organisation : dict of str to float
-        Requests that may come at once over all entry hosts.
+        Burst size in requests over all entry hosts.
     """
 
     rate_by_organisation: dict
@@ -35,13 +35,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PeersKnown:
-    """How many entry hosts each claimant stands for.
+    """Number of entry hosts that each claimant represents.
 
     Parameters
     ----------
     hosts_by_claimant : dict of str to int
-        Without this host. A claimant is an entry host of the own failure
-        domain, or a whole other failure domain.
+        Excluding this host. A claimant is an entry host of the own failure domain, or
+        another failure domain as a whole.
     """
 
     hosts_by_claimant: dict
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class DemandHeard:
-    """A claimant's demand by organisation, in requests a second."""
+    """A claimant's demand by organisation, in requests per second."""
 
     claimant: str
     demand_by_organisation: dict
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Request:
-    """A request of an organisation asks to be admitted."""
+    """Asks for admission of a request of an organisation."""
 
     organisation: str
 
@@ -69,23 +69,23 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Limited:
-    """The request is over the limit; the failure says when to come back."""
+    """The request is over the limit; the failure has the retry delay."""
 
     failure: object
 
 
-class _Bucket:
-    __slots__ = ("tokens", "filled_at", "arrivals", "demand", "counted_at")
+class _TokenBucket:
+    __slots__ = ("tokens", "refilled_at", "arrivals", "demand", "measured_at")
 
     def __init__(self, *, now):
         self.tokens = None
-        self.filled_at = now
+        self.refilled_at = now
         self.arrivals = 0
         self.demand = 0.0
-        self.counted_at = now
+        self.measured_at = now
 
 
-class _Claimant:
+class _ClaimantDemand:
     __slots__ = ("demand_by_organisation", "stale_deadline")
 
     def __init__(self, *, demand_by_organisation, stale_deadline):
@@ -95,20 +95,20 @@
 
 @MACHINES.register("rate_shares")
 class RateShares(Machine):
-    """This entry host's part of each organisation's limit.
+    """Share of this entry host in the limit of each organisation.
 
     Parameters
     ----------
     stale_after : float, default=5.0
-        Seconds after which a claimant that is not heard is no longer believed.
+        Seconds after which the demand of a silent claimant expires.
 
     Notes
     -----
-    Each claimant that is heard gets a part by its demand. For one that is not
-    heard (dead, or behind a cut) its equal part is set aside: it may be alive
-    and admitting, and by the same rule it takes no more than that. So a cut
-    lowers use a little and the sum over all hosts stays near the limit, without
-    any state shared at the time of a request.
+    Claimants with current demand share a limit by demand. For each other claimant,
+    which may be dead or partitioned, its equal share is reserved: it may still admit
+    requests, and by the same rule it admits no more than that. A partition therefore
+    lowers utilization a little, and the sum over all hosts stays near the limit
+    without shared state at request time.
     """
 
     __slots__ = (
@@ -116,7 +116,7 @@
         "rate_by_organisation",
         "burst_by_organisation",
         "hosts_by_claimant",
-        "by_claimant",
+        "demand_by_claimant",
         "by_organisation",
         "admitted",
         "limited",
@@ -128,35 +128,35 @@
         self.rate_by_organisation = {}
         self.burst_by_organisation = {}
         self.hosts_by_claimant = {}
-        self.by_claimant = {}
+        self.demand_by_claimant = {}
         self.by_organisation = {}
         self.admitted = 0
         self.limited = 0
 
     def on_set_limits(self, message, *, now):
-        """Take the limits of a new document."""
+        """Set the limits of a new document."""
         self.rate_by_organisation = dict(message.rate_by_organisation)
         self.burst_by_organisation = dict(message.burst_by_organisation)
         return []
 
     def on_peers_known(self, message, *, now):
-        """Take the entry hosts that are known, heard or not."""
+        """Set the known entry hosts, whether or not their demand is current."""
         self.hosts_by_claimant = dict(message.hosts_by_claimant)
-        for claimant in list(self.by_claimant):
+        for claimant in list(self.demand_by_claimant):
             if claimant not in self.hosts_by_claimant:
-                del self.by_claimant[claimant]
+                del self.demand_by_claimant[claimant]
         return []
 
     def on_demand_heard(self, message, *, now):
-        """Take a claimant's demand."""
-        self.by_claimant[message.claimant] = _Claimant(
+        """Record a claimant's demand."""
+        self.demand_by_claimant[message.claimant] = _ClaimantDemand(
             demand_by_organisation=dict(message.demand_by_organisation),
             stale_deadline=now + self.stale_after,
         )
         return []
 
     def on_request(self, message, *, now):
-        """Admit or refuse one request.
+        """Admit or reject a request.
 
         Parameters
         ----------
@@ -172,19 +172,19 @@
         bucket.arrivals += 1
         if rate is None:
             return [Admitted()]
-        part = self.part(message.organisation, now=now)
-        self._fill(bucket, message.organisation, rate, part, now=now)
+        share = self.share(message.organisation, now=now)
+        self._refill(bucket, message.organisation, rate, share, now=now)
         if bucket.tokens >= 1.0:
             bucket.tokens -= 1.0
             self.admitted += 1
             return [Admitted()]
         self.limited += 1
-        wait = (1.0 - bucket.tokens) / max(rate * part, 1e-6)
+        wait = (1.0 - bucket.tokens) / max(rate * share, 1e-6)
         reason = f"over {rate:g} requests/s of {message.organisation}"
         return [Limited(failure=OVER_LIMIT.because(reason, retry_after=wait))]
 
     def demand(self, *, now):
-        """Return this host's own demand, to be gossiped.
+        """Return this host's demand for gossip.
 
         Parameters
         ----------
@@ -193,17 +193,17 @@
         Returns
         -------
         dict of str to float
-            Requests a second by organisation.
+            Requests per second by organisation.
         """
         demands = {}
         for name, bucket in self.by_organisation.items():
-            self._count(bucket, now=now)
+            self._update_demand(bucket, now=now)
             if bucket.demand > 0.01:
                 demands[name] = round(bucket.demand, 2)
         return demands
 
-    def part(self, organisation, *, now):
-        """Return this host's part of a limit, between 0 and 1.
+    def share(self, organisation, *, now):
+        """Return this host's share of a limit, between 0 and 1.
 
         Parameters
         ----------
@@ -215,23 +215,26 @@
         float
         """
         hosts = 1 + sum(self.hosts_by_claimant.values())
-        heard = [
-            (count, self.by_claimant[name])
+        active = [
+            (count, self.demand_by_claimant[name])
             for name, count in self.hosts_by_claimant.items()
-            if name in self.by_claimant and now < self.by_claimant[name].stale_deadline
+            if name in self.demand_by_claimant
+            and now < self.demand_by_claimant[name].stale_deadline
         ]
-        heard_hosts = 1 + sum(count for count, _ in heard)
-        shared = heard_hosts / hosts
+        active_hosts = 1 + sum(count for count, _ in active)
+        active_share = active_hosts / hosts
         own = self._bucket(organisation, now=now)
-        self._count(own, now=now)
+        self._update_demand(own, now=now)
         others = sum(
             claimant.demand_by_organisation.get(organisation, 0.0)
-            for _, claimant in heard
+            for _, claimant in active
         )
         total = own.demand + others
-        by_demand = own.demand / total if total > 0 else 1.0 / heard_hosts
-        equal = 1.0 / heard_hosts
-        return shared * (EQUAL_PART * equal + (1 - EQUAL_PART) * by_demand)
+        demand_share = own.demand / total if total > 0 else 1.0 / active_hosts
+        equal_share = 1.0 / active_hosts
+        return active_share * (
+            EQUAL_SHARE * equal_share + (1 - EQUAL_SHARE) * demand_share
+        )
 
     def dump(self, *, now):
         """Return the state as plain data.
@@ -250,7 +253,7 @@
             "limited": self.limited,
             "by_organisation": {
                 name: {
-                    "part": round(self.part(name, now=now), 4),
+                    "part": round(self.share(name, now=now), 4),
                     "demand": round(bucket.demand, 2),
                     "tokens": None if bucket.tokens is None else bucket.tokens,
                 }
@@ -261,26 +264,26 @@
     def _bucket(self, organisation, *, now):
         bucket = self.by_organisation.get(organisation)
         if bucket is None:
-            bucket = self.by_organisation[organisation] = _Bucket(now=now)
+            bucket = self.by_organisation[organisation] = _TokenBucket(now=now)
         return bucket
 
-    def _count(self, bucket, *, now):
-        elapsed = now - bucket.counted_at
+    def _update_demand(self, bucket, *, now):
+        elapsed = now - bucket.measured_at
         if elapsed < DEMAND_WINDOW / 4:
             return
         rate = bucket.arrivals / elapsed
         weight = min(1.0, elapsed / DEMAND_WINDOW)
         bucket.demand += weight * (rate - bucket.demand)
         bucket.arrivals = 0
-        bucket.counted_at = now
+        bucket.measured_at = now
 
-    def _fill(self, bucket, organisation, rate, part, *, now):
+    def _refill(self, bucket, organisation, rate, share, *, now):
         burst = self.burst_by_organisation.get(organisation, rate)
-        capacity = max(1.0, burst * part)
+        capacity = max(1.0, burst * share)
         if bucket.tokens is None:
-            # A host that joins or restarts must not bring a whole new burst,
-            # nor refuse the second caller of its life.
-            bucket.tokens = min(capacity, max(1.0, START_SECONDS * rate * part))
-        earned = (now - bucket.filled_at) * rate * part
+            # A host that joins or restarts must not add a whole burst, nor reject the
+            # second request that it gets.
+            bucket.tokens = min(capacity, max(1.0, INITIAL_FILL_SECONDS * rate * share))
+        earned = (now - bucket.refilled_at) * rate * share
         bucket.tokens = min(capacity, bucket.tokens + earned)
-        bucket.filled_at = now
+        bucket.refilled_at = now
--- a/hawthornspoke/retries/__init__.py
+++ b/hawthornspoke/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt may be made again."""
+"""Retry budget: whether a failed attempt may be retried."""
 
 from hawthornspoke.retries._budget import (
     AskRetry,
--- a/hawthornspoke/retries/_budget.py
+++ b/hawthornspoke/retries/_budget.py
@@ -1,4 +1,4 @@
-"""Retries as a fraction of successes."""
+"""State machine that limits retries to a fraction of successful requests."""
 
 from dataclasses import dataclass
 
@@ -11,19 +11,19 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Succeeded:
-    """A request was answered."""
+    """A request succeeded."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AskRetry:
-    """An attempt failed and another is wanted.
+    """Asks whether a failed attempt may be retried.
 
     Parameters
     ----------
     repeatable : bool
-        False for a request that is marked as not to be repeated.
+        False for a request that is marked as not repeatable.
     was_run : bool
-        False only if it is proved that the attempt was not run.
+        False only if the attempt is known not to have run.
     deadline : float
         Of the request.
     """
@@ -35,32 +35,32 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RetryAllowed:
-    """Try another endpoint."""
+    """The request may be sent to another endpoint."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RetryDenied:
-    """Give the request up now."""
+    """The request must not be retried."""
 
     failure: object
 
 
 @MACHINES.register("retry_budget")
 class RetryBudget(Machine):
-    """A bucket that successes fill and retries empty.
+    """Token bucket that successful requests fill and retries drain.
 
     Parameters
     ----------
     ratio : float, default=0.1
-        Retries earned by one success.
+        Tokens added by one success; a retry takes one token.
     reserve : float, default=10.0
-        Retries that the bucket holds at most, and at the start.
+        Capacity of the bucket, which is full at the start.
 
     Notes
     -----
-    When endpoints fail because they are overloaded, retries add to the load
-    that makes them fail, and the overload goes on after its cause is gone.
-    With a budget the load sent is at most ``1 + ratio`` times that received.
+    If endpoints fail because they are overloaded, retries add to the load that makes
+    them fail, and the overload persists after its cause is gone. The budget limits the
+    load sent to ``1 + ratio`` times the load received.
     """
 
     __slots__ = ("ratio", "reserve", "tokens", "allowed", "denied_by_code")
@@ -77,7 +77,7 @@
         self.denied_by_code = {}
 
     def on_succeeded(self, message, *, now):
-        """Earn a part of a retry."""
+        """Add the tokens earned by a success."""
         self.tokens = min(float(self.reserve), self.tokens + self.ratio)
         return []
 
--- a/hawthornspoke/routing/__init__.py
+++ b/hawthornspoke/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint for a request."""
+"""Selection of the endpoint for a request."""
 
 from hawthornspoke.routing._candidates import Candidate, RequestTraits
 from hawthornspoke.routing._policies import POLICIES
--- a/hawthornspoke/routing/_candidates.py
+++ b/hawthornspoke/routing/_candidates.py
@@ -1,25 +1,25 @@
-"""What a routing policy sees."""
+"""Input of the routing policies."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, kw_only=True)
 class Candidate:
-    """An endpoint that may answer a request now.
+    """An endpoint that can serve a request now.
 
     Parameters
     ----------
     node : str
     near : bool
-        In this entry host's own failure domain.
+        Whether it is in this entry host's failure domain.
     load : float
-        Estimated requests running and waiting there, per slot.
+        Estimated running and waiting requests per slot.
     in_flight : int
-        Requests of this entry host there.
+        Requests that this entry host has in flight there.
     slots : int
-        Requests the endpoint runs at once.
+        Maximum number of concurrent requests.
     latency : float
-        Smoothed seconds to the first byte, 0.0 if none was seen.
+        Smoothed time to first byte in seconds, 0.0 without samples.
     """
 
     node: str
@@ -32,13 +32,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RequestTraits:
-    """What a policy may know of a request.
+    """Properties of a request that a policy may use.
 
     Parameters
     ----------
     service : str
     prefix : str
-        Hash of the start of the prompt, empty if there is none.
+        Hash of the start of the prompt, empty without a prompt.
     """
 
     service: str
--- a/hawthornspoke/routing/_policies.py
+++ b/hawthornspoke/routing/_policies.py
@@ -1,6 +1,6 @@
 """Routing policies, by name.
 
-Each has one verb: ``choose(candidates, traits, *, rng)`` returns the name of one
+Each has one method: ``choose(candidates, traits, *, rng)`` returns the name of one
 of the candidates, of which there is at least one.
 """
 
@@ -8,66 +8,66 @@
 
 POLICIES = Registry(kind="routing policy")
 
-#: How much fuller, in requests per slot, the endpoint that holds a prefix may be
-#: than the mean before affinity gives way: one cached prompt saves about a
-#: prefill, and waiting behind a full batch costs more than that.
+#: Load per slot by which the endpoint that holds a prefix may exceed the mean before
+#: affinity yields: a cached prompt saves about one prefill, and queueing behind a full
+#: batch costs more than that.
 AFFINITY_SLACK = 0.5
 
-#: Load per slot from which an endpoint counts as full and a failure domain is
-#: left for another.
-FULL = 1.0
+#: Load per slot from which an endpoint counts as full; once all of a failure domain are
+#: full, others are used.
+FULL_LOAD = 1.0
 
 
 @POLICIES.register("random")
 class RandomChoice:
-    """Any candidate: the baseline."""
+    """Selects any candidate; the baseline."""
 
     __slots__ = ()
 
     def choose(self, candidates, traits, *, rng):
-        """Return a candidate's name; see the module."""
+        """Return the selected candidate's name; see the module docstring."""
         return rng.choice(candidates).node
 
 
 @POLICIES.register("round_robin")
 class RoundRobin:
-    """The next candidate in order of names, for each service."""
+    """Selects candidates in order of their names, separately for each service."""
 
-    __slots__ = ("_turn_by_service",)
+    __slots__ = ("_next_index_by_service",)
 
     def __init__(self):
-        self._turn_by_service = {}
+        self._next_index_by_service = {}
 
     def choose(self, candidates, traits, *, rng):
-        """Return a candidate's name; see the module."""
+        """Return the selected candidate's name; see the module docstring."""
         ordered = sorted(candidates, key=lambda item: item.node)
-        turn = self._turn_by_service.get(traits.service, 0)
-        self._turn_by_service[traits.service] = turn + 1
-        return ordered[turn % len(ordered)].node
+        index = self._next_index_by_service.get(traits.service, 0)
+        self._next_index_by_service[traits.service] = index + 1
+        return ordered[index % len(ordered)].node
 
 
 @POLICIES.register("least_in_flight")
 class LeastInFlight:
-    """The candidate with the fewest requests of this entry host."""
+    """Selects the candidate with the fewest in-flight requests of this host."""
 
     __slots__ = ()
 
     def choose(self, candidates, traits, *, rng):
-        """Return a candidate's name; see the module."""
-        fewest = min(item.in_flight for item in candidates)
-        tied = [item for item in candidates if item.in_flight == fewest]
+        """Return the selected candidate's name; see the module docstring."""
+        min_in_flight = min(item.in_flight for item in candidates)
+        tied = [item for item in candidates if item.in_flight == min_in_flight]
         return rng.choice(tied).node
 
 
 @POLICIES.register("two_choices")
 class TwoChoices:
-    """The better of two random candidates, own failure domain first.
+    """Selects the better of two random candidates, own failure domain first.
 
     Notes
     -----
-    All entry hosts see the same late load reports. Taking the least loaded
-    endpoint would send all of them to the same one until the next report; two
-    random choices spread them.
+    All entry hosts see the same delayed load reports. Selecting the least loaded
+    endpoint would send all of them to the same one until the next report; two random
+    choices spread the requests.
 
     References
     ----------
@@ -78,7 +78,7 @@
     __slots__ = ()
 
     def choose(self, candidates, traits, *, rng):
-        """Return a candidate's name; see the module."""
+        """Return the selected candidate's name; see the module docstring."""
         pool = prefer_near(candidates)
         if len(pool) > 2:
             pool = rng.sample(pool, 2)
@@ -87,14 +87,14 @@
 
 @POLICIES.register("prefix_affinity")
 class PrefixAffinity:
-    """The endpoint that likely holds the prompt's prefix, unless it is full.
+    """Selects the endpoint that likely caches the prompt's prefix, unless it is full.
 
     Notes
     -----
-    Cache events come late and with gaps, so affinity is by rendezvous hash of
-    the prefix: an entry host that has heard no event still sends a prefix to
-    where the others send it. It bends under load: the first in hash order that
-    is within ``AFFINITY_SLACK`` of the mean load takes the request.
+    Cache events are delayed and incomplete, so affinity uses a rendezvous hash of the
+    prefix: an entry host that received no event still sends a prefix where the others
+    send it. Affinity yields under load: the first endpoint in hash order within
+    ``AFFINITY_SLACK`` of the mean load gets the request.
     """
 
     __slots__ = ("_fallback",)
@@ -103,7 +103,7 @@
         self._fallback = TwoChoices()
 
     def choose(self, candidates, traits, *, rng):
-        """Return a candidate's name; see the module."""
+        """Return the selected candidate's name; see the module docstring."""
         if not traits.prefix:
             return self._fallback.choose(candidates, traits, rng=rng)
         pool = prefer_near(candidates)
@@ -119,7 +119,7 @@
 
 
 def prefer_near(candidates):
-    """Return the own failure domain's candidates while they are not all full.
+    """Return the own failure domain's candidates unless all of them are full.
 
     Parameters
     ----------
@@ -130,13 +130,13 @@
     list of Candidate
     """
     near = [item for item in candidates if item.near]
-    if near and min(item.load for item in near) < FULL:
+    if near and min(item.load for item in near) < FULL_LOAD:
         return near
     return candidates
 
 
 def cost(candidate):
-    """Return what a request would suffer at a candidate, for comparison.
+    """Return the cost of sending a request to a candidate, for comparison.
 
     Parameters
     ----------
@@ -145,14 +145,14 @@
     Returns
     -------
     float
-        Load and slowness multiply: a slow endpoint with an empty queue is no
-        better than a quick one with a short queue.
+        Product of load and latency: a slow endpoint with an empty queue is no better
+        than a fast one with a short queue.
     """
     return (candidate.load + 1.0 / candidate.slots) * max(candidate.latency, 0.001)
 
 
 def is_slow(candidate, best_latency):
-    """Tell whether a candidate is slow compared with the best.
+    """Return whether a candidate is slow compared with the best.
 
     Parameters
     ----------
--- a/hawthornspoke/routing/_router.py
+++ b/hawthornspoke/routing/_router.py
@@ -1,4 +1,4 @@
-"""The router: candidates from membership, load and past outcomes."""
+"""State machine that routes requests by membership, load and past outcomes."""
 
 import random
 from dataclasses import dataclass
@@ -9,20 +9,20 @@
 
 NO_ENDPOINT = Failure(code="no_endpoint")
 
-#: Weight of the newest sample of an endpoint's first-byte time.
+#: Smoothing factor of an endpoint's time to first byte.
 SMOOTHING = 0.3
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class LoadHeard:
-    """An endpoint's own count of its requests.
+    """An endpoint's report of its load.
 
     Parameters
     ----------
     node : str
     running, queued, slots : int
     age : float
-        Seconds since the endpoint counted.
+        Age of the report in seconds.
     """
 
     node: str
@@ -34,15 +34,15 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Choose:
-    """A request looks for an endpoint.
+    """Asks for an endpoint for a request.
 
     Parameters
     ----------
     traits : RequestTraits
     endpoints : list of MemberView
-        Those that hold the right weights and take work.
+        Endpoints with the right weights that accept requests.
     failure_domain : str
-        This entry host's.
+        Of this entry host.
     excluded : frozenset of str
         Endpoints already tried.
     """
@@ -55,15 +55,15 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Outcome:
-    """An attempt came to its end.
+    """An attempt ended.
 
     Parameters
     ----------
     node : str
     failed : bool
-        The endpoint failed; a refusal for load or weights is no failure.
+        Whether the endpoint failed; rejections due to load or weights are no failures.
     first_byte : float or None
-        Seconds to the first byte, if there was one.
+        Time to first byte in seconds, None if none was received.
     """
 
     node: str
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Chosen:
-    """Send the request there; it is counted as in flight from now."""
+    """The selected endpoint; the request counts as in flight from now on."""
 
     node: str
 
@@ -88,62 +88,62 @@
 class _Endpoint:
     __slots__ = (
         "in_flight",
-        "reported",
+        "reported_load",
         "slots",
-        "heard_at",
-        "sent_since",
-        "done_since",
+        "reported_at",
+        "sent_since_report",
+        "ended_since_report",
         "latency",
         "failures",
-        "avoid_deadline",
+        "ejected_until",
     )
 
     def __init__(self):
         self.in_flight = 0
-        self.reported = 0
+        self.reported_load = 0
         self.slots = 1
-        self.heard_at = None
-        self.sent_since = 0
-        self.done_since = 0
+        self.reported_at = None
+        self.sent_since_report = 0
+        self.ended_since_report = 0
         self.latency = 0.0
         self.failures = 0
-        self.avoid_deadline = 0.0
+        self.ejected_until = 0.0
 
 
 @MACHINES.register("router")
 class Router(Machine):
-    """Chooses an endpoint by a policy.
+    """Selects an endpoint by a policy.
 
     Parameters
     ----------
     policy : str, default="two_choices"
         Name in the registry of routing policies.
     load_half_life : float, default=2.0
-        Seconds after which a load report counts half.
-    avoid_base : float, default=1.0
-        Seconds an endpoint is avoided after ``avoid_after`` failures in a row;
-        doubled with each further one.
-    avoid_limit : float, default=30.0
+        Half-life of load reports in seconds.
+    base_ejection_time : float, default=1.0
+        Seconds for which an endpoint is ejected after ``ejection_threshold``
+        consecutive failures; doubled with each further failure.
+    max_ejection_time : float, default=30.0
         Upper limit of that time.
-    avoid_after : int, default=3
-        Failures in a row.
+    ejection_threshold : int, default=3
+        Number of consecutive failures.
     seed : int, default=0
         Of the random choices.
 
     Notes
     -----
-    An endpoint that fails fast always looks idle and would draw all traffic to
-    itself; failures in a row take it out, and it comes back on one trial
-    request at a time. Unless all are out: then all are tried, since refusing
-    everything is worse than trying.
+    An endpoint that fails fast always looks idle and would attract all traffic.
+    Consecutive failures eject it, and it is readmitted with one trial request at a
+    time. If all endpoints are ejected all of them are tried, since rejecting every
+    request is worse.
     """
 
     __slots__ = (
         "policy",
         "load_half_life",
-        "avoid_base",
-        "avoid_limit",
-        "avoid_after",
+        "base_ejection_time",
+        "max_ejection_time",
+        "ejection_threshold",
         "seed",
         "by_id",
         "_rng",
@@ -152,9 +152,9 @@
     PARAMS = {
         "policy": Bounds(kind=str, choices=tuple(POLICIES.names())),
         "load_half_life": Bounds(kind=(int, float), low=0.01),
-        "avoid_base": Bounds(kind=(int, float), low=0),
-        "avoid_limit": Bounds(kind=(int, float), low=0),
-        "avoid_after": Bounds(kind=int, low=1),
+        "base_ejection_time": Bounds(kind=(int, float), low=0),
+        "max_ejection_time": Bounds(kind=(int, float), low=0),
+        "ejection_threshold": Bounds(kind=int, low=1),
         "seed": Bounds(kind=int),
     }
 
@@ -163,23 +163,23 @@
         *,
         policy="two_choices",
         load_half_life=2.0,
-        avoid_base=1.0,
-        avoid_limit=30.0,
-        avoid_after=3,
+        base_ejection_time=1.0,
+        max_ejection_time=30.0,
+        ejection_threshold=3,
         seed=0,
     ):
         self.policy = policy
         self.load_half_life = load_half_life
-        self.avoid_base = avoid_base
-        self.avoid_limit = avoid_limit
-        self.avoid_after = avoid_after
+        self.base_ejection_time = base_ejection_time
+        self.max_ejection_time = max_ejection_time
+        self.ejection_threshold = ejection_threshold
         self.seed = seed
         self.by_id = {}
         self._rng = random.Random(seed)
         self._chooser = POLICIES.get(policy)()
 
     def on_load_heard(self, message, *, now):
-        """Take an endpoint's load report.
+        """Record an endpoint's load report.
 
         Parameters
         ----------
@@ -192,16 +192,16 @@
             Empty.
         """
         endpoint = self._endpoint(message.node)
-        endpoint.reported = message.running + message.queued
+        endpoint.reported_load = message.running + message.queued
         endpoint.slots = max(1, message.slots)
-        endpoint.heard_at = now - message.age
-        # What was sent since is not in the report; what ended since still is.
-        endpoint.sent_since = 0
-        endpoint.done_since = 0
+        endpoint.reported_at = now - message.age
+        # The report excludes requests sent since and includes those that ended since.
+        endpoint.sent_since_report = 0
+        endpoint.ended_since_report = 0
         return []
 
     def on_choose(self, message, *, now):
-        """Choose an endpoint.
+        """Select an endpoint.
 
         Parameters
         ----------
@@ -216,21 +216,23 @@
             view for view in message.endpoints if view.node not in message.excluded
         ]
         if not endpoints:
-            failure = NO_ENDPOINT.because(self._why(message), retry_after=1.0)
+            failure = NO_ENDPOINT.because(
+                self._rejection_reason(message), retry_after=1.0
+            )
             return [Unroutable(failure=failure)]
-        usable = [view for view in endpoints if self._is_usable(view.node, now)]
+        available = [view for view in endpoints if self._is_available(view.node, now)]
         candidates = [
             self._candidate(view, message.failure_domain, now)
-            for view in usable or endpoints
+            for view in available or endpoints
         ]
         name = self._chooser.choose(candidates, message.traits, rng=self._rng)
         chosen = self._endpoint(name)
         chosen.in_flight += 1
-        chosen.sent_since += 1
+        chosen.sent_since_report += 1
         return [Chosen(node=name)]
 
     def on_outcome(self, message, *, now):
-        """Learn from an attempt.
+        """Record the outcome of an attempt.
 
         Parameters
         ----------
@@ -244,19 +246,19 @@
         """
         endpoint = self._endpoint(message.node)
         endpoint.in_flight = max(0, endpoint.in_flight - 1)
-        endpoint.done_since += 1
+        endpoint.ended_since_report += 1
         if message.failed:
             endpoint.failures += 1
-            self._avoid(endpoint, now)
+            self._eject(endpoint, now)
             return []
         endpoint.failures = 0
-        endpoint.avoid_deadline = 0.0
+        endpoint.ejected_until = 0.0
         if message.first_byte is not None:
-            self._learn(endpoint, message.first_byte)
+            self._record_latency(endpoint, message.first_byte)
         return []
 
     def forget(self, node):
-        """Drop what is known of a node that is gone.
+        """Remove the state of a node that left.
 
         Parameters
         ----------
@@ -267,7 +269,7 @@
             del self.by_id[node]
 
     def in_use(self):
-        """Return at how many endpoints requests of this host are.
+        """Return the number of endpoints with requests of this host.
 
         Returns
         -------
@@ -276,7 +278,7 @@
         return sum(endpoint.in_flight > 0 for endpoint in self.by_id.values())
 
     def load(self, node, *, now):
-        """Estimate the requests at an endpoint, per slot.
+        """Estimate the load of an endpoint per slot.
 
         Parameters
         ----------
@@ -286,16 +288,20 @@
         Returns
         -------
         float
-            The report, corrected by what this entry host sent and got back
-            since, fading to its own in-flight count as the report ages.
+            The reported load, corrected by the requests that this entry host sent and
+            completed since, which decays to its own in-flight count with age.
         """
         endpoint = self._endpoint(node)
-        if endpoint.heard_at is None:
+        if endpoint.reported_at is None:
             return endpoint.in_flight / endpoint.slots
-        trust = 0.5 ** ((now - endpoint.heard_at) / self.load_half_life)
-        corrected = endpoint.reported + endpoint.sent_since - endpoint.done_since
+        weight = 0.5 ** ((now - endpoint.reported_at) / self.load_half_life)
+        corrected_load = (
+            endpoint.reported_load
+            + endpoint.sent_since_report
+            - endpoint.ended_since_report
+        )
         own = endpoint.in_flight
-        estimate = own + trust * max(0, corrected - own)
+        estimate = own + weight * max(0, corrected_load - own)
         return estimate / endpoint.slots
 
     def dump(self, *, now):
@@ -317,7 +323,7 @@
                     "load": round(self.load(name, now=now), 3),
                     "latency": round(endpoint.latency, 4),
                     "failures": endpoint.failures,
-                    "avoided_for": round(max(0.0, endpoint.avoid_deadline - now), 3),
+                    "avoided_for": round(max(0.0, endpoint.ejected_until - now), 3),
                 }
                 for name, endpoint in self.by_id.items()
             },
@@ -329,12 +335,12 @@
             endpoint = self.by_id[node] = _Endpoint()
         return endpoint
 
-    def _is_usable(self, node, now):
+    def _is_available(self, node, now):
         endpoint = self._endpoint(node)
-        if endpoint.failures < self.avoid_after:
+        if endpoint.failures < self.ejection_threshold:
             return True
-        # After the deadline one trial request at a time.
-        return now >= endpoint.avoid_deadline and endpoint.in_flight == 0
+        # After the ejection one trial request at a time.
+        return now >= endpoint.ejected_until and endpoint.in_flight == 0
 
     def _candidate(self, view, failure_domain, now):
         endpoint = self._endpoint(view.node)
@@ -347,18 +353,21 @@
             latency=endpoint.latency,
         )
 
-    def _avoid(self, endpoint, now):
-        excess = endpoint.failures - self.avoid_after
-        if excess >= 0:
-            pause = min(self.avoid_limit, self.avoid_base * 2 ** min(excess, 16))
-            endpoint.avoid_deadline = now + pause
+    def _eject(self, endpoint, now):
+        excess_failures = endpoint.failures - self.ejection_threshold
+        if excess_failures >= 0:
+            ejection_time = min(
+                self.max_ejection_time,
+                self.base_ejection_time * 2 ** min(excess_failures, 16),
+            )
+            endpoint.ejected_until = now + ejection_time
 
-    def _learn(self, endpoint, first_byte):
+    def _record_latency(self, endpoint, first_byte):
         if endpoint.latency == 0.0:
             endpoint.latency = first_byte
         endpoint.latency += SMOOTHING * (first_byte - endpoint.latency)
 
-    def _why(self, message):
+    def _rejection_reason(self, message):
         if not message.endpoints:
             return f"no endpoint is ready for {message.traits.service}"
         return f"all {len(message.endpoints)} endpoints were tried"
