--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -116,7 +116,7 @@
         "rate_by_organisation",
         "burst_by_organisation",
         "hosts_by_claimant",
-        "demand_by_claimant",
+        "by_claimant",
         "by_organisation",
         "admitted",
         "limited",
@@ -128,7 +128,7 @@
         self.rate_by_organisation = {}
         self.burst_by_organisation = {}
         self.hosts_by_claimant = {}
-        self.demand_by_claimant = {}
+        self.by_claimant = {}
         self.by_organisation = {}
         self.admitted = 0
         self.limited = 0
@@ -142,14 +142,14 @@
     def on_peers_known(self, message, *, now):
         """Set the known entry hosts, whether or not their demand is current."""
         self.hosts_by_claimant = dict(message.hosts_by_claimant)
-        for claimant in list(self.demand_by_claimant):
+        for claimant in list(self.by_claimant):
             if claimant not in self.hosts_by_claimant:
-                del self.demand_by_claimant[claimant]
+                del self.by_claimant[claimant]
         return []
 
     def on_demand_heard(self, message, *, now):
         """Record a claimant's demand."""
-        self.demand_by_claimant[message.claimant] = _ClaimantDemand(
+        self.by_claimant[message.claimant] = _ClaimantDemand(
             demand_by_organisation=dict(message.demand_by_organisation),
             stale_deadline=now + self.stale_after,
         )
@@ -216,10 +216,9 @@
         """
         hosts = 1 + sum(self.hosts_by_claimant.values())
         active = [
-            (count, self.demand_by_claimant[name])
+            (count, self.by_claimant[name])
             for name, count in self.hosts_by_claimant.items()
-            if name in self.demand_by_claimant
-            and now < self.demand_by_claimant[name].stale_deadline
+            if name in self.by_claimant and now < self.by_claimant[name].stale_deadline
         ]
         active_hosts = 1 + sum(count for count, _ in active)
         active_share = active_hosts / hosts
