--- a/hawthornspoke/placing/_directory.py
+++ b/hawthornspoke/placing/_directory.py
@@ -2,9 +2,9 @@
 
 from hawthornspoke.placing._endpoint import Endpoint
 
-#: Seconds for which an entry that vanished just as the platform became reachable again
-#: stays in use, and seconds after which a vanished entry counts as such. Lapsed entries
-#: return within two seconds, and a draining endpoint serves for at least two more.
+#: Seconds for which a lapsed entry stays in use, and seconds after the platform became
+#: reachable again within which a vanished entry counts as lapsed. Lapsed entries return
+#: within two seconds, and an endpoint that left serves for at least two more.
 LAPSE_GRACE_TIME = 1.5
 LAPSE_WINDOW = 2.5
 
--- a/hawthornspoke/placing/_subset.py
+++ b/hawthornspoke/placing/_subset.py
@@ -134,10 +134,10 @@
         self._request_rate.count(now)
         if spilled:
             self._spill_rate.count(now)
-        asked = self._request_rate.value(now)
-        if now < self._change_deadline or asked < MIN_REQUEST_RATE:
+        request_rate = self._request_rate.value(now)
+        if now < self._change_deadline or request_rate < MIN_REQUEST_RATE:
             return
-        share = self._spill_rate.value(now) / asked
+        share = self._spill_rate.value(now) / request_rate
         if share >= WIDEN_THRESHOLD and self._effective_width() < len(self._near):
             self.width = 2 * self._effective_width()
             self._change_deadline = now + WIDEN_COOLDOWN
@@ -169,8 +169,8 @@
         }
 
     def _effective_width(self):
-        least = -(-MIN_HOSTS_PER_ENGINE * len(self._near) // max(1, self.hosts))
-        return min(len(self._near), max(self.width, least))
+        min_width = -(-MIN_HOSTS_PER_ENGINE * len(self._near) // max(1, self.hosts))
+        return min(len(self._near), max(self.width, min_width))
 
     def _recompute(self, now):
         """Take this host's window of the ring and the first of the far engines."""
--- a/hawthornspoke/placing/tests/test_ask_cost.py
+++ b/hawthornspoke/placing/tests/test_ask_cost.py
@@ -18,7 +18,7 @@
 ENDPOINTS = 60
 
 
-def start(number):
+def incarnation_of(number):
     """Return a known incarnation."""
     return Incarnation(started_ms=1000 + number)
 
@@ -32,14 +32,17 @@
         layers=(0, 16),
         model="m",
         declared=((1, 0.0),),
-        incarnation=incarnation or start(number),
+        incarnation=incarnation or incarnation_of(number),
     )
 
 
 def known_fleet():
     """Return a state machine with listed endpoints and reports of all agents."""
     machine = fleet(
-        *(entry(f"e{number}", incarnation=start(number)) for number in range(ENDPOINTS))
+        *(
+            entry(f"e{number}", incarnation=incarnation_of(number))
+            for number in range(ENDPOINTS)
+        )
     )
     for number in range(ENDPOINTS):
         machine.step(reported(number, load=number % 14), now=1.0)
@@ -107,9 +110,7 @@
     assert len(calls) / ENDPOINTS < 35
 
 
-def test_other_failure_domains_are_not_evaluated_while_the_own_has_capacity(
-    monkeypatch,
-):
+def test_other_failure_domains_are_skipped_while_the_own_has_capacity(monkeypatch):
     """CPU time of an entry host grew with the engines of all failure domains.
 
     A selection among 150 engines in five failure domains took 1.3 to 1.8 ms, a third
@@ -145,17 +146,21 @@
 UPDATES = {
     "nothing": None,
     "agent lost": AgentLost(address="e0:1"),
-    "list tells another start": EndpointsListed(
-        entries=(entry("e0", incarnation=start(7)),)
+    "list reports another incarnation": EndpointsListed(
+        entries=(entry("e0", incarnation=incarnation_of(7)),)
     ),
-    "list tells another version and layers": EndpointsListed(
-        entries=(entry("e0", weights_version=2, layers=(0, 8), incarnation=start(0)),)
+    "list reports another version and layers": EndpointsListed(
+        entries=(
+            entry(
+                "e0", weights_version=2, layers=(0, 8), incarnation=incarnation_of(0)
+            ),
+        )
     ),
-    "list tells another address": EndpointsListed(
+    "list reports another address": EndpointsListed(
         entries=(entry("e0", address="elsewhere:1", weights_version=2),)
     ),
-    "agent tells another start": reported(0, incarnation=start(7)),
-    "agent tells that it loads": replace(reported(0), loading=True, pace=2.0),
+    "agent reports another incarnation": reported(0, incarnation=incarnation_of(7)),
+    "agent reports that it is loading": replace(reported(0), loading=True, pace=2.0),
 }
 
 
--- a/hawthornspoke/placing/tests/test_declared.py
+++ b/hawthornspoke/placing/tests/test_declared.py
@@ -205,10 +205,10 @@
     """A whole fleet was idle for 1.2 s before each bound of old weights.
 
     Requests were rejected for missing weights while engines that could still start
-    them were empty, which cost 0.13 of the credit due in these two seconds. Version 2
-    is declared and no engine has it yet; requests to version 1 stopped 0.95 s plus
-    twice the expected time to first token before the bound. Cause: the margin for
-    requests that start late was applied twice, on sending and by the withdrawal.
+    them were empty; these two seconds earned 0.13 of the credit due. Version 2 is
+    declared and no engine has it yet; requests to version 1 stopped 0.95 s plus twice
+    the expected time to first token before the bound. Cause: the margin for requests
+    that start late was applied twice, on sending and by the withdrawal.
     """
     machine = fleet(entry("old"))
     declare(machine, TWO, at=10.0, now=10.0)
