--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -334,7 +334,7 @@
         return endpoint.is_in(self.failure_domain)
 
     def _pick_better_of_two(self, candidates, selection):
-        """Return a Place at the better of two random engines (power of two choices).
+        """Return a Place at the better of two random engines ("two choices").
 
         The entry hosts see the same loads, some of them 0.1 s old. If each took the
         best engine, all would choose the same one, and its callers would be late.
