--- a/hawthornspoke/placing/_predict.py
+++ b/hawthornspoke/placing/_predict.py
@@ -1,30 +1,31 @@
-"""How soon an endpoint would begin to answer."""
+"""Predicts how soon an endpoint starts to respond."""
 
-#: Passes until the first event: half a pass on average before the prompt is read,
-#: since a request comes at any moment of the pass that is running, and the pass
-#: that makes the first event's tokens. Seen: 0.12 s at 2 to 11 running requests.
-PASSES = 1.5
+#: Engine passes until the first event: half a pass on average until the prompt is
+#: processed, since requests arrive at any moment of the running pass, and the pass that
+#: generates its tokens. Measured: 0.12 s with 2 to 11 running requests.
+PASSES_TO_FIRST_TOKEN = 1.5
 
-#: Seconds for the way there and back, and for the prompts of others that are read
-#: in the same pass.
-OVERHEAD = 0.02
+#: Seconds for the network round trip, and for the prefill of other prompts that share
+#: the pass.
+FIRST_TOKEN_OVERHEAD = 0.02
 
-#: How much longer than its decoding alone a request holds its slot under load,
-#: since the prompts of the others are read between its tokens. At the rate at
-#: which 16 slots turn over, a third of an engine's time goes into prompts.
-READING_STRETCH = 1.4
+#: Factor by which a request under load holds its slot longer than decoding alone takes,
+#: since the prefill of other prompts interrupts it. At full turnover of 16 slots a
+#: third of an engine's time goes into prefill.
+PREFILL_STRETCH = 1.4
 
 
-def first_token(profile, *, load, prompt_tokens, pace=1.0):
+def time_to_first_token(profile, *, load, prompt_tokens, pace=1.0):
     """Return the expected time to the first token.
 
     Parameters
     ----------
     profile : EngineProfile
     load : int
-        Requests that are there already.
+        Requests already at the engine.
     prompt_tokens : int
     pace : float, default=1.0
+        Slowdown relative to the usual speed.
 
     Returns
     -------
@@ -32,15 +33,18 @@
         Seconds.
     """
     step = profile.step + profile.step_per_request * min(load, profile.slots)
-    one_pass = profile.steps_per_pass * step
+    pass_time = profile.steps_per_pass * step
     reading = prompt_tokens / profile.read_rate
     ahead = max(0, load + 1 - profile.slots)
-    waiting = ahead * slot_release(profile)
-    return pace * (waiting + PASSES * one_pass + reading) + OVERHEAD
+    waiting = ahead * slot_release_interval(profile)
+    return (
+        pace * (waiting + PASSES_TO_FIRST_TOKEN * pass_time + reading)
+        + FIRST_TOKEN_OVERHEAD
+    )
 
 
-def first_token_at(endpoint, profile, ask, *, load, now):
-    """Return the expected time to a request's first token at an endpoint.
+def expected_first_token(endpoint, profile, ask, *, load, now):
+    """Return the expected time to first token of a request at an endpoint.
 
     Parameters
     ----------
@@ -48,7 +52,7 @@
     profile : EngineProfile
     ask : Ask
     load : float
-        Requests that are there already.
+        Requests already at the endpoint.
     now : float
 
     Returns
@@ -56,12 +60,13 @@
     float
         Seconds.
     """
-    # Where pieces fill all links none can be left alone for it, and requests that
-    # can't be on time would reach engines after their callers had left.
+    # The link delay counts here rather than as a reason for ejection: if weight
+    # transfers fill all links, none can be avoided, and without it requests that can't
+    # be on time would reach engines after their callers had left.
     return (
         endpoint.link_delay
         + endpoint.reading.left(now)
-        + first_token(
+        + time_to_first_token(
             profile,
             load=load,
             prompt_tokens=ask.prompt_tokens,
@@ -70,8 +75,8 @@
     )
 
 
-def reading_time(endpoint, profile, prompt_tokens):
-    """Return the seconds in which an engine reads a prompt.
+def prefill_time(endpoint, profile, prompt_tokens):
+    """Return the time in seconds in which an engine processes a prompt.
 
     Parameters
     ----------
@@ -86,8 +91,8 @@
     return endpoint.pace * prompt_tokens / profile.read_rate
 
 
-def slot_release(profile):
-    """Return the mean time between two slots of a full engine becoming free.
+def slot_release_interval(profile):
+    """Return the mean interval at which a full engine releases slots.
 
     Parameters
     ----------
@@ -99,13 +104,13 @@
         Seconds.
     """
     step = profile.step + profile.step_per_request * profile.slots
-    holding = profile.usual_answer * step * READING_STRETCH
-    holding += profile.usual_prompt / profile.read_rate
-    return holding / profile.slots
+    slot_time = profile.usual_answer * step * PREFILL_STRETCH
+    slot_time += profile.usual_prompt / profile.read_rate
+    return slot_time / profile.slots
 
 
-def whole_answer(endpoint):
-    """Return the expected time of a plain service's answer.
+def expected_response_time(endpoint):
+    """Return the expected response time at an endpoint of a plain service.
 
     Parameters
     ----------
@@ -118,4 +123,4 @@
     """
     slots = max(1, endpoint.entry.slots)
     ahead = max(0, endpoint.load + 1 - slots)
-    return endpoint.answer_time * (1 + ahead / slots)
+    return endpoint.mean_response_time * (1 + ahead / slots)
--- a/hawthornspoke/placing/_starts.py
+++ b/hawthornspoke/placing/_starts.py
@@ -1,56 +1,56 @@
-"""Which start of an endpoint holds, from two words that are late now and then."""
+"""Tracks an endpoint's current incarnation from two sources that may lag."""
 
 from hawthornspoke.catalog import UNKNOWN_START
 
-#: Earlier starts that are remembered of each word. A word that is late is late by
-#: seconds, and an endpoint needs one at the least to start.
-KEPT = 4
+#: Earlier incarnations remembered for each source. Reports are late by seconds at
+#: most, and an endpoint takes at least one second to start.
+MAX_EARLIER_INCARNATIONS = 4
 
 
-class _Word:
-    """What one of the two told: the start now, and those before it."""
+class _ReportHistory:
+    """Incarnations reported by one source: the latest and those before it."""
 
-    __slots__ = ("now", "before")
+    __slots__ = ("latest", "earlier")
 
     def __init__(self):
-        self.now = UNKNOWN_START
-        self.before = []
+        self.latest = UNKNOWN_START
+        self.earlier = []
 
-    def take(self, incarnation):
-        """Take a start; return whether it is another one than before."""
-        if not incarnation.is_known or incarnation == self.now:
+    def record(self, incarnation):
+        """Record an incarnation and return whether it differs from the latest."""
+        if not incarnation.is_known or incarnation == self.latest:
             return False
-        if incarnation in self.before:
-            # It is told anew, so it is past no longer.
-            self.before.remove(incarnation)
-        if self.now.is_known:
-            self.before.append(self.now)
-            del self.before[:-KEPT]
-        self.now = incarnation
+        if incarnation in self.earlier:
+            # Reported again, so it is no longer a past one.
+            self.earlier.remove(incarnation)
+        if self.latest.is_known:
+            self.earlier.append(self.latest)
+            del self.earlier[:-MAX_EARLIER_INCARNATIONS]
+        self.latest = incarnation
         return True
 
 
-class Starts:
-    """The start of one endpoint that holds.
+class IncarnationTracker:
+    """Determines which incarnation of an endpoint is current.
 
-    The platform's list and the agent beside the endpoint each tell starts in the
-    order in which they happened: rows by their revision, the agent's looks over one
-    connection. Between the two there is no such order, and the times of two starts
-    give none where a clock was put back. Either may be late by seconds: the list of
-    a host that is cut off, the agent's word in a cut that heals. What shows that a
-    word is late is that the other told this start before and has gone on to
-    another; whatever else a word changes to is the newest start.
+    The platform's endpoint list and the agent on the endpoint's host each report
+    incarnations in the order in which they happened: list rows by revision, agent
+    reports over one connection. There is no order between the two sources, and start
+    times don't give one if a clock was set back. Either source may lag by seconds:
+    the list on a host that is partitioned, the agent's report when a partition heals.
+    A report is stale if the other source reported the same incarnation before and has
+    moved on to another one; any other change is the newest incarnation.
     """
 
-    __slots__ = ("current", "_listed", "_told")
+    __slots__ = ("current", "_list_history", "_agent_history")
 
     def __init__(self):
         self.current = UNKNOWN_START
-        self._listed = _Word()
-        self._told = _Word()
+        self._list_history = _ReportHistory()
+        self._agent_history = _ReportHistory()
 
-    def hear_list(self, incarnation):
-        """Take the list's word.
+    def observe_listed(self, incarnation):
+        """Record an incarnation from the endpoint list.
 
         Parameters
         ----------
@@ -59,17 +59,17 @@
         Returns
         -------
         bool
-            Whether another start holds now.
+            Whether the current incarnation changed.
         """
-        return self._hear(self._listed, self._told, incarnation)
+        return self._observe(self._list_history, self._agent_history, incarnation)
 
-    def hear_agent(self, incarnation):
-        """Take the agent's word; see ``hear_list``."""
-        return self._hear(self._told, self._listed, incarnation)
+    def observe_reported(self, incarnation):
+        """Record an incarnation from the agent; see ``observe_listed``."""
+        return self._observe(self._agent_history, self._list_history, incarnation)
 
-    def _hear(self, word, other, incarnation):
-        if not word.take(incarnation) or incarnation in other.before:
+    def _observe(self, history, other, incarnation):
+        if not history.record(incarnation) or incarnation in other.earlier:
             return False
-        is_new = self.current.differs_from(incarnation)
+        restarted = self.current.differs_from(incarnation)
         self.current = incarnation
-        return is_new
+        return restarted
