--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -6,7 +6,7 @@
 
 #: Seconds after which callers return to a host that knows no configuration yet,
 #: or can't tell whether their key is still valid: the time of a short outage.
-UNINFORMED_RETRY_AFTER = 0.5
+UNCONFIRMED_RETRY_AFTER = 0.5
 
 #: Seconds after which a caller returns whose route or key changed on the way: at
 #: once, since what is in force now is known here.
@@ -15,9 +15,9 @@
 CALLER_LEFT = Failure(code="caller_left")
 DEADLINE_PASSED = Failure(code="deadline_passed")
 KEY_NOT_CONFIRMED = Failure(
-    code="key_not_confirmed", retry_after=UNINFORMED_RETRY_AFTER
+    code="key_not_confirmed", retry_after=UNCONFIRMED_RETRY_AFTER
 )
-CHANGED = Failure(code="configuration_changed")
+CONFIGURATION_CHANGED = Failure(code="configuration_changed")
 
 #: Only this endpoint can't have it; another one may.
 ENDPOINT_CHANGED = Failure(code="endpoint_changed")
@@ -55,7 +55,7 @@
         self._contact = contact
         self._suspects = suspects
 
-    def use(self, catalog):
+    def set_catalog(self, catalog):
         """Put a configuration in force; the switch is one assignment each."""
         self._routes = RouteTable(routes=catalog.routes)
         self.catalog = catalog
@@ -64,12 +64,12 @@
         """Return the age of the platform's word in seconds, None if none."""
         return self._contact.age(now=self.clock())
 
-    def identify(self, work):
+    def identify(self, context):
         """Find a request's route and organisation.
 
         Parameters
         ----------
-        work : Work
+        context : RequestContext
             Gets both.
 
         Returns
@@ -77,20 +77,20 @@
         None or tuple of (int, str, float or None)
             Status, reason and seconds to come back after, of a refusal.
         """
-        work.catalog = self.catalog
-        work.route = self._find_route(work)
-        if work.route is None:
+        context.catalog = self.catalog
+        context.route = self._find_route(context)
+        if context.route is None:
             return self._deny(404, "no_route")
-        if not self._needs_key(work.route):
+        if not self._needs_key(context.route):
             return None
-        work.organisation = self._find_organisation(work)
-        if work.organisation is None:
+        context.organisation = self._find_organisation(context)
+        if context.organisation is None:
             return self._deny(401, "unknown_key")
         if not self._contact.keys_trusted(now=self.clock()):
-            return 503, "key_not_confirmed", UNINFORMED_RETRY_AFTER
+            return 503, "key_not_confirmed", UNCONFIRMED_RETRY_AFTER
         return None
 
-    def recheck(self, work, *, ask, place):
+    def recheck(self, context, *, ask, place):
         """Say whether a request may be sent to a place at this moment.
 
         The process can have stood still since the place was chosen, or a connection
@@ -102,7 +102,7 @@
 
         Parameters
         ----------
-        work : Work
+        context : RequestContext
             Gets an ``objection`` if no endpoint may have it any more.
         ask : Ask
         place : Place
@@ -112,54 +112,56 @@
         Place or Failure
             The place as it is now; ``ENDPOINT_CHANGED`` if another may do.
         """
-        failure = self._changed(work)
+        failure = self._check_configuration(context)
         if failure is None:
-            failure = self._suspects.refusal(work.fingerprint)
+            failure = self._suspects.refusal(context.fingerprint)
         if failure is None:
             message = Recheck(ask=ask, place=place)
-            (answer,) = self._fleet.step(message, now=monotonic())
-            if isinstance(answer, Decline):
-                return ENDPOINT_CHANGED.because(answer.reason)
-            failure = self._too_late(work)
+            (decision,) = self._fleet.step(message, now=monotonic())
+            if isinstance(decision, Decline):
+                return ENDPOINT_CHANGED.because(decision.reason)
+            failure = self._check_caller(context)
         if failure is None:
-            return answer
-        work.objection = failure
-        work.retry_after = failure.retry_after
+            return decision
+        context.rejection = failure
+        context.retry_after = failure.retry_after
         return failure
 
-    def _too_late(self, work):
-        if work.reply.caller_gone():
+    def _check_caller(self, context):
+        if context.reply.caller_gone():
             return CALLER_LEFT
-        if self.clock() >= work.deadline:
+        if self.clock() >= context.deadline:
             return DEADLINE_PASSED
         return None
 
-    def _changed(self, work):
+    def _check_configuration(self, context):
         """Return a Failure if what was in force for a request is so no longer."""
-        is_keyed = work.organisation is not None
+        is_keyed = context.organisation is not None
         if is_keyed and not self._contact.keys_trusted(now=self.clock()):
             return KEY_NOT_CONFIRMED
-        if work.catalog is self.catalog:
+        if context.catalog is self.catalog:
             return None
-        route = self._find_route(work)
-        if route is None or route.kind != work.route.kind:
-            return _changed_in("route")
-        if not any(item.service == work.service for item in route.shares):
-            return _changed_in(f"service {work.service}")
-        organisation = self._find_organisation(work) if self._needs_key(route) else None
+        route = self._find_route(context)
+        if route is None or route.kind != context.route.kind:
+            return _configuration_changed("route")
+        if not any(item.service == context.service for item in route.shares):
+            return _configuration_changed(f"service {context.service}")
+        organisation = (
+            self._find_organisation(context) if self._needs_key(route) else None
+        )
         if self._needs_key(route) and organisation is None:
-            return _changed_in("key")
-        if _name(organisation) != _name(work.organisation):
-            return _changed_in("organisation")
-        work.catalog = self.catalog
+            return _configuration_changed("key")
+        if _name_of(organisation) != _name_of(context.organisation):
+            return _configuration_changed("organisation")
+        context.catalog = self.catalog
         return None
 
-    def _find_route(self, work):
-        request = work.request
+    def _find_route(self, context):
+        request = context.request
         return self._routes.find(host=request.get("host", ""), target=request.target)
 
-    def _find_organisation(self, work):
-        key = work.request.get(self._dialect.key, "")
+    def _find_organisation(self, context):
+        key = context.request.get(self._dialect.key, "")
         return self.catalog.organisation_by_key.get(key)
 
     def _needs_key(self, route):
@@ -169,12 +171,12 @@
         """Return a refusal for good, or one for now if the configuration is old."""
         if self._contact.may_deny(now=self.clock()):
             return status, reason, None
-        return 503, f"{reason}_not_confirmed", UNINFORMED_RETRY_AFTER
+        return 503, f"{reason}_not_confirmed", UNCONFIRMED_RETRY_AFTER
 
 
-def _changed_in(what):
-    return CHANGED.because(what, retry_after=CHANGED_RETRY_AFTER)
+def _configuration_changed(what):
+    return CONFIGURATION_CHANGED.because(what, retry_after=CHANGED_RETRY_AFTER)
 
 
-def _name(organisation):
+def _name_of(organisation):
     return None if organisation is None else organisation.name
--- a/hawthornspoke/relay/_agents.py
+++ b/hawthornspoke/relay/_agents.py
@@ -17,14 +17,14 @@
 RECONNECT_PAUSE = (0.3, 0.9)
 
 
-class _Word:
+class _EncodedDirective:
     """What all agents of a service are told, and its bytes once they are needed."""
 
-    __slots__ = ("directive", "matters", "_encoded")
+    __slots__ = ("directive", "relevant", "_encoded")
 
-    def __init__(self, *, directive, matters):
+    def __init__(self, *, directive, relevant):
         self.directive = directive
-        self.matters = matters
+        self.relevant = relevant
         self._encoded = None
 
     def encoded(self):
@@ -68,10 +68,10 @@
         "_suspects",
         "_arrived_after",
         "_service_by_address",
-        "_told_by_address",
-        "_followed",
-        "_told_followed",
-        "_matters_by_service",
+        "_sent_by_address",
+        "_followed_addresses",
+        "_sent_follows_by_address",
+        "_relevant_by_service",
         "_entry_hosts_by_agent",
     )
 
@@ -98,13 +98,13 @@
         self._task_by_address = {}
         self._link_by_address = {}
         self._service_by_address = {}
-        self._told_by_address = {}
-        self._followed = None
-        self._told_followed = {}
-        self._matters_by_service = {}
+        self._sent_by_address = {}
+        self._followed_addresses = None
+        self._sent_follows_by_address = {}
+        self._relevant_by_service = {}
         self._entry_hosts_by_agent = {}
 
-    def follow(self, service_by_address):
+    def set_endpoints(self, service_by_address):
         """Keep links to exactly the agents of these endpoints.
 
         Parameters
@@ -118,7 +118,9 @@
                 self._task_by_address.pop(address).cancel()
         for address in wanted:
             if address not in self._task_by_address:
-                task = asyncio.get_running_loop().create_task(self._keep(address))
+                task = asyncio.get_running_loop().create_task(
+                    self._maintain_link(address)
+                )
                 self._task_by_address[address] = task
 
     def entry_hosts(self):
@@ -131,16 +133,16 @@
         """
         return max(self._entry_hosts_by_agent.values(), default=None)
 
-    def tell_all(self):
+    def send_directives(self):
         """Send every agent what it has to know now."""
-        word_by_service = {}
+        directive_by_service = {}
         for address, link in self._link_by_address.items():
             service = self._service_by_address.get(address)
-            if service not in word_by_service:
-                word_by_service[service] = self._word(service)
-            self._send(address, link, word_by_service[service])
+            if service not in directive_by_service:
+                directive_by_service[service] = self._encode_directive(service)
+            self._send_if_changed(address, link, directive_by_service[service])
 
-    def hear_often(self, followed):
+    def set_followed(self, followed):
         """Tell agents which of them have to tell each change of their load.
 
         Parameters
@@ -148,28 +150,30 @@
         followed : frozenset of str
             Addresses of their endpoints.
         """
-        self._followed = followed
+        self._followed_addresses = followed
         for address, link in self._link_by_address.items():
-            self._tell_follows(address, link)
+            self._send_follows(address, link)
 
     def close(self):
         """End all links."""
         for task in self._task_by_address.values():
             task.cancel()
 
-    def _tell_follows(self, address, link):
-        if self._followed is None:
+    def _send_follows(self, address, link):
+        if self._followed_addresses is None:
             return
-        follows = address in self._followed
+        follows = address in self._followed_addresses
         # An agent that was told nothing tells all.
-        if self._told_followed.get(address, True) != follows:
-            self._told_followed[address] = follows
+        if self._sent_follows_by_address.get(address, True) != follows:
+            self._sent_follows_by_address[address] = follows
             link.send(Frame(follows=follows))
 
-    def _tell(self, address, link):
-        self._send(address, link, self._word(self._service_by_address.get(address)))
+    def _send_directive(self, address, link):
+        self._send_if_changed(
+            address, link, self._encode_directive(self._service_by_address.get(address))
+        )
 
-    def _word(self, service):
+    def _encode_directive(self, service):
         """Return what the agents of a service have to know now, None if nothing.
 
         It is made once for all of them. Made for each, with a part for each
@@ -181,21 +185,21 @@
             return None
         # The list of endpoints changes with each load of weights; agents need to
         # hear only of changes of what they act on, and links are narrow.
-        matters = _what_matters(directive)
-        known = self._matters_by_service.get(service)
-        if known == matters:
+        relevant = _relevant_fields(directive)
+        known = self._relevant_by_service.get(service)
+        if known == relevant:
             # The one object, so that comparing it for each agent takes no time.
-            matters = known
-        self._matters_by_service[service] = matters
-        return _Word(directive=directive, matters=matters)
+            relevant = known
+        self._relevant_by_service[service] = relevant
+        return _EncodedDirective(directive=directive, relevant=relevant)
 
-    def _send(self, address, link, word):
-        if word is None or self._told_by_address.get(address) is word.matters:
+    def _send_if_changed(self, address, link, message):
+        if message is None or self._sent_by_address.get(address) is message.relevant:
             return
-        self._told_by_address[address] = word.matters
-        link.send_encoded(word.encoded())
+        self._sent_by_address[address] = message.relevant
+        link.send_encoded(message.encoded())
 
-    async def _keep(self, address):
+    async def _maintain_link(self, address):
         ip = address.rpartition(":")[0]
         try:
             while True:
@@ -203,48 +207,48 @@
                 link = await connect(
                     ip,
                     self.port,
-                    on_frame=lambda link, frame: self._take(address, link, frame),
+                    on_frame=lambda link, frame: self._on_frame(address, link, frame),
                     on_closed=lambda _, done=closed: done.done() or done.set_result(0),
                     timeout=CONNECT_TIMEOUT,
                 )
                 if not isinstance(link, Failure):
-                    await self._use(address, link, closed)
+                    await self._serve_link(address, link, closed)
                 await asyncio.sleep(random.uniform(*RECONNECT_PAUSE))
         finally:
-            self._forget(address)
+            self._remove(address)
 
-    async def _use(self, address, link, closed):
+    async def _serve_link(self, address, link, closed):
         self._link_by_address[address] = link
         self._log.change("agent_connected", agent=address)
         # Sent before any directive, since directives require a configuration: the
         # agent replies with the neighbours from which it can be read.
         link.send(Frame(entry_domain=self._failure_domain))
-        self._tell(address, link)
-        self._tell_follows(address, link)
-        self._suspects.sharing.connected(address, link)
+        self._send_directive(address, link)
+        self._send_follows(address, link)
+        self._suspects.sharing.add_agent(address, link)
         try:
             await closed
         finally:
             link.close()
-            self._forget(address)
+            self._remove(address)
             self._log.change("agent_lost", agent=address)
 
-    def _forget(self, address):
+    def _remove(self, address):
         self._link_by_address.pop(address, None)
-        self._suspects.sharing.lost(address)
-        self._told_by_address.pop(address, None)
-        self._told_followed.pop(address, None)
+        self._suspects.sharing.remove_agent(address)
+        self._sent_by_address.pop(address, None)
+        self._sent_follows_by_address.pop(address, None)
         self._entry_hosts_by_agent.pop(address, None)
         self._on_entry_hosts(address, ())
         self._fleet.step(AgentLost(address=address), now=monotonic())
 
-    def _take(self, address, link, frame):
+    def _on_frame(self, address, link, frame):
         if frame.probe and frame.call is not None:
             link.send(Frame(call=-frame.call, probe=True))
         if frame.entry_hosts is not None:
             self._on_entry_hosts(address, frame.entry_hosts.addresses or ())
         if frame.evidence:
-            self._suspects.heard(frame)
+            self._suspects.merge_evidence(frame)
         state = frame.engine_state
         if state is None:
             return
@@ -267,7 +271,9 @@
             next_version=state.next_version or None,
             next_ready_at=ready_at,
             model=state.model or "",
-            declared=_dated(state.declared or (), self._arrived_after()),
+            declared=_with_declaration_times(
+                state.declared or (), self._arrived_after()
+            ),
             link_delay=(state.link_delay_ms or 0) / 1000,
             incarnation=Incarnation.told(state.started_ms),
             contact_now=contact_clock(),
@@ -275,7 +281,7 @@
         self._fleet.step(report, now=now)
 
 
-def _dated(declared, now):
+def _with_declaration_times(declared, now):
     return tuple(
         (item.version, now - item.age_ms / 1000)
         for item in declared
@@ -293,7 +299,7 @@
     return told if is_known else 1.0
 
 
-def _what_matters(directive):
+def _relevant_fields(directive):
     peers = directive.peers
     if peers is not None:
         peers = tuple((peer.address, peer.leaving) for peer in peers)
--- a/hawthornspoke/relay/_choosing.py
+++ b/hawthornspoke/relay/_choosing.py
@@ -2,15 +2,15 @@
 
 from hawthornspoke.base import monotonic
 from hawthornspoke.placing import Ask, Decline
-from hawthornspoke.relay._encoding import ANSWER_TIME
+from hawthornspoke.relay._encoding import RESPONSE_RETURN_TIME
 from hawthornspoke.retries import AskRetry, RetryAllowed, Succeeded
 
 #: Connections tried for one request before it is refused. An endpoint that can't
 #: be reached costs no run, only time.
-MOST_CONNECTS = 3
+MAX_CONNECTS = 3
 
 
-class Chooser:
+class EndpointSelector:
     """Asks the fleet and the retry budgets.
 
     Parameters
@@ -31,12 +31,12 @@
         self._budget_for = budget_for
         self._log = log
 
-    def choose(self, work, connects):
+    def select(self, context, connection_attempts):
         """Return where a request goes next, None if nowhere.
 
         Parameters
         ----------
-        work : Work
+        context : RequestContext
         connects : int
             How many endpoints were tried for it.
 
@@ -44,100 +44,103 @@
         -------
         Place or None
         """
-        if work.objection is not None:
+        if context.rejection is not None:
             return None
-        if connects >= MOST_CONNECTS + work.route.attempts:
-            work.retry_after = work.retry_after or 0.5
+        if connection_attempts >= MAX_CONNECTS + context.route.attempts:
+            context.retry_after = context.retry_after or 0.5
             return None
-        if work.sent and not self.may_retry(work):
+        if context.sent and not self.may_retry(context):
             return None
-        answer = self._answer(work, self.ask(work))
-        if isinstance(answer, Decline):
-            work.last_reason = work.last_reason or answer.reason
-            work.retry_after = answer.retry_after
+        result = self._request_place(context, self.ask(context))
+        if isinstance(result, Decline):
+            context.last_reason = context.last_reason or result.reason
+            context.retry_after = result.retry_after
             return None
-        return answer
+        return result
 
-    def choose_to_resume(self, work, version):
+    def select_for_resume(self, context, version):
         """Return where a stream goes on with the same weights, None if nowhere.
 
         Parameters
         ----------
-        work : Work
+        context : RequestContext
         version : int
 
         Returns
         -------
         Place or None
         """
-        answer = self._answer(work, self.ask(work, same_version=version))
-        if isinstance(answer, Decline):
-            work.last_reason += f"; no endpoint to go on: {answer.reason}"
+        result = self._request_place(context, self.ask(context, same_version=version))
+        if isinstance(result, Decline):
+            context.last_reason += f"; no endpoint to go on: {result.reason}"
             return None
-        return answer
+        return result
 
-    def ask(self, work, *, same_version=None):
+    def ask(self, context, *, same_version=None):
         """Return the question for an endpoint, as it is at this moment.
 
         Parameters
         ----------
-        work : Work
+        context : RequestContext
         same_version : int or None, default=None
             Of the weights that began the stream that is to go on.
         """
         now = self._clock()
         begun = same_version is not None
         return Ask(
-            service=work.service,
-            prompt_tokens=work.prompt_tokens,
-            on_time_left=1.0 if begun else work.objective_deadline - now,
-            time_left=work.deadline - now,
-            returned=begun or work.returned or work.sent > 0,
-            tried=frozenset(work.tried),
+            service=context.service,
+            prompt_tokens=context.prompt_tokens,
+            on_time_left=1.0 if begun else context.objective_deadline - now,
+            time_left=context.deadline - now,
+            returned=begun or context.returned or context.sent > 0,
+            tried=frozenset(context.tried),
             same_version=same_version,
             contact_now=now,
         )
 
-    def may_retry(self, work):
+    def may_retry(self, context):
         """Tell whether a request may be sent once more."""
-        if work.objection is not None or work.sent >= work.route.attempts:
+        if context.rejection is not None or context.sent >= context.route.attempts:
             return False
-        left = work.deadline - self._clock()
-        if not work.reply.started and left < work.deadline - work.resend_deadline:
+        remaining = context.deadline - self._clock()
+        if (
+            not context.reply.started
+            and remaining < context.deadline - context.resend_deadline
+        ):
             # The caller will have left before a first event can come; an endpoint
             # would read the prompt for nobody.
-            work.last_reason = f"{work.last_reason}; no time for a first event"
+            context.last_reason = f"{context.last_reason}; no time for a first event"
             return False
         now = monotonic()
         message = AskRetry(
-            repeatable=work.route.repeatable,
-            was_run=work.may_have_run,
-            deadline=now + left - ANSWER_TIME,
+            repeatable=context.route.repeatable,
+            was_run=context.may_have_run,
+            deadline=now + remaining - RESPONSE_RETURN_TIME,
         )
-        (verdict,) = self._budget_for(work.service).step(message, now=now)
+        (verdict,) = self._budget_for(context.service).step(message, now=now)
         if isinstance(verdict, RetryAllowed):
             return True
-        work.last_reason = f"{work.last_reason}; {verdict.failure.code}"
+        context.last_reason = f"{context.last_reason}; {verdict.failure.code}"
         return False
 
-    def succeeded(self, work):
+    def record_success(self, context):
         """Note that a request was answered well."""
-        work.outcome = "answered"
-        self._budget_for(work.service).step(Succeeded(), now=monotonic())
+        context.outcome = "answered"
+        self._budget_for(context.service).step(Succeeded(), now=monotonic())
 
-    def _answer(self, work, ask):
-        (answer,) = self._fleet.step(ask, now=monotonic())
-        if isinstance(answer, Decline):
-            self._log_declined(work, ask, answer)
+    def _request_place(self, context, ask):
+        (result,) = self._fleet.step(ask, now=monotonic())
+        if isinstance(result, Decline):
+            self._log_declined(context, ask, result)
         else:
-            self._log_placed(work, ask, answer)
-            work.tried.append(answer.endpoint_id)
-        return answer
+            self._log_placed(context, ask, result)
+            context.tried.append(result.endpoint_id)
+        return result
 
-    def _log_placed(self, work, ask, place):
+    def _log_placed(self, context, ask, place):
         self._log.decision(
             "placed",
-            request=work.request_id,
+            request=context.request_id,
             endpoint=place.endpoint_id,
             started_ms=place.incarnation.started_ms,
             load=place.load,
@@ -146,13 +149,13 @@
             on_time_left=round(ask.on_time_left, 3),
             returned=ask.returned,
             version=place.weights_version,
-            begin_left=_left(place.begin_deadline),
+            begin_left=_seconds_until(place.begin_deadline),
         )
 
-    def _log_declined(self, work, ask, decline):
+    def _log_declined(self, context, ask, decline):
         self._log.change(
             "declined",
-            request=work.request_id,
+            request=context.request_id,
             service=ask.service,
             reason=decline.reason,
             on_time_left=round(ask.on_time_left, 3),
@@ -161,5 +164,5 @@
         )
 
 
-def _left(deadline):
+def _seconds_until(deadline):
     return None if deadline is None else round(deadline - monotonic(), 3)
--- a/hawthornspoke/relay/_contact.py
+++ b/hawthornspoke/relay/_contact.py
@@ -7,7 +7,7 @@
 #: Part of the time for which keys are trusted after which a host that has heard
 #: nothing sends its callers elsewhere. Answers come every two seconds, so one late
 #: answer is no reason yet.
-STEADY_SHARE = 0.6
+STABLE_SHARE = 0.6
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -136,7 +136,7 @@
         """
         return self._heard_within(self.changes_bind_after, now)
 
-    def steady(self, *, now):
+    def is_stable(self, *, now):
         """Tell whether callers had better stay at this host.
 
         Parameters
@@ -149,7 +149,7 @@
             False some time before keys are no longer trusted: the balancer needs
             two seconds to send new callers elsewhere.
         """
-        return self._heard_within(self.keys_valid_for * STEADY_SHARE, now)
+        return self._heard_within(self.keys_valid_for * STABLE_SHARE, now)
 
     def _heard_within(self, seconds, now):
         return self.confirmed_at is not None and now < self.confirmed_at + seconds
--- a/hawthornspoke/relay/_dialect.py
+++ b/hawthornspoke/relay/_dialect.py
@@ -91,7 +91,7 @@
         self.tokens = tokens
         self.path = path
 
-    def set_here(self):
+    def reserved(self):
         """Return the names, in lower case, that a caller may not set itself."""
         names = (
             self.deadline_ms,
--- a/hawthornspoke/relay/_events.py
+++ b/hawthornspoke/relay/_events.py
@@ -3,7 +3,7 @@
 SEPARATOR = b"\n\n"
 
 #: Bytes of the longest event that is waited for; more is not a stream of ours.
-MOST_EVENT_BYTES = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventSplitter:
@@ -18,12 +18,12 @@
         The event after which the stream goes on.
     """
 
-    __slots__ = ("last_id", "broken", "_rest")
+    __slots__ = ("last_id", "error", "_partial")
 
     def __init__(self, *, last_id=None):
         self.last_id = last_id
-        self.broken = ""
-        self._rest = b""
+        self.error = ""
+        self._partial = b""
 
     def feed(self, data):
         """Take bytes and return the whole events among them.
@@ -37,45 +37,45 @@
         bytes
             Nothing behind an event that is out of order; ``broken`` then says why.
         """
-        if self.broken:
+        if self.error:
             return b""
-        buffer = self._rest + data
-        cut = buffer.rfind(SEPARATOR)
-        if cut < 0:
-            self._rest = buffer
-            if len(buffer) > MOST_EVENT_BYTES:
-                self.broken = "an event without an end"
+        buffer = self._partial + data
+        end = buffer.rfind(SEPARATOR)
+        if end < 0:
+            self._partial = buffer
+            if len(buffer) > MAX_EVENT_BYTES:
+                self.error = "an event without an end"
             return b""
-        cut += len(SEPARATOR)
-        self._rest = buffer[cut:]
-        return self._check(buffer[:cut])
+        end += len(SEPARATOR)
+        self._partial = buffer[end:]
+        return self._check(buffer[:end])
 
-    def unfinished(self):
+    def has_partial_event(self):
         """Tell whether the stream stopped within an event."""
-        return bool(self._rest.strip())
+        return bool(self._partial.strip())
 
     def restart(self):
         """Forget a part of an event: another endpoint sends it whole."""
-        self._rest = b""
-        self.broken = ""
+        self._partial = b""
+        self.error = ""
 
     def _check(self, events):
-        good = 0
+        valid_length = 0
         for event in events.split(SEPARATOR)[:-1]:
-            event_id = _id_of(event)
+            event_id = _parse_id(event)
             if event_id is None and event.strip():
-                self.broken = "an event without an id"
+                self.error = "an event without an id"
                 break
             if event_id is not None:
                 if self.last_id is not None and event_id != self.last_id + 1:
-                    self.broken = f"event {event_id} after {self.last_id}"
+                    self.error = f"event {event_id} after {self.last_id}"
                     break
                 self.last_id = event_id
-            good += len(event) + len(SEPARATOR)
-        return events[:good]
+            valid_length += len(event) + len(SEPARATOR)
+        return events[:valid_length]
 
 
-def _id_of(event):
+def _parse_id(event):
     for line in event.split(b"\n"):
         if line.startswith(b"id:"):
             value = line[3:].strip()
--- a/hawthornspoke/relay/_forward.py
+++ b/hawthornspoke/relay/_forward.py
@@ -2,18 +2,22 @@
 
 from hawthornspoke.base import Failure
 from hawthornspoke.catalog import STREAM
-from hawthornspoke.relay._choosing import Chooser
+from hawthornspoke.relay._choosing import EndpointSelector
 from hawthornspoke.relay._encoding import Encoder
 from hawthornspoke.relay._sending import Sender
-from hawthornspoke.relay._streams import LEAST_PATIENCE, SUCCESS, Streams
+from hawthornspoke.relay._streams import (
+    MIN_RESPONSE_TIMEOUT,
+    SUCCESS,
+    StreamForwarder,
+)
 from hawthornspoke.relay._try import NOT_RUN
 
 #: Times the expected time to the first token that an endpoint is waited for.
-PATIENCE = 3.0
+EXPECTED_TIME_FACTOR = 3.0
 
 #: Part of the time that a plain service's request has, spent at one endpoint
 #: before a repeatable one is tried elsewhere.
-PLAIN_PATIENCE_SHARE = 0.45
+PLAIN_TIMEOUT_SHARE = 0.45
 
 
 class Forwarder:
@@ -37,7 +41,7 @@
         "_dialect",
         "_log",
         "_encoder",
-        "_chooser",
+        "_selector",
         "_sender",
         "_streams",
     )
@@ -49,13 +53,13 @@
         self._dialect = dialect
         self._log = log
         self._encoder = Encoder(dialect=dialect, clock=admission.clock)
-        self._chooser = Chooser(
+        self._selector = EndpointSelector(
             clock=admission.clock, fleet=fleet, budget_for=budget_for, log=log
         )
         self._sender = Sender(
             admission=admission,
             timers=timers,
-            chooser=self._chooser,
+            selector=self._selector,
             encoder=self._encoder,
             fleet=fleet,
             pool=pool,
@@ -63,91 +67,95 @@
             suspects=suspects,
             log=log,
         )
-        self._streams = Streams(
-            chooser=self._chooser,
+        self._streams = StreamForwarder(
+            selector=self._selector,
             sender=self._sender,
             encoder=self._encoder,
             dialect=dialect,
         )
 
-    async def run(self, work):
+    async def run(self, context):
         """Try until the request is answered or given up.
 
         Parameters
         ----------
-        work : Work
+        context : RequestContext
             Says afterwards what happened. A whole answer is left in
             ``last_response``; a stream has been passed on.
         """
-        connects = 0
+        connection_attempts = 0
         while True:
-            place = self._chooser.choose(work, connects)
+            place = self._selector.select(context, connection_attempts)
             if place is None:
                 return
-            attempt = self._sender.attempt_at(work, place)
-            connects += 1
+            attempt = self._sender.create_attempt(context, place)
+            connection_attempts += 1
             try:
-                if await self._try(work, attempt):
+                if await self._try(context, attempt):
                     return
                 self._log.change(
                     "try_failed",
-                    request=work.request_id,
+                    request=context.request_id,
                     endpoint=place.endpoint_id,
-                    reason=work.last_reason,
-                    may_have_run=work.may_have_run,
+                    reason=context.last_reason,
+                    may_have_run=context.may_have_run,
                 )
-                await self._sender.settle(work)
+                await self._sender.wait_for_probes(context)
             finally:
                 # Reached with an open connection only if the task was cancelled:
                 # the caller left, or the request's time is over.
-                attempt.leave()
+                attempt.abandon()
 
-    async def _try(self, work, attempt):
+    async def _try(self, context, attempt):
         """Return whether the request needs no further try."""
-        ran_before = work.may_have_run
-        failure = await self._sender.send(work, attempt)
+        may_have_run_before = context.may_have_run
+        failure = await self._sender.send(context, attempt)
         if failure is not None:
-            work.last_reason = f"{failure.code}: {failure.reason}"
+            context.last_reason = f"{failure.code}: {failure.reason}"
             return False
-        head = await attempt.read_head(patience=self._patience(work, attempt.place))
+        head = await attempt.read_head(
+            response_timeout=self._response_timeout(context, attempt.place)
+        )
         if isinstance(head, Failure):
-            work.last_reason = f"{head.code}: {head.reason}"
-            work.may_have_run = ran_before or head != NOT_RUN
+            context.last_reason = f"{head.code}: {head.reason}"
+            context.may_have_run = may_have_run_before or head != NOT_RUN
             return False
         if head.status in SUCCESS and head.get(self._dialect.seal) is None:
             # No endpoint of ours: bytes of something else at that address.
             attempt.fail()
-            work.last_reason = "an answer without a seal"
+            context.last_reason = "an answer without a seal"
             return False
-        if work.route.kind == STREAM and head.status in SUCCESS:
-            return await self._streams.pass_on(work, attempt, head)
-        return await self._take_whole(work, attempt)
+        if context.route.kind == STREAM and head.status in SUCCESS:
+            return await self._streams.forward(context, attempt, head)
+        return await self._read_whole(context, attempt)
 
-    async def _take_whole(self, work, attempt):
-        patience = work.deadline - self._admission.clock()
-        answer = await attempt.read_whole(patience=patience)
+    async def _read_whole(self, context, attempt):
+        response_timeout = context.deadline - self._admission.clock()
+        answer = await attempt.read_whole(response_timeout=response_timeout)
         if isinstance(answer, Failure):
-            work.last_reason = f"{answer.code}: {answer.reason}"
+            context.last_reason = f"{answer.code}: {answer.reason}"
             return False
-        well = answer.status in SUCCESS
-        attempt.done(well=well)
-        work.last_response = answer
-        if well:
-            self._chooser.succeeded(work)
+        is_success = answer.status in SUCCESS
+        attempt.done(is_success=is_success)
+        context.last_response = answer
+        if is_success:
+            self._selector.record_success(context)
             return True
-        work.last_reason = f"endpoint answered {answer.status}"
-        return not (work.route.repeatable and answer.status >= 500)
+        context.last_reason = f"endpoint answered {answer.status}"
+        return not (context.route.repeatable and answer.status >= 500)
 
-    def _patience(self, work, place):
-        left = work.deadline - self._admission.clock()
-        if not work.route.repeatable:
-            return max(0.0, left)
-        if work.route.kind == STREAM:
-            wanted = max(LEAST_PATIENCE, PATIENCE * place.expected)
+    def _response_timeout(self, context, place):
+        remaining = context.deadline - self._admission.clock()
+        if not context.route.repeatable:
+            return max(0.0, remaining)
+        if context.route.kind == STREAM:
+            desired = max(MIN_RESPONSE_TIMEOUT, EXPECTED_TIME_FACTOR * place.expected)
         else:
-            wanted = left * PLAIN_PATIENCE_SHARE if work.sent == 1 else left
-        return max(0.0, min(left, wanted))
+            desired = (
+                remaining * PLAIN_TIMEOUT_SHARE if context.sent == 1 else remaining
+            )
+        return max(0.0, min(remaining, desired))
 
-    def answer_headers(self, response):
+    def response_headers(self, response):
         """Return the fields of an endpoint's answer that callers get."""
-        return self._encoder.answer_headers(response)
+        return self._encoder.response_headers(response)
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -5,8 +5,8 @@
 from hawthornspoke.base import monotonic
 from hawthornspoke.catalog import choose_share
 from hawthornspoke.quarantine import fingerprint_of
-from hawthornspoke.relay._admission import CALLER_LEFT, UNINFORMED_RETRY_AFTER
-from hawthornspoke.relay._work import Work
+from hawthornspoke.relay._admission import CALLER_LEFT, UNCONFIRMED_RETRY_AFTER
+from hawthornspoke.relay._work import RequestContext
 
 #: Milliseconds by which a caller's first deadline varies. One that has less time
 #: than others on its route has spent it on an earlier try.
@@ -18,10 +18,10 @@
 #: Seconds before a stream's caller leaves from which its request is not sent once
 #: more. A link that is full delays it by half a second and more, and a
 #: first event takes some 0.2 s.
-RESEND_TIME = 0.7
+MIN_RESEND_TIME = 0.7
 
 #: Seconds after which a caller returns to another host when this one stops.
-LEAVING_RETRY_AFTER = 0.05
+SHUTDOWN_RETRY_AFTER = 0.05
 
 
 class Handler:
@@ -47,7 +47,7 @@
         "_dialect",
         "_log",
         "_metrics",
-        "_longest_by_route",
+        "_max_deadline_by_route",
     )
 
     def __init__(
@@ -61,164 +61,164 @@
         self._dialect = dialect
         self._log = log
         self._metrics = metrics
-        self._longest_by_route = {}
+        self._max_deadline_by_route = {}
 
     @property
     def catalog(self):
         """The configuration in force, None before the first."""
         return self._admission.catalog
 
-    def use(self, catalog):
+    def set_catalog(self, catalog):
         """Put a configuration in force."""
-        self._admission.use(catalog)
+        self._admission.set_catalog(catalog)
 
     async def __call__(self, request, reply):
         """Handle one request."""
-        work = Work(
+        context = RequestContext(
             request=request,
             reply=reply,
             request_id=request.get(self._dialect.request_id, ""),
         )
-        refusal = self._admit(work)
+        refusal = self._admit(context)
         try:
             if refusal is not None:
                 status, reason, retry_after = refusal
-                self._refuse(work, status, reason, retry_after)
+                self._refuse(context, status, reason, retry_after)
             else:
-                await self._forward(work)
-                if work.outcome == "answered" or work.last_response is not None:
-                    self._suspects.answered(work.fingerprint)
+                await self._forward(context)
+                if context.outcome == "answered" or context.last_response is not None:
+                    self._suspects.record_answered(context.fingerprint)
         except asyncio.CancelledError:
-            work.outcome = "caller_left"
+            context.outcome = "caller_left"
             raise
         finally:
-            self._account(work)
+            self._record_request(context)
 
-    def _admit(self, work):
+    def _admit(self, context):
         """Return (status, reason, retry_after) of a refusal, or None."""
         if self.catalog is None:
-            return 503, "no_configuration", UNINFORMED_RETRY_AFTER
+            return 503, "no_configuration", UNCONFIRMED_RETRY_AFTER
         if self.refusing:
-            return 503, "stopping", LEAVING_RETRY_AFTER
-        refusal = self._admission.identify(work)
+            return 503, "stopping", SHUTDOWN_RETRY_AFTER
+        refusal = self._admission.identify(context)
         if refusal is not None:
             return refusal
-        work.fingerprint = _fingerprint(work)
-        failure = self._suspects.refusal(work.fingerprint)
+        context.fingerprint = _fingerprint(context)
+        failure = self._suspects.refusal(context.fingerprint)
         if failure is not None:
             return 503, failure.code, failure.retry_after
-        work.service = choose_share(work.route, work.request_id)
-        self._set_deadlines(work)
-        if work.deadline <= self._admission.clock():
+        context.service = choose_share(context.route, context.request_id)
+        self._set_deadlines(context)
+        if context.deadline <= self._admission.clock():
             return 503, "no_time", None
         return None
 
-    def _set_deadlines(self, work):
-        arrived = work.request.contact_arrived_at
-        value = work.request.get(self._dialect.deadline_ms, "")
+    def _set_deadlines(self, context):
+        arrived = context.request.contact_arrived_at
+        value = context.request.get(self._dialect.deadline_ms, "")
         given = float(value) if value.isdigit() else ASSUMED_DEADLINE * 1000
-        longest = self._longest_by_route.get(work.route.name, 0.0)
+        longest = self._max_deadline_by_route.get(context.route.name, 0.0)
         if given > longest:
-            self._longest_by_route[work.route.name] = longest = given
-        work.returned = given < longest - DEADLINE_JITTER_MS
-        work.deadline = arrived + min(given / 1000, work.route.timeout)
-        spent = (longest - given) / 1000 if work.returned else 0.0
-        work.objective_deadline = arrived - spent + work.route.objective
-        work.resend_deadline = work.deadline
-        if work.route.event_patience is not None:
-            leaves_at = min(work.deadline, arrived + work.route.event_patience)
-            work.resend_deadline = leaves_at - RESEND_TIME
-        tokens = work.request.get(self._dialect.tokens, "").partition(",")[0]
-        work.prompt_tokens = int(tokens) if tokens.isdigit() else 0
-
-    async def _forward(self, work):
+            self._max_deadline_by_route[context.route.name] = longest = given
+        context.returned = given < longest - DEADLINE_JITTER_MS
+        context.deadline = arrived + min(given / 1000, context.route.timeout)
+        spent = (longest - given) / 1000 if context.returned else 0.0
+        context.objective_deadline = arrived - spent + context.route.objective
+        context.resend_deadline = context.deadline
+        if context.route.event_patience is not None:
+            leaves_at = min(context.deadline, arrived + context.route.event_patience)
+            context.resend_deadline = leaves_at - MIN_RESEND_TIME
+        tokens = context.request.get(self._dialect.tokens, "").partition(",")[0]
+        context.prompt_tokens = int(tokens) if tokens.isdigit() else 0
+
+    async def _forward(self, context):
         try:
-            async with self._timers.until(work.deadline):
-                await self._forwarder.run(work)
+            async with self._timers.until(context.deadline):
+                await self._forwarder.run(context)
         except TimeoutError:
-            work.last_reason = work.last_reason or "deadline"
-            self._give_up(work, timed_out=True)
+            context.last_reason = context.last_reason or "deadline"
+            self._fail(context, timed_out=True)
             return
-        if work.objection == CALLER_LEFT:
-            work.reply.abort()
-            work.outcome = "caller_left"
+        if context.rejection == CALLER_LEFT:
+            context.reply.abort()
+            context.outcome = "caller_left"
             return
-        if work.reply.finished or work.reply.started:
+        if context.reply.finished or context.reply.started:
             return
-        if work.last_response is not None:
-            self._pass_on(work)
+        if context.last_response is not None:
+            self._send_last_response(context)
             return
-        self._give_up(work, timed_out=self._admission.clock() >= work.deadline)
-
-    def _pass_on(self, work):
-        response = work.last_response
-        work.first_byte_at = monotonic()
-        headers = self._forwarder.answer_headers(response)
-        work.reply.send(response.status, headers, response.body)
-        if work.outcome != "answered":
-            work.outcome = f"endpoint_{response.status}"
-
-    def _give_up(self, work, *, timed_out):
-        if work.reply.started:
-            work.reply.abort()
-            work.outcome = "cut"
-        elif work.may_have_run:
-            self._refuse(work, 504 if timed_out else 502, work.last_reason, None)
+        self._fail(context, timed_out=self._admission.clock() >= context.deadline)
+
+    def _send_last_response(self, context):
+        response = context.last_response
+        context.first_byte_at = monotonic()
+        headers = self._forwarder.response_headers(response)
+        context.reply.send(response.status, headers, response.body)
+        if context.outcome != "answered":
+            context.outcome = f"endpoint_{response.status}"
+
+    def _fail(self, context, *, timed_out):
+        if context.reply.started:
+            context.reply.abort()
+            context.outcome = "cut"
+        elif context.may_have_run:
+            self._refuse(context, 504 if timed_out else 502, context.last_reason, None)
         else:
-            self._refuse(work, 503, work.last_reason, work.retry_after or 0.5)
+            self._refuse(context, 503, context.last_reason, context.retry_after or 0.5)
 
-    def _refuse(self, work, status, reason, retry_after):
+    def _refuse(self, context, status, reason, retry_after):
         headers = []
         if retry_after is not None:
             headers.append(("Retry-After", f"{retry_after:g}"))
-        if work.request_id:
-            headers.append((self._dialect.request_id, work.request_id))
-        work.outcome = f"refused_{status}"
-        work.last_reason = reason
-        work.retry_after = retry_after
-        work.reply.send(status, headers)
-
-    def _is_on_time(self, work, first):
-        if work.outcome != "answered" or first is None:
+        if context.request_id:
+            headers.append((self._dialect.request_id, context.request_id))
+        context.outcome = f"refused_{status}"
+        context.last_reason = reason
+        context.retry_after = retry_after
+        context.reply.send(status, headers)
+
+    def _is_on_time(self, context, first):
+        if context.outcome != "answered" or first is None:
             return False
-        return work.request.contact_arrived_at + first <= work.objective_deadline
+        return context.request.contact_arrived_at + first <= context.objective_deadline
 
-    def _account(self, work):
+    def _record_request(self, context):
         now = monotonic()
-        route = work.route.name if work.route else ""
-        outcome = work.outcome
+        route = context.route.name if context.route else ""
+        outcome = context.outcome
         self._metrics.count("requests_total", outcome=outcome)
-        taken = now - work.request.arrived_at
-        self._metrics.observe("request_seconds", taken, outcome=outcome)
+        elapsed = now - context.request.arrived_at
+        self._metrics.observe("request_seconds", elapsed, outcome=outcome)
         first = None
-        if work.first_byte_at is not None:
-            first = round(work.first_byte_at - work.request.arrived_at, 4)
+        if context.first_byte_at is not None:
+            first = round(context.first_byte_at - context.request.arrived_at, 4)
             self._metrics.observe("first_byte_seconds", first)
         write = self._log.decision if outcome == "answered" else self._log.change
         write(
             "request",
-            request=work.request_id,
-            fingerprint=work.fingerprint,
+            request=context.request_id,
+            fingerprint=context.fingerprint,
             route=route,
-            service=work.service,
-            organisation=work.organisation.name if work.organisation else None,
+            service=context.service,
+            organisation=context.organisation.name if context.organisation else None,
             revision=self.catalog.revision if self.catalog else None,
             contact_age=self._admission.contact_age(),
-            returned=work.returned,
-            endpoints=work.tried,
+            returned=context.returned,
+            endpoints=context.tried,
             first_byte=first,
-            on_time=self._is_on_time(work, first),
-            sent=work.sent,
-            resumed=work.resumed,
+            on_time=self._is_on_time(context, first),
+            sent=context.sent,
+            resumed=context.resumed,
             outcome=outcome,
-            reason=work.last_reason,
-            retry_after=work.retry_after,
-            seconds=round(taken, 4),
+            reason=context.last_reason,
+            retry_after=context.retry_after,
+            seconds=round(elapsed, 4),
         )
 
 
-def _fingerprint(work):
-    request, organisation = work.request, work.organisation
+def _fingerprint(context):
+    request, organisation = context.request, context.organisation
     return fingerprint_of(
         organisation=organisation.name if organisation else "",
         method=request.method,
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -11,7 +11,7 @@
 from hawthornspoke.mirror import Neighbours
 from hawthornspoke.placing import EntryHostsSeen, Fleet
 from hawthornspoke.relay._admission import Admission
-from hawthornspoke.relay._budgets import Budgets
+from hawthornspoke.relay._budgets import RetryBudgets
 from hawthornspoke.relay._contact import Contact
 from hawthornspoke.relay._dialect import Dialect
 from hawthornspoke.relay._forward import Forwarder
@@ -22,24 +22,24 @@
 
 #: Seconds after SIGTERM during which new requests are still served: the balancer
 #: asks once a second and needs two refusals, and callers come a little later.
-SERVE_WHILE_STOPPING = 2.6
+SHUTDOWN_SERVE_TIME = 2.6
 
 #: Seconds before the kill at which requests that still run are cut, so that their
 #: callers see a closed connection and not a host that vanished.
-CUT_BEFORE_KILL = 0.4
+ABORT_BEFORE_KILL = 0.4
 
 #: Seconds between two looks at idle connections and vanished endpoints.
-HOUSEKEEPING_EVERY = 0.5
+HOUSEKEEPING_INTERVAL = 0.5
 
 #: Seconds between two lines of counters in the log.
-SUMMARY_EVERY = 10.0
+COUNTERS_INTERVAL = 10.0
 
 #: Seconds, drawn at random between these, after which a task that ended is begun
 #: again: what ended it may be there still, and may have ended it on all hosts.
-BEGIN_AGAIN_PAUSE = (0.3, 0.9)
+RESTART_PAUSE = (0.3, 0.9)
 
 #: Seconds given to the log's writer at the end.
-FLUSH_TIME = 0.2
+FLUSH_TIMEOUT = 0.2
 
 
 class Relay:
@@ -98,9 +98,9 @@
         )
         self.stopping = False
         self.pool = ConnectionPool(id_header=self.dialect.request_id)
-        self.budgets = Budgets(
+        self.budgets = RetryBudgets(
             settings=settings,
-            told_entry_hosts=lambda: self.agents.entry_hosts(),
+            reported_entry_hosts=lambda: self.agents.entry_hosts(),
         )
         self.timers = Timers(clock=contact_clock)
         self.suspects = Suspects(fleet=self.fleet, log=self.log, metrics=self.metrics)
@@ -120,7 +120,7 @@
                 fleet=self.fleet,
                 pool=self.pool,
                 dialect=self.dialect,
-                budget_for=self.budgets.of,
+                budget_for=self.budgets.for_service,
                 suspects=self.suspects,
                 log=self.log,
             ),
@@ -135,7 +135,7 @@
             on_woke=lambda seconds: self.log.change("stood_still", seconds=seconds)
         )
         self.front = self._server(settings.front, self.handler)
-        self.ready = self._server(settings.ready, self._answer_ready)
+        self.ready = self._server(settings.ready, self._handle_ready)
         ip = settings.front.rpartition(":")[0]
         self.neighbours = Neighbours(address=ip, port=settings.agent_port, log=self.log)
         self.sink = Sink(
@@ -179,18 +179,18 @@
             await server.start()
         ticks = Ticks()
         tasks = [
-            loop.create_task(self._keep("platform", self._read_platform)),
-            loop.create_task(self._keep("housekeeping", self._housekeeping)),
-            loop.create_task(self._keep("summaries", self._summaries)),
+            loop.create_task(self._supervise("platform", self._read_platform)),
+            loop.create_task(self._supervise("housekeeping", self._housekeeping)),
+            loop.create_task(self._supervise("summaries", self._log_counters)),
             loop.create_task(
-                self._keep("standstill", lambda: self.standstill.run(ticks))
+                self._supervise("standstill", lambda: self.standstill.run(ticks))
             ),
-            loop.create_task(self._keep("timers", lambda: self.timers.run(ticks))),
+            loop.create_task(self._supervise("timers", lambda: self.timers.run(ticks))),
         ]
         self.log.change(
             "started",
             role="entry",
-            failure_domain=self._domain,
+            failure_domain=self._failure_domain,
             version_bound=self.settings.version_bound,
         )
         try:
@@ -205,11 +205,11 @@
             for server in (self.front, self.ready, self.operator):
                 server.close()
             self.log.change("stopped", cut=self.front.running())
-            self.log.flush(monotonic() + FLUSH_TIME)
+            self.log.flush(monotonic() + FLUSH_TIMEOUT)
         return 0
 
     @property
-    def _domain(self):
+    def _failure_domain(self):
         return self.settings.failure_domain
 
     def _server(self, address, handler):
@@ -222,11 +222,11 @@
         self.log.change("handler_failed", error=repr(error))
         self.metrics.count("handler_failures_total")
 
-    async def _answer_ready(self, request, reply):
+    async def _handle_ready(self, request, reply):
         is_ready = not self.stopping and self.handler.catalog is not None
         # A host that is cut off from the platform must soon refuse all keys. Its
         # callers are sent to others before that, if the balancer has others.
-        is_ready = is_ready and self.contact.steady(now=contact_clock())
+        is_ready = is_ready and self.contact.is_stable(now=contact_clock())
         reply.send(200 if is_ready else 503)
 
     def _dump(self):
@@ -252,22 +252,22 @@
         if self.reload_settings is None:
             self.log.change("reload", result="nothing to read again")
             return
-        fresh = self.reload_settings()
-        if not isinstance(fresh, type(self.settings)):
+        new_settings = self.reload_settings()
+        if not isinstance(new_settings, type(self.settings)):
             # A file that is half-written or wrong must not end a host that serves.
-            self.log.change("reload", result="kept", reason=str(fresh))
+            self.log.change("reload", result="kept", reason=str(new_settings))
             return
-        self.settings = self.sink.settings = self.budgets.settings = fresh
-        self.fleet.version_bound = fresh.version_bound
-        self.contact.keys_valid_for = fresh.keys_valid_for
-        self.contact.changes_bind_after = fresh.changes_bind_after
+        self.settings = self.sink.settings = self.budgets.settings = new_settings
+        self.fleet.version_bound = new_settings.version_bound
+        self.contact.keys_valid_for = new_settings.keys_valid_for
+        self.contact.changes_bind_after = new_settings.changes_bind_after
         self.log.change("reload", result="taken")
 
     def _begin_stop(self):
         if self.stopping:
             return
         self.stopping = True
-        self._stop_deadline = monotonic() + self.settings.grace - CUT_BEFORE_KILL
+        self._stop_deadline = monotonic() + self.settings.grace - ABORT_BEFORE_KILL
         self.log.change("stopping", running=self.front.running())
         asyncio.get_running_loop().create_task(self._stop())
 
@@ -275,7 +275,7 @@
         # Callers keep coming until the balancer has noticed; they are served, and
         # told to use another connection next time.
         self.front.draining = True
-        await asyncio.sleep(SERVE_WHILE_STOPPING)
+        await asyncio.sleep(SHUTDOWN_SERVE_TIME)
         self.handler.refusing = True
         self.front.stop_listening()
         self.front.close_idle()
@@ -284,7 +284,7 @@
         if not self._stopped.done():
             self._stopped.set_result(None)
 
-    async def _keep(self, name, work):
+    async def _supervise(self, name, run_task):
         """Run a task that is not to end, and begin it again if it does.
 
         A task that ended unseen would leave a host that serves on with what it
@@ -295,13 +295,13 @@
         """
         while True:
             try:
-                await work()
+                await run_task()
                 error = "it returned"
             except Exception as raised:
                 error = repr(raised)
             self.metrics.count("tasks_ended_total", task=name)
             self.log.change("task_ended", task=name, error=error)
-            await asyncio.sleep(random.uniform(*BEGIN_AGAIN_PAUSE))
+            await asyncio.sleep(random.uniform(*RESTART_PAUSE))
 
     async def _read_platform(self):
         await self.source.run(self.sink, self.neighbours)
@@ -309,25 +309,25 @@
     async def _housekeeping(self):
         reader = self.neighbours.reader()
         while True:
-            await asyncio.sleep(HOUSEKEEPING_EVERY)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL)
             self.pool.sweep()
             before, reader = reader, self.neighbours.reader()
             if reader != before:
                 self.log.change("reader", peer=reader, before=before)
-                self.agents.tell_all()
+                self.agents.send_directives()
             seen = EntryHostsSeen(
                 near=self.neighbours.readers.known(),
                 all=self.budgets.entry_hosts(),
                 position=self.neighbours.readers.position(),
             )
             self.fleet.step(seen, now=monotonic())
-            self.agents.hear_often(self.fleet.followed())
-            self.budgets.share_anew()
-            self.suspects.sharing.catch_up()
-            steady = self.contact.steady(now=contact_clock())
-            self.front.draining = self.stopping or not steady
+            self.agents.set_followed(self.fleet.followed())
+            self.budgets.update_reserves()
+            self.suspects.sharing.rebalance()
+            is_stable = self.contact.is_stable(now=contact_clock())
+            self.front.draining = self.stopping or not is_stable
 
-    async def _summaries(self):
+    async def _log_counters(self):
         while True:
-            await asyncio.sleep(SUMMARY_EVERY)
+            await asyncio.sleep(COUNTERS_INTERVAL)
             self.log.decision("counters", **self.metrics.dump())
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -1,7 +1,7 @@
 """Connecting to an endpoint and sending a request there, after one last look."""
 
 from hawthornspoke.base import Failure
-from hawthornspoke.relay._try import Try
+from hawthornspoke.relay._try import Attempt
 
 
 class Sender:
@@ -11,7 +11,7 @@
     ----------
     admission : Admission
     timers : Timers
-    chooser : Chooser
+    selector : EndpointSelector
     encoder : Encoder
     fleet : Fleet
     pool : ConnectionPool
@@ -23,7 +23,7 @@
     __slots__ = (
         "_admission",
         "_timers",
-        "_chooser",
+        "_selector",
         "_encoder",
         "_fleet",
         "_pool",
@@ -37,7 +37,7 @@
         *,
         admission,
         timers,
-        chooser,
+        selector,
         encoder,
         fleet,
         pool,
@@ -47,7 +47,7 @@
     ):
         self._admission = admission
         self._timers = timers
-        self._chooser = chooser
+        self._selector = selector
         self._encoder = encoder
         self._fleet = fleet
         self._pool = pool
@@ -55,24 +55,24 @@
         self._suspects = suspects
         self._log = log
 
-    def attempt_at(self, work, place):
+    def create_attempt(self, context, place):
         """Return a Try of a request at a place."""
-        return Try(
+        return Attempt(
             place=place,
             pool=self._pool,
             fleet=self._fleet,
             dialect=self._dialect,
             timers=self._timers,
-            on_broken=lambda attempt: self._note_broken(work, attempt),
-            on_ended=lambda attempt: self._suspects.ended(work.fingerprint, attempt),
+            on_broken=lambda attempt: self._on_connection_broken(context, attempt),
+            on_ended=lambda attempt: self._suspects.ended(context.fingerprint, attempt),
         )
 
-    async def send(self, work, attempt, *, last_event=None, version=None):
+    async def send(self, context, attempt, *, last_event=None, version=None):
         """Send a request, the first time, once more, or for the rest of a stream.
 
         Parameters
         ----------
-        work : Work
+        context : RequestContext
         attempt : Try
         last_event, version : int or None, default=None
             After which event a stream goes on, and of which weights.
@@ -88,50 +88,54 @@
         # Nothing is waited for from here to the write, and all that takes time but
         # decides nothing comes before the last look.
         data = self._encoder.encode(
-            work, attempt.place, last_event=last_event, version=version
+            context, attempt.place, last_event=last_event, version=version
         )
-        ask = self._chooser.ask(work, same_version=version)
-        place = self._admission.recheck(work, ask=ask, place=attempt.place)
+        ask = self._selector.ask(context, same_version=version)
+        place = self._admission.recheck(context, ask=ask, place=attempt.place)
         if not isinstance(place, Failure):
             attempt.place = place
             failure = attempt.send(
-                data, expected_id=work.request_id, prompt_tokens=work.prompt_tokens
+                data,
+                expected_id=context.request_id,
+                prompt_tokens=context.prompt_tokens,
             )
         else:
             failure = place
         if failure is not None:
-            self._log_not_sent(work, attempt, failure)
+            self._log_not_sent(context, attempt, failure)
             return failure
-        self._suspects.sent(work.fingerprint, attempt)
-        work.sent += 1
+        self._suspects.sent(context.fingerprint, attempt)
+        context.sent += 1
         # From here on the endpoint may run it, also when nothing is heard any more
         # before the request's time is over; only its own word takes that back.
-        work.may_have_run = True
+        context.may_have_run = True
         return None
 
-    async def settle(self, work):
+    async def wait_for_probes(self, context):
         """Wait until it is known what a try that failed means for the request."""
-        await self._suspects.settle(work.fingerprint)
+        await self._suspects.wait_for_probes(context.fingerprint)
 
-    def _note_broken(self, work, attempt):
-        self._suspects.broken_off(work.fingerprint, attempt.place, service=work.service)
+    def _on_connection_broken(self, context, attempt):
+        self._suspects.record_disconnect(
+            context.fingerprint, attempt.place, service=context.service
+        )
         self._log.change(
             "broken_off",
-            request=work.request_id,
-            fingerprint=work.fingerprint,
-            service=work.service,
+            request=context.request_id,
+            fingerprint=context.fingerprint,
+            service=context.service,
             endpoint=attempt.place.endpoint_id,
             started_ms=attempt.place.incarnation.started_ms,
             began=attempt.head is not None,
-            events_passed_on=work.reply.started,
+            events_passed_on=context.reply.started,
         )
 
-    def _log_not_sent(self, work, attempt, failure):
+    def _log_not_sent(self, context, attempt, failure):
         self._log.change(
             "not_sent",
-            request=work.request_id,
+            request=context.request_id,
             endpoint=attempt.place.endpoint_id,
             reason=f"{failure.code}: {failure.reason}",
-            time_left=round(work.deadline - self._admission.clock(), 3),
+            time_left=round(context.deadline - self._admission.clock(), 3),
             contact_age=self._admission.contact_age(),
         )
--- a/hawthornspoke/relay/_sharing.py
+++ b/hawthornspoke/relay/_sharing.py
@@ -24,7 +24,7 @@
         "_failure_domain_at",
         "_link_by_address",
         "_domain_by_address",
-        "_domain_by_known_address",
+        "_assigned_domain_by_address",
     )
 
     def __init__(self, *, quarantine, failure_domain_at):
@@ -33,9 +33,9 @@
         self._link_by_address = {}
         self._domain_by_address = {}
         # Of the agents by which evidence was shared out last.
-        self._domain_by_known_address = {}
+        self._assigned_domain_by_address = {}
 
-    def connected(self, address, link):
+    def add_agent(self, address, link):
         """Greet an agent; it answers with what it knows.
 
         Parameters
@@ -47,42 +47,42 @@
         self._link_by_address[address] = link
         self._domain_by_address[address] = self._failure_domain_at(address)
         # What it knew may be gone with its process.
-        self._domain_by_known_address.pop(address, None)
+        self._assigned_domain_by_address.pop(address, None)
         link.send(Frame(evidence=[]))
 
-    def lost(self, address):
-        """Forget an agent; others take its part at the next ``catch_up``."""
+    def remove_agent(self, address):
+        """Forget an agent; others take its part at the next ``rebalance``."""
         self._link_by_address.pop(address, None)
         self._domain_by_address.pop(address, None)
 
-    def tell(self, items):
+    def share(self, items):
         """Send evidence to the agents that join it.
 
         Parameters
         ----------
         items : iterable of Evidence
         """
-        for address, told in self._shared_out(items, self._domain_by_address).items():
-            self._send(address, told)
+        for address, outgoing in self._assign(items, self._domain_by_address).items():
+            self._send(address, outgoing)
 
-    def catch_up(self):
+    def rebalance(self):
         """Tell agents what they have to know since others came or went."""
-        if self._domain_by_address == self._domain_by_known_address:
+        if self._domain_by_address == self._assigned_domain_by_address:
             return
         items = self._quarantine.evidence(now=monotonic())
-        before = self._shared_out(items, self._domain_by_known_address)
-        for address, due in self._shared_out(items, self._domain_by_address).items():
+        before = self._assign(items, self._assigned_domain_by_address)
+        for address, due in self._assign(items, self._domain_by_address).items():
             known = {id(item) for item in before.get(address, ())}
             self._send(address, [item for item in due if id(item) not in known])
-        self._domain_by_known_address = dict(self._domain_by_address)
+        self._assigned_domain_by_address = dict(self._domain_by_address)
 
     def _send(self, address, items):
         if items:
-            told = Frame(evidence=write_evidence(items, now=monotonic()))
-            self._link_by_address[address].send(told)
+            outgoing = Frame(evidence=write_evidence(items, now=monotonic()))
+            self._link_by_address[address].send(outgoing)
 
     @staticmethod
-    def _shared_out(items, domain_by_address):
+    def _assign(items, domain_by_address):
         """Return which agents join which evidence, as items by address."""
         addresses_by_domain = {}
         for address, domain in domain_by_address.items():
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -100,7 +100,7 @@
             return
         changed = CatalogChanged(service_by_name=catalog.service_by_name)
         self._fleet.step(changed, now=monotonic())
-        self._handler.use(catalog)
+        self._handler.set_catalog(catalog)
         limits = catalog.limits
         self._front.limits = ServerLimits(
             header_bytes=limits.header_bytes,
@@ -114,7 +114,7 @@
             routes=len(catalog.routes),
             organisations=len(set(catalog.organisation_by_key.values())),
         )
-        self._follow_agents()
+        self._update_agents()
 
     def on_entries(self, entries):
         """Take the platform's whole list of endpoints."""
@@ -126,11 +126,11 @@
         before = {entry.endpoint_id: entry for entry in self.entries}
         self.entries = listed.entries
         self._fleet.step(listed, now=monotonic())
-        now_there = {entry.endpoint_id: entry for entry in self.entries}
-        for endpoint_id in before.keys() - now_there.keys():
+        current = {entry.endpoint_id: entry for entry in self.entries}
+        for endpoint_id in before.keys() - current.keys():
             self._pool.drop(endpoint_id)
             self.log.change("endpoint_gone", endpoint=endpoint_id)
-        for endpoint_id, entry in now_there.items():
+        for endpoint_id, entry in current.items():
             if before.get(endpoint_id) != entry:
                 self.log.change(
                     "endpoint",
@@ -144,7 +144,7 @@
                     weights_version=entry.weights_version,
                     layers=entry.layers,
                 )
-        self._follow_agents()
+        self._update_agents()
 
     def on_declared(self, declared, *, written_at=UNKNOWN, known_until=UNKNOWN):
         """Take declared weights.
@@ -174,7 +174,7 @@
             age=age_of(written_at, contact_clock()),
             before=before,
         )
-        self.agents.tell_all()
+        self.agents.send_directives()
 
     def on_dated(self, model, moments):
         """Take when versions were declared that were found without a moment.
@@ -193,23 +193,23 @@
                 "weights_dated", model=model, version=version, age=age_of(at, now)
             )
         # Agents plan by the moment, and tell it to hosts that start later.
-        self.agents.tell_all()
+        self.agents.send_directives()
 
     def on_confirmed(self, at):
         """Take that the platform answered; ``at`` is on the contact clock."""
-        self._note_contact(
+        self._log_contact_change(
             self._contact.step(Confirmed(at=at), now=contact_clock()), "regained"
         )
 
     def on_contact_lost(self, reason):
         """Take that the platform could not be read."""
-        self._note_contact(
+        self._log_contact_change(
             self._contact.step(Lost(reason=reason), now=contact_clock()), "lost"
         )
 
     def directive_for(self, service):
         """Return what the agents of a service are told, None if nothing."""
-        engine = self._engine_services().get(service)
+        engine = self._engine_by_service().get(service)
         if engine is None:
             return None
         catalog = self._handler.catalog
@@ -225,12 +225,12 @@
             failure_domain=self.settings.failure_domain,
         )
 
-    def _note_contact(self, outcomes, what):
+    def _log_contact_change(self, outcomes, event):
         for outcome in outcomes:
             reason = outcome.reason if isinstance(outcome, ContactLost) else ""
-            self.log.change(f"platform_{what}", reason=reason)
+            self.log.change(f"platform_{event}", reason=reason)
 
-    def _engine_services(self):
+    def _engine_by_service(self):
         catalog = self._handler.catalog
         if catalog is None:
             return {}
@@ -240,14 +240,14 @@
             if service.engine is not None and service.engine.layers
         }
 
-    def _follow_agents(self):
-        engines = self._engine_services()
+    def _update_agents(self):
+        engines = self._engine_by_service()
         service_by_address = {}
         for entry in self.entries:
             # Where two entries have one address, the agent there is told what the
             # first one's service needs.
             service_by_address.setdefault(entry.address, entry.service)
-        self.agents.follow(
+        self.agents.set_endpoints(
             {
                 entry.address: service_by_address[entry.address]
                 for entry in self.entries
@@ -255,7 +255,7 @@
                 if self._handler.catalog is None or entry.service in engines
             }
         )
-        self.agents.tell_all()
+        self.agents.send_directives()
 
     def _peers(self, service):
         """Return the endpoints of a service that agents are told of.
--- a/hawthornspoke/relay/_streams.py
+++ b/hawthornspoke/relay/_streams.py
@@ -8,36 +8,36 @@
 #: Seconds of silence after which a repeatable request is tried elsewhere. An
 #: engine that works sends a first token within some hundred milliseconds and an
 #: event each 50 to 150 ms; callers leave a stream that is silent for 2.4 s.
-LEAST_PATIENCE = 1.2
+MIN_RESPONSE_TIMEOUT = 1.2
 
 SUCCESS = range(200, 300)
 
 
-class Streams:
+class StreamForwarder:
     """Passes events on, whole ones only.
 
     Parameters
     ----------
-    chooser : Chooser
+    selector : EndpointSelector
     sender : Sender
     encoder : Encoder
     dialect : Dialect
     """
 
-    __slots__ = ("_chooser", "_sender", "_encoder", "_dialect")
+    __slots__ = ("_selector", "_sender", "_encoder", "_dialect")
 
-    def __init__(self, *, chooser, sender, encoder, dialect):
-        self._chooser = chooser
+    def __init__(self, *, selector, sender, encoder, dialect):
+        self._selector = selector
         self._sender = sender
         self._encoder = encoder
         self._dialect = dialect
 
-    async def pass_on(self, work, attempt, head):
+    async def forward(self, context, attempt, head):
         """Pass a stream on to the caller, from as many endpoints as that takes.
 
         Parameters
         ----------
-        work : Work
+        context : RequestContext
         attempt : Try
             Where it has begun.
         head : Response
@@ -47,101 +47,101 @@
         bool
             Whether the request needs no further try.
         """
-        splitter = EventSplitter(last_id=_number(work.request, self._dialect))
+        splitter = EventSplitter(last_id=_last_event_id(context.request, self._dialect))
         try:
             while attempt is not None:
-                if await self._pump(work, attempt, head, splitter):
-                    attempt.done(well=True)
-                    work.reply.finish()
-                    self._chooser.succeeded(work)
+                if await self._forward_events(context, attempt, head, splitter):
+                    attempt.done(is_success=True)
+                    context.reply.finish()
+                    self._selector.record_success(context)
                     return True
                 attempt.fail()
-                await self._sender.settle(work)
-                if not work.reply.started:
+                await self._sender.wait_for_probes(context)
+                if not context.reply.started:
                     # Not an event has been passed on: it can start anew elsewhere.
                     return False
-                attempt = await self._resume(work, head, splitter)
+                attempt = await self._resume(context, head, splitter)
         finally:
             if attempt is not None:
-                attempt.leave()
-        work.reply.abort()
-        work.outcome = "cut"
+                attempt.abandon()
+        context.reply.abort()
+        context.outcome = "cut"
         return True
 
-    async def _pump(self, work, attempt, head, splitter):
+    async def _forward_events(self, context, attempt, head, splitter):
         """Pass events on; return whether the stream is complete."""
         while True:
             try:
-                async with asyncio.timeout(LEAST_PATIENCE):
+                async with asyncio.timeout(MIN_RESPONSE_TIMEOUT):
                     data = await attempt.exchange.read()
             except TimeoutError:
-                if not work.route.repeatable:
+                if not context.route.repeatable:
                     continue
-                work.last_reason = f"no event in {LEAST_PATIENCE:g} s"
+                context.last_reason = f"no event in {MIN_RESPONSE_TIMEOUT:g} s"
                 return False
             if isinstance(data, Failure):
-                work.last_reason = f"{data.code}: {data.reason}"
+                context.last_reason = f"{data.code}: {data.reason}"
                 return False
             if not data:
-                if splitter.unfinished():
-                    work.last_reason = "the stream ended within an event"
-                return not splitter.unfinished() and work.reply.started
+                if splitter.has_partial_event():
+                    context.last_reason = "the stream ended within an event"
+                return not splitter.has_partial_event() and context.reply.started
             events = splitter.feed(data)
             if events:
-                self._start(work, head)
-                await work.reply.write(events)
-            if splitter.broken:
-                work.last_reason = splitter.broken
+                self._start(context, head)
+                await context.reply.write(events)
+            if splitter.error:
+                context.last_reason = splitter.error
                 return False
 
-    def _start(self, work, head):
-        if work.reply.started:
+    def _start(self, context, head):
+        if context.reply.started:
             return
-        work.first_byte_at = monotonic()
-        work.reply.start(head.status, self._encoder.answer_headers(head))
+        context.first_byte_at = monotonic()
+        context.reply.start(head.status, self._encoder.response_headers(head))
 
-    async def _resume(self, work, head, splitter):
+    async def _resume(self, context, head, splitter):
         """Go on at another endpoint with the same version of the weights."""
         version = head.get(self._dialect.versions, "")
-        if not (work.route.repeatable and version.isdigit()):
+        if not (context.route.repeatable and version.isdigit()):
             return None
-        while self._chooser.may_retry(work):
-            place = self._chooser.choose_to_resume(work, int(version))
+        while self._selector.may_retry(context):
+            place = self._selector.select_for_resume(context, int(version))
             if place is None:
                 return None
-            attempt = await self._try_to_resume(work, place, splitter, version)
+            attempt = await self._attempt_resume(context, place, splitter, version)
             if attempt is not None:
                 return attempt
         return None
 
-    async def _try_to_resume(self, work, place, splitter, version):
-        attempt = self._sender.attempt_at(work, place)
-        kept = False
+    async def _attempt_resume(self, context, place, splitter, version):
+        attempt = self._sender.create_attempt(context, place)
+        is_resumed = False
         try:
             failure = await self._sender.send(
-                work, attempt, last_event=splitter.last_id, version=int(version)
+                context, attempt, last_event=splitter.last_id, version=int(version)
             )
             if failure is not None:
-                work.last_reason += f"; {failure.code}: {failure.reason}"
+                context.last_reason += f"; {failure.code}: {failure.reason}"
                 return None
-            work.resumed += 1
-            head = await attempt.read_head(patience=LEAST_PATIENCE)
+            context.resumed += 1
+            head = await attempt.read_head(response_timeout=MIN_RESPONSE_TIMEOUT)
             if isinstance(head, Failure):
-                work.last_reason += f"; {head.code}: {head.reason}"
+                context.last_reason += f"; {head.code}: {head.reason}"
                 return None
-            sealed = head.get(self._dialect.seal) is not None
-            same = head.get(self._dialect.versions) == version
-            if head.status not in SUCCESS or not sealed or not same:
+            is_sealed = head.get(self._dialect.seal) is not None
+            is_same_version = head.get(self._dialect.versions) == version
+            if head.status not in SUCCESS or not is_sealed or not is_same_version:
                 attempt.fail()
                 return None
             splitter.restart()
-            kept = True
+            is_resumed = True
             return attempt
         finally:
-            if not kept:
-                attempt.leave()
+            if not is_resumed:
+                attempt.abandon()
 
 
-def _number(request, dialect):
+def _last_event_id(request, dialect):
     value = request.get(dialect.last_event, "")
     return int(value) if value.isdigit() else None
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -19,10 +19,10 @@
 QUARANTINED = Failure(code="quarantined")
 
 #: Seconds for an endpoint's host to say whether a process listens there still.
-PROBE_TIME = 0.3
+PROBE_TIMEOUT = 0.3
 
 #: Requests that are remembered as seen by this host at the end of an endpoint.
-MOST_SEEN = 512
+MAX_OBSERVED = 512
 
 
 class Suspects:
@@ -46,10 +46,10 @@
         "_fleet",
         "_log",
         "_metrics",
-        "_tries_by_fingerprint",
-        "_broken_by_start",
-        "_look_by_start",
-        "_seen_here",
+        "_attempts_by_fingerprint",
+        "_fingerprints_by_start",
+        "_probe_by_start",
+        "_observed_here",
         "_unrecorded",
         "_has_unrecorded",
     )
@@ -62,10 +62,10 @@
         self._fleet = fleet
         self._log = log
         self._metrics = metrics
-        self._tries_by_fingerprint = {}
-        self._broken_by_start = {}
-        self._look_by_start = {}
-        self._seen_here = collections.deque(maxlen=MOST_SEEN)
+        self._attempts_by_fingerprint = {}
+        self._fingerprints_by_start = {}
+        self._probe_by_start = {}
+        self._observed_here = collections.deque(maxlen=MAX_OBSERVED)
         self._unrecorded = set()
         self._has_unrecorded = asyncio.Event()
 
@@ -87,7 +87,7 @@
             return None
         return QUARANTINED.because(fingerprint, retry_after=round(until - now, 1))
 
-    def answered(self, fingerprint):
+    def record_answered(self, fingerprint):
         """Clear the evidence against a request that an endpoint answered."""
         self._step(Answered(fingerprint=fingerprint))
 
@@ -99,18 +99,18 @@
         fingerprint : str
         attempt : Try
         """
-        self._tries_by_fingerprint.setdefault(fingerprint, set()).add(attempt)
+        self._attempts_by_fingerprint.setdefault(fingerprint, set()).add(attempt)
 
     def ended(self, fingerprint, attempt):
         """Stop tracking a try that is over; see ``sent``."""
-        tries = self._tries_by_fingerprint.get(fingerprint)
-        if tries is None:
+        attempts = self._attempts_by_fingerprint.get(fingerprint)
+        if attempts is None:
             return
-        tries.discard(attempt)
-        if not tries:
-            del self._tries_by_fingerprint[fingerprint]
+        attempts.discard(attempt)
+        if not attempts:
+            del self._attempts_by_fingerprint[fingerprint]
 
-    def broken_off(self, fingerprint, place, *, service):
+    def record_disconnect(self, fingerprint, place, *, service):
         """Record a connection closed during a request, and probe the endpoint.
 
         Parameters
@@ -120,15 +120,15 @@
             Where the request was.
         service : str
         """
-        start = _start_of(place)
-        self._broken_by_start.setdefault(start, set()).add(fingerprint)
-        if start not in self._look_by_start:
-            look = asyncio.get_running_loop().create_task(
-                self._look(start, place, service)
+        start = _start_name(place)
+        self._fingerprints_by_start.setdefault(start, set()).add(fingerprint)
+        if start not in self._probe_by_start:
+            probe = asyncio.get_running_loop().create_task(
+                self._probe(start, place, service)
             )
-            self._look_by_start[start] = look
+            self._probe_by_start[start] = probe
 
-    async def settle(self, fingerprint):
+    async def wait_for_probes(self, fingerprint):
         """Wait until it is known which endpoints ended under a suspected request.
 
         Without it, the request would be sent to the next endpoint meanwhile. One that
@@ -138,16 +138,16 @@
         ----------
         fingerprint : str
         """
-        looks = [
-            self._look_by_start[start]
-            for start, fingerprints in self._broken_by_start.items()
+        probes = [
+            self._probe_by_start[start]
+            for start, fingerprints in self._fingerprints_by_start.items()
             if fingerprint in fingerprints
         ]
         is_suspected = self.quarantine.has_evidence(fingerprint)
-        if len(looks) > 1 or (looks and is_suspected):
-            await asyncio.wait(looks)
+        if len(probes) > 1 or (probes and is_suspected):
+            await asyncio.wait(probes)
 
-    def heard(self, frame):
+    def merge_evidence(self, frame):
         """Merge evidence received from an agent.
 
         Parameters
@@ -155,7 +155,7 @@
         frame : Frame
         """
         items = read_evidence(frame.evidence, now=monotonic())
-        self._step(EvidenceHeard(items=items), tell=False)
+        self._step(EvidenceHeard(items=items), share=False)
 
     def take_recorded(self, items):
         """Merge evidence recorded before this process started, and share it.
@@ -184,15 +184,15 @@
 
     def close(self):
         """End all looks at endpoints."""
-        for look in self._look_by_start.values():
-            look.cancel()
+        for probe in self._probe_by_start.values():
+            probe.cancel()
 
-    async def _look(self, start, place, service):
+    async def _probe(self, start, place, service):
         try:
-            has_ended = await refuses_connections(place.address, timeout=PROBE_TIME)
+            has_ended = await refuses_connections(place.address, timeout=PROBE_TIMEOUT)
         finally:
-            del self._look_by_start[start]
-            fingerprints = self._broken_by_start.pop(start)
+            del self._probe_by_start[start]
+            fingerprints = self._fingerprints_by_start.pop(start)
         if not has_ended:
             return
         self._log.change(
@@ -201,7 +201,7 @@
             started_ms=place.incarnation.started_ms,
             requests=len(fingerprints),
         )
-        self._seen_here.extend(fingerprints)
+        self._observed_here.extend(fingerprints)
         ended = EndpointEnded(
             start=start,
             fingerprints=tuple(sorted(fingerprints)),
@@ -209,17 +209,17 @@
         )
         self._step(ended)
 
-    def _step(self, message, *, tell=True):
+    def _step(self, message, *, share=True):
         for outcome in self.quarantine.step(message, now=monotonic()):
             if isinstance(outcome, News):
-                if tell:
-                    self.sharing.tell(outcome.items)
+                if share:
+                    self.sharing.share(outcome.items)
             elif isinstance(outcome, Quarantined):
-                self._quarantined(outcome)
+                self._on_quarantined(outcome)
             else:
                 self._log.change("released", fingerprint=outcome.fingerprint)
 
-    def _quarantined(self, outcome):
+    def _on_quarantined(self, outcome):
         self._metrics.count("requests_quarantined_total")
         self._log.change(
             "quarantined",
@@ -227,14 +227,14 @@
             endpoints_ended=list(outcome.starts),
         )
         # Where it still waits for its turn, it would end one more endpoint.
-        for attempt in list(self._tries_by_fingerprint.get(outcome.fingerprint, ())):
+        for attempt in list(self._attempts_by_fingerprint.get(outcome.fingerprint, ())):
             attempt.withdraw(QUARANTINED)
-        if outcome.fingerprint in self._seen_here:
+        if outcome.fingerprint in self._observed_here:
             self._unrecorded.add(outcome.fingerprint)
             self._has_unrecorded.set()
 
 
-def _start_of(place):
+def _start_name(place):
     """Return a name of an endpoint's start that all hosts agree on."""
     started_ms = place.incarnation.started_ms
     return (
--- a/hawthornspoke/relay/_timers.py
+++ b/hawthornspoke/relay/_timers.py
@@ -6,7 +6,7 @@
 
 #: Seconds by which the clocks must have parted: less is the time between reading one
 #: and the other on a busy host.
-SUSPENDED_FOR = 0.02
+MIN_CLOCK_SHIFT = 0.02
 
 
 class Timers:
@@ -23,14 +23,14 @@
         Goes on while the host is suspended.
     """
 
-    __slots__ = ("clock", "_ahead", "_moment_by_timeout")
+    __slots__ = ("clock", "_clock_offset", "_deadline_by_timeout")
 
     def __init__(self, *, clock):
         self.clock = clock
-        self._ahead = clock() - monotonic()
-        self._moment_by_timeout = {}
+        self._clock_offset = clock() - monotonic()
+        self._deadline_by_timeout = {}
 
-    def until(self, moment):
+    def until(self, deadline):
         """Return a context that raises TimeoutError at a moment.
 
         Parameters
@@ -43,7 +43,7 @@
         async context manager
             ``expired()`` tells whether the moment has ended the wait.
         """
-        return _Wait(timers=self, moment=moment)
+        return _DeadlineContext(timers=self, deadline=deadline)
 
     async def run(self, ticks):
         """Look at the clocks until cancelled; a look costs 0.7 us, timed alone.
@@ -54,41 +54,43 @@
         """
         while True:
             await ticks.next()
-            self._look()
+            self._check_clocks()
 
-    def _look(self):
-        ahead = self.clock() - monotonic()
-        if abs(ahead - self._ahead) < SUSPENDED_FOR:
+    def _check_clocks(self):
+        offset = self.clock() - monotonic()
+        if abs(offset - self._clock_offset) < MIN_CLOCK_SHIFT:
             return
-        self._ahead = ahead
-        for timeout, moment in self._moment_by_timeout.items():
+        self._clock_offset = offset
+        for timeout, deadline in self._deadline_by_timeout.items():
             # One that is over can't be set anew; its wait is about to end.
             if not timeout.expired():
-                timeout.reschedule(_loop_time(moment, self.clock))
+                timeout.reschedule(_loop_time(deadline, self.clock))
 
-    def _add(self, timeout, moment):
-        self._moment_by_timeout[timeout] = moment
+    def _add(self, timeout, deadline):
+        self._deadline_by_timeout[timeout] = deadline
 
     def _remove(self, timeout):
-        del self._moment_by_timeout[timeout]
+        del self._deadline_by_timeout[timeout]
 
 
-class _Wait:
+class _DeadlineContext:
     """A wait that ends at a moment."""
 
-    __slots__ = ("_timers", "_moment", "_timeout")
+    __slots__ = ("_timers", "_deadline", "_timeout")
 
-    def __init__(self, *, timers, moment):
+    def __init__(self, *, timers, deadline):
         self._timers = timers
-        self._moment = moment
+        self._deadline = deadline
         self._timeout = None
 
     async def __aenter__(self):
-        if self._moment is None:
+        if self._deadline is None:
             return self
-        self._timeout = asyncio.timeout_at(_loop_time(self._moment, self._timers.clock))
+        self._timeout = asyncio.timeout_at(
+            _loop_time(self._deadline, self._timers.clock)
+        )
         await self._timeout.__aenter__()
-        self._timers._add(self._timeout, self._moment)
+        self._timers._add(self._timeout, self._deadline)
         return self
 
     async def __aexit__(self, *error):
@@ -102,5 +104,5 @@
         return self._timeout is not None and self._timeout.expired()
 
 
-def _loop_time(moment, clock):
-    return asyncio.get_running_loop().time() + moment - clock()
+def _loop_time(deadline, clock):
+    return asyncio.get_running_loop().time() + deadline - clock()
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -17,7 +17,7 @@
 WITHDRAWN = Failure(code="withdrawn")
 
 
-class Try:
+class Attempt:
     """A request at one endpoint, from the connection to its end.
 
     Parameters
@@ -100,7 +100,7 @@
             return CONNECTION_LOST
         self.sent_at = monotonic()
         self.exchange = self.connection.send(data, expected_id=expected_id)
-        self._tell(
+        self._notify_fleet(
             Sent(
                 endpoint_id=self.place.endpoint_id,
                 incarnation=self.place.incarnation,
@@ -109,12 +109,12 @@
         )
         return None
 
-    async def read_head(self, *, patience):
+    async def read_head(self, *, response_timeout):
         """Wait for the head of the answer.
 
         Parameters
         ----------
-        patience : float
+        response_timeout : float
             Seconds of silence after which the endpoint is given up.
 
         Returns
@@ -124,26 +124,26 @@
         """
         # Silence is judged on the steady clock: a host that was suspended could hear
         # nothing, and has to give an endpoint time to send again.
-        withdrawal = self._timers.until(self._withdrawn_at())
+        deadline = self._timers.until(self._withdrawal_time())
         try:
-            async with withdrawal, asyncio.timeout(patience):
+            async with deadline, asyncio.timeout(response_timeout):
                 head = await self.exchange.read_head()
         except TimeoutError:
-            if withdrawal.expired():
+            if deadline.expired():
                 return self._withdraw()
             self._end("silent")
             self.abort()
-            return SILENT.because(f"no answer in {patience:.3f} s")
+            return SILENT.because(f"no answer in {response_timeout:.3f} s")
         if isinstance(head, Failure):
             self.fail()
             return MAY_HAVE_RUN.because(f"{head.code}: {head.reason}")
         self.head = head
-        self._note_load(head)
+        self._record_load(head)
         if head.status == MISDIRECTED or head.get(self._dialect.not_run) is not None:
-            return await self._refused(head)
+            return await self._handle_refusal(head)
         return head
 
-    def _withdrawn_at(self):
+    def _withdrawal_time(self):
         """Return when the request must have begun, None if there is no such time."""
         if self.place.begin_deadline is None:
             return None
@@ -160,31 +160,33 @@
         version = self.place.weights_version
         return WITHDRAWN.because(f"not begun before version {version} is too old")
 
-    async def read_whole(self, *, patience):
+    async def read_whole(self, *, response_timeout):
         """Read the body of an answer that is passed on as a whole."""
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(response_timeout):
                 answer = await self.exchange.read_whole()
         except TimeoutError:
             self.fail()
-            return SILENT.because(f"no whole answer in {patience:.3f} s")
+            return SILENT.because(f"no whole answer in {response_timeout:.3f} s")
         if isinstance(answer, Failure):
             self.fail()
             return MAY_HAVE_RUN.because(f"{answer.code}: {answer.reason}")
         return answer
 
-    def done(self, *, well):
+    def done(self, *, is_success):
         """The answer is complete; the connection can be used again."""
         seconds = monotonic() - self.sent_at
-        self._end("done" if well else "failed", seconds=seconds if well else None)
-        self._put_back()
+        self._end(
+            "done" if is_success else "failed", seconds=seconds if is_success else None
+        )
+        self._release()
 
     def fail(self):
         """The endpoint broke off or is silent."""
         self._end("failed")
         self.abort()
 
-    def leave(self):
+    def abandon(self):
         """The caller is gone: the endpoint drops what it has of the request."""
         self._end("left")
         self.abort()
@@ -206,35 +208,35 @@
             self.connection.abort()
             self.connection = None
 
-    async def _refused(self, head):
+    async def _handle_refusal(self, head):
         # The body is read so that the connection can be used again: a full engine
         # refuses many, and a new connection for each costs it more than a refusal.
         moved = False
         if head.status == MISDIRECTED:
-            seen = head.get(self._dialect.endpoint_id)
-            moved = seen is not None and seen != self.place.endpoint_id
+            reported = head.get(self._dialect.endpoint_id)
+            moved = reported is not None and reported != self.place.endpoint_id
         body = await self.exchange.read_whole()
         self._end("moved" if moved else "refused")
         if isinstance(body, Failure) or moved:
             self.abort()
         else:
-            self._put_back()
+            self._release()
         return NOT_RUN.because(f"status {head.status}")
 
-    def _put_back(self):
+    def _release(self):
         place = self.place
         self._pool.put_back(place.endpoint_id, self.connection, start=place.incarnation)
         self.connection = None
 
-    def _note_load(self, head):
+    def _record_load(self, head):
         load = head.get(self._dialect.load, "")
         parts = load.split(",")
         if len(parts) == 3 and parts[0].isdigit() and parts[1].isdigit():
-            seen = int(parts[0]) + int(parts[1])
-            self._tell(
+            reported = int(parts[0]) + int(parts[1])
+            self._notify_fleet(
                 LoadSeen(
                     endpoint_id=self.place.endpoint_id,
-                    load=seen,
+                    load=reported,
                     incarnation=self.place.incarnation,
                 )
             )
@@ -247,7 +249,7 @@
         if outcome == "failed" and self.exchange.failure == BROKEN:
             self._on_broken(self)
         if outcome == "unreachable" or self.sent_at is not None:
-            self._tell(
+            self._notify_fleet(
                 Finished(
                     endpoint_id=self.place.endpoint_id,
                     outcome=outcome,
@@ -256,5 +258,5 @@
                 )
             )
 
-    def _tell(self, message):
+    def _notify_fleet(self, message):
         self._fleet.step(message, now=monotonic())
--- a/hawthornspoke/relay/_work.py
+++ b/hawthornspoke/relay/_work.py
@@ -1,7 +1,7 @@
 """One request on its way through the filters."""
 
 
-class Work:
+class RequestContext:
     """What the filters found out about a request, and what became of it.
 
     Parameters
@@ -40,7 +40,7 @@
         "tried",
         "sent",
         "may_have_run",
-        "objection",
+        "rejection",
         "last_response",
         "last_reason",
         "retry_after",
@@ -66,7 +66,7 @@
         self.tried = []
         self.sent = 0
         self.may_have_run = False
-        self.objection = None
+        self.rejection = None
         self.last_response = None
         self.last_reason = ""
         self.retry_after = None
--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -313,7 +313,7 @@
             log=EventLog(node="test"),
             metrics=self.metrics,
         )
-        self.handler.use(self.make_catalog())
+        self.handler.set_catalog(self.make_catalog())
         self.fleet.step(
             CatalogChanged(service_by_name=self.handler.catalog.service_by_name),
             now=0.0,
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -138,7 +138,7 @@
     """
     check(
         name,
-        lambda harness: harness.handler.use(
+        lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, keys={"other": "org"})
         ),
     )
@@ -149,7 +149,7 @@
     """Symptom: a request ran in the name of an organisation that lost its key."""
     check(
         name,
-        lambda harness: harness.handler.use(
+        lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, keys={"k": "someone"})
         ),
     )
@@ -160,7 +160,7 @@
     """Symptom: a request ran on a route that is no longer there."""
     check(
         name,
-        lambda harness: harness.handler.use(
+        lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, without=("once", "again", "stream"))
         ),
     )
@@ -171,7 +171,7 @@
     """Symptom: the service of before ran a request after the change was in force."""
     check(
         name,
-        lambda harness: harness.handler.use(
+        lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, service="other")
         ),
     )
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -55,7 +55,7 @@
 @given(structs(Frame))
 def test_odd_word_of_one_agent_leaves_the_other_engine(frame):
     made, fleet = links()
-    made._take(ADDRESSES[0], Link(), frame)
+    made._on_frame(ADDRESSES[0], Link(), frame)
     ask = Ask(service="s", prompt_tokens=10, tried=(ADDRESSES[0],))
     (answer,) = fleet.step(ask, now=0.1)
     assert isinstance(answer, Place)
@@ -66,7 +66,7 @@
     made, fleet = links()
     for pace in (float("nan"), float("inf"), -1.0):
         state = EngineState(running=0, waiting=0, pace=pace, weights_version=1)
-        made._take(ADDRESSES[0], Link(), Frame(engine_state=state))
+        made._on_frame(ADDRESSES[0], Link(), Frame(engine_state=state))
         assert fleet.endpoint_by_id[ADDRESSES[0]].pace == 1.0
 
 
@@ -80,7 +80,7 @@
     made, _ = links()
     for address, seen in zip(ADDRESSES, (12, 9), strict=True):
         state = EngineState(endpoint_address=address, entry_hosts=seen)
-        made._take(address, Link(), Frame(engine_state=state))
+        made._on_frame(address, Link(), Frame(engine_state=state))
     assert made.entry_hosts() == 12
-    made._forget(ADDRESSES[0])
+    made._remove(ADDRESSES[0])
     assert made.entry_hosts() == 9
--- a/hawthornspoke/relay/tests/test_contact.py
+++ b/hawthornspoke/relay/tests/test_contact.py
@@ -31,8 +31,8 @@
 def test_host_sends_callers_elsewhere_before_it_must_refuse_them():
     contact = Contact(keys_valid_for=5.0)
     contact.step(Confirmed(at=0.0), now=0.0)
-    assert contact.steady(now=2.9)
-    assert not contact.steady(now=3.1)
+    assert contact.is_stable(now=2.9)
+    assert not contact.is_stable(now=3.1)
     assert contact.keys_trusted(now=3.1)
 
 
--- a/hawthornspoke/relay/tests/test_events.py
+++ b/hawthornspoke/relay/tests/test_events.py
@@ -21,13 +21,13 @@
             passed += splitter.feed(rest[:size])
             rest = rest[size:]
         assert passed == whole
-        assert not splitter.unfinished()
+        assert not splitter.has_partial_event()
 
 
 def test_part_of_an_event_is_kept_back():
     splitter = EventSplitter()
     assert splitter.feed(event(1) + b"id: 2\nda") == event(1)
-    assert splitter.unfinished()
+    assert splitter.has_partial_event()
     splitter.restart()
     assert splitter.feed(event(2)) == event(2)
 
@@ -35,7 +35,7 @@
 def test_first_event_of_a_resumed_stream_must_follow_the_last():
     splitter = EventSplitter(last_id=7)
     assert splitter.feed(event(9)) == b""
-    assert "event 9 after 7" in splitter.broken
+    assert "event 9 after 7" in splitter.error
 
 
 def test_nothing_is_passed_on_behind_a_gap():
@@ -53,4 +53,4 @@
 def test_bytes_without_an_id_are_no_event():
     splitter = EventSplitter()
     assert splitter.feed(b"rubbish\n\n") == b""
-    assert splitter.broken
+    assert splitter.error
--- a/hawthornspoke/relay/tests/test_incarnations.py
+++ b/hawthornspoke/relay/tests/test_incarnations.py
@@ -132,7 +132,7 @@
         suspects=lone_suspects(fleet),
     )
     state = EngineState(running=2, waiting=1, started_ms=SECOND.started_ms)
-    links._take(entry.address, None, Frame(engine_state=state))
+    links._on_frame(entry.address, None, Frame(engine_state=state))
     assert fleet.endpoint_by_id["e0"].incarnation == SECOND
     assert fleet.endpoint_by_id["e0"].load == 3
 
--- a/hawthornspoke/relay/tests/test_sharing.py
+++ b/hawthornspoke/relay/tests/test_sharing.py
@@ -43,13 +43,13 @@
 
     def connect(self, address):
         self.link_by_address[address] = Link()
-        self.sharing.connected(address, self.link_by_address[address])
-        self.sharing.catch_up()
+        self.sharing.add_agent(address, self.link_by_address[address])
+        self.sharing.rebalance()
 
     def see(self, start, fingerprint="f"):
         ended = EndpointEnded(start=start, fingerprints=(fingerprint,), in_use=9)
         for news in self.quarantine.step(ended, now=monotonic()):
-            self.sharing.tell(news.items)
+            self.sharing.share(news.items)
 
     def addresses_told(self):
         return {address for address, link in self.link_by_address.items() if link.heard}
@@ -69,9 +69,9 @@
     host = Host()
     host.see("e1")
     for address in host.addresses_told():
-        host.sharing.lost(address)
+        host.sharing.remove_agent(address)
         del host.link_by_address[address]
-    host.sharing.catch_up()
+    host.sharing.rebalance()
     assert len(host.addresses_told()) == AGENTS_PER_DOMAIN * len(DOMAINS)
 
 
@@ -82,14 +82,14 @@
     assert host.addresses_told() == {"a/1"}
     for address in ("b/1", "c/1"):
         host.connect(address)
-    host.sharing.catch_up()
+    host.sharing.rebalance()
     assert host.addresses_told() == {"a/1", "b/1", "c/1"}
 
 
 def test_agent_that_started_again_is_told_anew():
     host = Host(agents=1)
     host.see("e1")
-    host.sharing.lost("a/0")
+    host.sharing.remove_agent("a/0")
     host.connect("a/0")
     assert len(host.link_by_address["a/0"].heard) == 1
     assert len(host.link_by_address["b/0"].heard) == 1
@@ -98,8 +98,8 @@
 def test_agent_is_told_once():
     host = Host()
     host.see("e1")
-    host.sharing.catch_up()
-    host.sharing.catch_up()
+    host.sharing.rebalance()
+    host.sharing.rebalance()
     assert all(len(link.heard) <= 1 for link in host.link_by_address.values())
 
 
@@ -107,7 +107,7 @@
     host = Host(agents=1)
     item = Evidence(fingerprint="f", start="e1", deadline=monotonic() + 50)
     host.quarantine.step(EvidenceHeard(items=(item,)), now=monotonic())
-    host.sharing.catch_up()
+    host.sharing.rebalance()
     assert host.addresses_told() == set()
 
 
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -78,7 +78,7 @@
 
     def __init__(self, suspects, refusal):
         self.refusal = refusal
-        self.answered = suspects.answered
+        self.record_answered = suspects.record_answered
 
 
 def test_request_in_quarantine_is_refused_without_being_sent():
@@ -143,7 +143,7 @@
             await asyncio.sleep(0.1)
             at_endpoint = harness.fleet.endpoint_by_id["e0"]
             assert at_endpoint.own_running == 1
-            harness.suspects.heard(evidence_against(fingerprint))
+            harness.suspects.merge_evidence(evidence_against(fingerprint))
             status, head, _, _ = await asyncio.wait_for(asked, 0.5)
             assert status == 502
             assert field(head, "Retry-After") is None
--- a/hawthornspoke/relay/tests/test_telling_agents.py
+++ b/hawthornspoke/relay/tests/test_telling_agents.py
@@ -108,8 +108,8 @@
 def test_agent_that_connects_late_hears_it_too():
     sink, links = connected_sink()
     late = Link()
-    sink.agents._told_by_address.pop("e7:1")
-    sink.agents._tell("e7:1", late)
+    sink.agents._sent_by_address.pop("e7:1")
+    sink.agents._send_directive("e7:1", late)
     assert len(late.heard[0].peers) == ENDPOINTS
 
 
@@ -125,14 +125,14 @@
     follows = {address: [] for address in links}
     for address, link in links.items():
         link.send = lambda frame, at=address: follows[at].append(frame.follows)
-    sink.agents.hear_often(frozenset({"e0:1", "e1:1"}))
+    sink.agents.set_followed(frozenset({"e0:1", "e1:1"}))
     assert follows["e0:1"] == []
     assert follows["e2:1"] == [False]
-    sink.agents.hear_often(frozenset({"e1:1", "e2:1"}))
+    sink.agents.set_followed(frozenset({"e1:1", "e2:1"}))
     assert follows["e0:1"] == [False]
     assert follows["e1:1"] == []
     assert follows["e2:1"] == [False, True]
-    sink.agents.hear_often(frozenset({"e1:1", "e2:1"}))
+    sink.agents.set_followed(frozenset({"e1:1", "e2:1"}))
     assert follows["e0:1"] == [False]
 
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -210,14 +210,15 @@
     Mutation(
         name="agents are told what they know already",
         file="relay/_agents.py",
-        old="if word is None or self._told_by_address.get(address) is word.matters:",
-        new="if word is None:",
+        old="if message is None or self._sent_by_address.get(address) "
+        "is message.relevant:",
+        new="if message is None:",
         test="hawthornspoke/relay/tests/test_telling_agents.py -k in_step",
     ),
     Mutation(
         name="what agents are told is made once an agent",
         file="relay/_agents.py",
-        old="            if service not in word_by_service:\n    ",
+        old="            if service not in directive_by_service:\n    ",
         new="",
         test="hawthornspoke/relay/tests/test_telling_agents.py -k in_step",
     ),
@@ -315,21 +316,21 @@
     Mutation(
         name="after a wait: caller and time not looked at",
         file="relay/_admission.py",
-        old="            failure = self._too_late(work)\n",
+        old="            failure = self._check_caller(context)\n",
         new="            failure = None\n",
         test="hawthornspoke/relay/tests/test_after_a_wait.py -k process_stood_still",
     ),
     Mutation(
         name="after a wait: configuration not looked at",
         file="relay/_admission.py",
-        old="        failure = self._changed(work)\n",
+        old="        failure = self._check_configuration(context)\n",
         new="        failure = None\n",
         test="hawthornspoke/relay/tests/test_after_a_wait.py -k taken_away",
     ),
     Mutation(
         name="after a wait: endpoint not looked at",
         file="relay/_admission.py",
-        old="            if isinstance(answer, Decline):",
+        old="            if isinstance(decision, Decline):",
         new="            if False:",
         test="hawthornspoke/relay/tests/test_after_a_wait.py -k endpoint_that",
     ),
@@ -379,7 +380,7 @@
     Mutation(
         name="poison: entry hosts count alone",
         file="relay/_sharing.py",
-        old="        if items:\n            told = Frame",
+        old="        if items:\n            outgoing = Frame",
         new="        if False:\n            told = Frame",
         test="platform/adapter/tests/test_requests_that_end_engines.py "
         "-k agents_that_started",
@@ -409,21 +410,21 @@
     Mutation(
         name="poison: the third end is not awaited",
         file="relay/_suspects.py",
-        old="        if len(looks) > 1 or",
+        old="        if len(probes) > 1 or",
         new="        if False and",
         test="hawthornspoke/relay/tests/test_suspects.py -k is_awaited",
     ),
     Mutation(
         name="poison: not looked at before the send",
         file="relay/_admission.py",
-        old="            failure = self._suspects.refusal(work.fingerprint)",
+        old="            failure = self._suspects.refusal(context.fingerprint)",
         new="            failure = None",
         test="hawthornspoke/relay/tests/test_suspects.py -k is_waited_for",
     ),
     Mutation(
         name="poison: an answer clears nothing",
         file="relay/_handler.py",
-        old="                    self._suspects.answered(work.fingerprint)",
+        old="                    self._suspects.record_answered(context.fingerprint)",
         new="                    pass",
         test="hawthornspoke/relay/tests/test_suspects.py -k clears",
     ),
