--- a/hawthornspoke/relay/__init__.py
+++ b/hawthornspoke/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The entry host on one event loop: callers straight to endpoints."""
+"""Reverse proxy of an entry host: forwards requests directly to endpoints."""
 
 from hawthornspoke.relay._contact import Confirmed, Contact, ContactLost, Lost
 from hawthornspoke.relay._dialect import Dialect
--- a/hawthornspoke/relay/_choosing.py
+++ b/hawthornspoke/relay/_choosing.py
@@ -1,22 +1,22 @@
-"""Where a request goes, and whether it may be sent once more."""
+"""Endpoint selection for a request, and the decision whether it may be retried."""
 
 from hawthornspoke.base import monotonic
 from hawthornspoke.placing import Ask, Decline
 from hawthornspoke.relay._encoding import RESPONSE_RETURN_TIME
 from hawthornspoke.retries import AskRetry, RetryAllowed, Succeeded
 
-#: Connections tried for one request before it is refused. An endpoint that can't
-#: be reached costs no run, only time.
+#: Connection attempts per request, beyond the attempts of its route, before it is
+#: refused. An unreachable endpoint costs time but doesn't run the request.
 MAX_CONNECTS = 3
 
 
 class EndpointSelector:
-    """Asks the fleet and the retry budgets.
+    """Selects endpoints by the fleet state and the retry budgets.
 
     Parameters
     ----------
     clock : callable
-        Returns the moment on the clock of a request's deadlines.
+        Returns the time on the clock that request deadlines are measured on.
     fleet : Fleet
     budget_for : callable
         Returns the RetryBudget of a service.
@@ -32,13 +32,13 @@
         self._log = log
 
     def select(self, context, connection_attempts):
-        """Return where a request goes next, None if nowhere.
+        """Return the next endpoint for a request, None if there is none.
 
         Parameters
         ----------
         context : RequestContext
-        connects : int
-            How many endpoints were tried for it.
+        connection_attempts : int
+            Number of connections attempted for it so far.
 
         Returns
         -------
@@ -59,7 +59,7 @@
         return result
 
     def select_for_resume(self, context, version):
-        """Return where a stream goes on with the same weights, None if nowhere.
+        """Return an endpoint that can resume a stream with the same weights, if any.
 
         Parameters
         ----------
@@ -72,18 +72,20 @@
         """
         result = self._request_place(context, self.ask(context, same_version=version))
         if isinstance(result, Decline):
-            context.last_reason += f"; no endpoint to go on: {result.reason}"
+            context.last_reason += (
+                f"; no endpoint to resume the stream: {result.reason}"
+            )
             return None
         return result
 
     def ask(self, context, *, same_version=None):
-        """Return the question for an endpoint, as it is at this moment.
+        """Return the placement query for a request, as of now.
 
         Parameters
         ----------
         context : RequestContext
         same_version : int or None, default=None
-            Of the weights that began the stream that is to go on.
+            Weights version of the stream to resume.
         """
         now = self._clock()
         begun = same_version is not None
@@ -99,7 +101,7 @@
         )
 
     def may_retry(self, context):
-        """Tell whether a request may be sent once more."""
+        """Return whether a request may be retried."""
         if context.rejection is not None or context.sent >= context.route.attempts:
             return False
         remaining = context.deadline - self._clock()
@@ -107,9 +109,11 @@
             not context.reply.started
             and remaining < context.deadline - context.resend_deadline
         ):
-            # The caller will have left before a first event can come; an endpoint
-            # would read the prompt for nobody.
-            context.last_reason = f"{context.last_reason}; no time for a first event"
+            # The caller would disconnect before the first event arrives, and the
+            # endpoint would process the prompt for no one.
+            context.last_reason = (
+                f"{context.last_reason}; too little time left for a first event"
+            )
             return False
         now = monotonic()
         message = AskRetry(
@@ -124,7 +128,7 @@
         return False
 
     def record_success(self, context):
-        """Note that a request was answered well."""
+        """Record that a request was answered successfully."""
         context.outcome = "answered"
         self._budget_for(context.service).step(Succeeded(), now=monotonic())
 
--- a/hawthornspoke/relay/_forward.py
+++ b/hawthornspoke/relay/_forward.py
@@ -1,4 +1,4 @@
-"""Forwarding: choose an endpoint, try it, try another where that is allowed."""
+"""Forwards requests: selects an endpoint, and retries at others where allowed."""
 
 from hawthornspoke.base import Failure
 from hawthornspoke.catalog import STREAM
@@ -12,16 +12,16 @@
 )
 from hawthornspoke.relay._try import NOT_RUN
 
-#: Times the expected time to the first token that an endpoint is waited for.
+#: Response timeout of a stream, as a multiple of the expected time to first token.
 EXPECTED_TIME_FACTOR = 3.0
 
-#: Part of the time that a plain service's request has, spent at one endpoint
-#: before a repeatable one is tried elsewhere.
+#: Share of a plain request's remaining time that its first attempt may take before a
+#: repeatable request is tried elsewhere.
 PLAIN_TIMEOUT_SHARE = 0.45
 
 
 class Forwarder:
-    """Runs the tries of requests.
+    """Runs the attempts of requests.
 
     Parameters
     ----------
@@ -75,13 +75,13 @@
         )
 
     async def run(self, context):
-        """Try until the request is answered or given up.
+        """Run attempts until the request is answered or no attempt is allowed.
 
         Parameters
         ----------
         context : RequestContext
-            Says afterwards what happened. A whole answer is left in
-            ``last_response``; a stream has been passed on.
+            Updated with the outcome. A response that is not a stream is stored in
+            ``last_response``; a stream has been forwarded already.
         """
         connection_attempts = 0
         while True:
@@ -102,12 +102,12 @@
                 )
                 await self._sender.wait_for_probes(context)
             finally:
-                # Reached with an open connection only if the task was cancelled:
-                # the caller left, or the request's time is over.
+                # The connection is still open here only if the task was cancelled: the
+                # caller disconnected, or the deadline passed.
                 attempt.abandon()
 
     async def _try(self, context, attempt):
-        """Return whether the request needs no further try."""
+        """Return whether the request needs no further attempt."""
         may_have_run_before = context.may_have_run
         failure = await self._sender.send(context, attempt)
         if failure is not None:
@@ -121,9 +121,9 @@
             context.may_have_run = may_have_run_before or head != NOT_RUN
             return False
         if head.status in SUCCESS and head.get(self._dialect.seal) is None:
-            # No endpoint of ours: bytes of something else at that address.
+            # Not one of our endpoints: another server listens at that address.
             attempt.fail()
-            context.last_reason = "an answer without a seal"
+            context.last_reason = "the response has no seal"
             return False
         if context.route.kind == STREAM and head.status in SUCCESS:
             return await self._streams.forward(context, attempt, head)
@@ -141,7 +141,7 @@
         if is_success:
             self._selector.record_success(context)
             return True
-        context.last_reason = f"endpoint answered {answer.status}"
+        context.last_reason = f"the endpoint responded with status {answer.status}"
         return not (context.route.repeatable and answer.status >= 500)
 
     def _response_timeout(self, context, place):
@@ -157,5 +157,5 @@
         return max(0.0, min(remaining, desired))
 
     def response_headers(self, response):
-        """Return the fields of an endpoint's answer that callers get."""
+        """Return the header fields of an endpoint's response that callers receive."""
         return self._encoder.response_headers(response)
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -1,11 +1,11 @@
-"""Connecting to an endpoint and sending a request there, after one last look."""
+"""Sends requests to endpoints, rechecking them right before the write."""
 
 from hawthornspoke.base import Failure
 from hawthornspoke.relay._try import Attempt
 
 
 class Sender:
-    """Sends requests.
+    """Connects to endpoints and sends requests to them.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
         self._log = log
 
     def create_attempt(self, context, place):
-        """Return a Try of a request at a place."""
+        """Return a new Attempt of a request at a place."""
         return Attempt(
             place=place,
             pool=self._pool,
@@ -68,25 +68,25 @@
         )
 
     async def send(self, context, attempt, *, last_event=None, version=None):
-        """Send a request, the first time, once more, or for the rest of a stream.
+        """Send a request: its first attempt, a retry, or the resumption of a stream.
 
         Parameters
         ----------
         context : RequestContext
-        attempt : Try
+        attempt : Attempt
         last_event, version : int or None, default=None
-            After which event a stream goes on, and of which weights.
+            Id of the last event received and weights version of a stream to resume.
 
         Returns
         -------
         None or Failure
-            If not a byte of it has left.
+            A failure if nothing was sent.
         """
         failure = await attempt.connect()
         if failure is not None:
             return failure
-        # Nothing is waited for from here to the write, and all that takes time but
-        # decides nothing comes before the last look.
+        # There is no await from here to the write. Encoding takes time but decides
+        # nothing, so it precedes the recheck.
         data = self._encoder.encode(
             context, attempt.place, last_event=last_event, version=version
         )
@@ -106,13 +106,13 @@
             return failure
         self._suspects.sent(context.fingerprint, attempt)
         context.sent += 1
-        # From here on the endpoint may run it, also when nothing is heard any more
-        # before the request's time is over; only its own word takes that back.
+        # From here on the endpoint may run the request, even if it never responds
+        # before the deadline; only an explicit refusal by the endpoint clears this.
         context.may_have_run = True
         return None
 
     async def wait_for_probes(self, context):
-        """Wait until it is known what a try that failed means for the request."""
+        """Wait for the endpoint probes that decide on retrying a failed request."""
         await self._suspects.wait_for_probes(context.fingerprint)
 
     def _on_connection_broken(self, context, attempt):
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -1,4 +1,4 @@
-"""What the platform's reader tells, and what follows from it."""
+"""Applies the state that is read from the platform."""
 
 from hawthornspoke.base import contact_clock, monotonic
 from hawthornspoke.catalog import UNKNOWN, age_of
@@ -15,7 +15,7 @@
 
 
 class Sink:
-    """Takes the platform's word and passes it on to all that decide by it.
+    """Receives platform state and updates the components that depend on it.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
     pool : ConnectionPool
     handler : Handler
     front : HttpServer
-        Takes callers' requests.
+        Serves callers' requests.
     neighbours : Neighbours
     suspects : Suspects
     log : EventLog
@@ -36,7 +36,7 @@
     Attributes
     ----------
     settings : RelaySettings
-        Replaced when they are read again.
+        Replaced when the settings are reloaded.
     entries : tuple of EndpointEntry
     agents : AgentLinks
     """
@@ -94,7 +94,7 @@
         self._neighbours = neighbours
 
     def on_catalog(self, catalog):
-        """Take a configuration; one that is not newer changes nothing."""
+        """Apply a configuration; one that is not newer is ignored."""
         known = self._handler.catalog
         if known is not None and catalog.revision <= known.revision:
             return
@@ -117,7 +117,7 @@
         self._update_agents()
 
     def on_entries(self, entries):
-        """Take the platform's whole list of endpoints."""
+        """Apply the platform's complete list of endpoints."""
         listed = EndpointsListed(
             entries=tuple(entries),
             contact_regained_at=monotonic()
@@ -147,15 +147,15 @@
         self._update_agents()
 
     def on_declared(self, declared, *, written_at=UNKNOWN, known_until=UNKNOWN):
-        """Take declared weights.
+        """Apply declared weights.
 
         Parameters
         ----------
         declared : DeclaredWeights
         written_at : float, default=UNKNOWN
-            A moment on the contact clock before which they were not declared.
+            Time on the contact clock before which they were not declared.
         known_until : float, default=UNKNOWN
-            A moment on it until which all declarations were known.
+            Time on the contact clock until which all declarations were known.
         """
         before = self._fleet.declared.latest(declared.model)
         message = WeightsDeclared(
@@ -177,13 +177,13 @@
         self.agents.send_directives()
 
     def on_dated(self, model, moments):
-        """Take when versions were declared that were found without a moment.
+        """Apply declaration times of versions that were read without one.
 
         Parameters
         ----------
         model : str
         moments : tuple of (int, float)
-            Versions and moments on the contact clock before which they were not
+            Versions and the times on the contact clock before which they were not
             declared.
         """
         self._fleet.step(WeightsDated(model=model, moments=moments), now=monotonic())
@@ -192,23 +192,23 @@
             self.log.change(
                 "weights_dated", model=model, version=version, age=age_of(at, now)
             )
-        # Agents plan by the moment, and tell it to hosts that start later.
+        # Agents schedule by these times and report them to hosts that start later.
         self.agents.send_directives()
 
     def on_confirmed(self, at):
-        """Take that the platform answered; ``at`` is on the contact clock."""
+        """Record a response of the platform; ``at`` is on the contact clock."""
         self._log_contact_change(
             self._contact.step(Confirmed(at=at), now=contact_clock()), "regained"
         )
 
     def on_contact_lost(self, reason):
-        """Take that the platform could not be read."""
+        """Record that the platform could not be read."""
         self._log_contact_change(
             self._contact.step(Lost(reason=reason), now=contact_clock()), "lost"
         )
 
     def directive_for(self, service):
-        """Return what the agents of a service are told, None if nothing."""
+        """Return the directive for the agents of a service, None if there is none."""
         engine = self._engine_by_service().get(service)
         if engine is None:
             return None
@@ -244,8 +244,8 @@
         engines = self._engine_by_service()
         service_by_address = {}
         for entry in self.entries:
-            # Where two entries have one address, the agent there is told what the
-            # first one's service needs.
+            # If two entries share an address, the agent there gets the directive for
+            # the service of the first one.
             service_by_address.setdefault(entry.address, entry.service)
         self.agents.set_endpoints(
             {
@@ -258,11 +258,12 @@
         self.agents.send_directives()
 
     def _peers(self, service):
-        """Return the endpoints of a service that agents are told of.
+        """Return the endpoints of a service that directives list, None to omit them.
 
-        Each entry host tells each agent. Were the list in all of these messages,
-        34 hosts would send 110 KB to each agent for one endpoint that came or went,
-        a quarter of a second of its link; so only hosts that read the platform do.
+        Every entry host sends directives to every agent. If all of them contained the
+        list, 34 hosts would send 110 KB to each agent whenever an endpoint is added
+        or removed, which takes its link a quarter of a second. So only hosts that
+        read the platform directly include the list.
         """
         if self._neighbours.reader() is not None:
             return None
--- a/hawthornspoke/relay/_streams.py
+++ b/hawthornspoke/relay/_streams.py
@@ -1,20 +1,20 @@
-"""Passing streams on, and going on elsewhere where one was cut."""
+"""Forwards event streams, and resumes interrupted ones at another endpoint."""
 
 import asyncio
 
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.relay._events import EventSplitter
 
-#: Seconds of silence after which a repeatable request is tried elsewhere. An
-#: engine that works sends a first token within some hundred milliseconds and an
-#: event each 50 to 150 ms; callers leave a stream that is silent for 2.4 s.
+#: Seconds without data after which a repeatable request is tried elsewhere. A
+#: healthy engine sends its first token within some hundred milliseconds and an event
+#: every 50 to 150 ms; callers abandon a stream that sends nothing for 2.4 s.
 MIN_RESPONSE_TIMEOUT = 1.2
 
 SUCCESS = range(200, 300)
 
 
 class StreamForwarder:
-    """Passes events on, whole ones only.
+    """Forwards complete events of a stream to the caller.
 
     Parameters
     ----------
@@ -33,19 +33,19 @@
         self._dialect = dialect
 
     async def forward(self, context, attempt, head):
-        """Pass a stream on to the caller, from as many endpoints as that takes.
+        """Forward a stream to the caller, resuming it at other endpoints if needed.
 
         Parameters
         ----------
         context : RequestContext
-        attempt : Try
-            Where it has begun.
+        attempt : Attempt
+            The attempt that started the stream.
         head : Response
 
         Returns
         -------
         bool
-            Whether the request needs no further try.
+            Whether the request needs no further attempt.
         """
         splitter = EventSplitter(last_id=_last_event_id(context.request, self._dialect))
         try:
@@ -58,7 +58,7 @@
                 attempt.fail()
                 await self._sender.wait_for_probes(context)
                 if not context.reply.started:
-                    # Not an event has been passed on: it can start anew elsewhere.
+                    # No event was forwarded: the request can start anew elsewhere.
                     return False
                 attempt = await self._resume(context, head, splitter)
         finally:
@@ -69,7 +69,7 @@
         return True
 
     async def _forward_events(self, context, attempt, head, splitter):
-        """Pass events on; return whether the stream is complete."""
+        """Forward events; return whether the stream is complete."""
         while True:
             try:
                 async with asyncio.timeout(MIN_RESPONSE_TIMEOUT):
@@ -77,14 +77,14 @@
             except TimeoutError:
                 if not context.route.repeatable:
                     continue
-                context.last_reason = f"no event in {MIN_RESPONSE_TIMEOUT:g} s"
+                context.last_reason = f"no event within {MIN_RESPONSE_TIMEOUT:g} s"
                 return False
             if isinstance(data, Failure):
                 context.last_reason = f"{data.code}: {data.reason}"
                 return False
             if not data:
                 if splitter.has_partial_event():
-                    context.last_reason = "the stream ended within an event"
+                    context.last_reason = "the stream ended in the middle of an event"
                 return not splitter.has_partial_event() and context.reply.started
             events = splitter.feed(data)
             if events:
@@ -101,7 +101,7 @@
         context.reply.start(head.status, self._encoder.response_headers(head))
 
     async def _resume(self, context, head, splitter):
-        """Go on at another endpoint with the same version of the weights."""
+        """Resume at another endpoint with the same weights version."""
         version = head.get(self._dialect.versions, "")
         if not (context.route.repeatable and version.isdigit()):
             return None
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -97,7 +97,7 @@
         Parameters
         ----------
         fingerprint : str
-        attempt : Try
+        attempt : Attempt
         """
         self._attempts_by_fingerprint.setdefault(fingerprint, set()).add(attempt)
 
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -1,4 +1,4 @@
-"""One try at one endpoint: connect, send, read the head."""
+"""One attempt at one endpoint: connect, send, read the response head."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from hawthornspoke.httpio import BROKEN
 from hawthornspoke.placing import Finished, LoadSeen, Sent
 
-#: Statuses by which an endpoint may say that it has not run a request.
+#: Status of an endpoint that did not run a request meant for another endpoint.
 MISDIRECTED = 421
 
 UNREACHABLE = Failure(code="unreachable")
@@ -18,7 +18,7 @@
 
 
 class Attempt:
-    """A request at one endpoint, from the connection to its end.
+    """An attempt to run a request at one endpoint, from connecting to completion.
 
     Parameters
     ----------
@@ -28,9 +28,9 @@
     dialect : Dialect
     timers : Timers
     on_broken : callable
-        Called with the try if the endpoint broke off its connection.
+        Called with the attempt if the endpoint closed the connection early.
     on_ended : callable
-        Called with the try when it is over.
+        Called with the attempt when it has ended.
     """
 
     __slots__ = (
@@ -63,12 +63,12 @@
         self._ended = False
 
     async def connect(self):
-        """Get a connection.
+        """Acquire a connection from the pool.
 
         Returns
         -------
         None or Failure
-            ``UNREACHABLE`` if no byte of the request has left.
+            ``UNREACHABLE`` if the connection failed; nothing was sent.
         """
         connection = await self._pool.acquire(
             self.place.endpoint_id, self.place.address, start=self.place.incarnation
@@ -91,11 +91,11 @@
         Returns
         -------
         None or Failure
-            ``CONNECTION_LOST`` if no byte of the request has left.
+            ``CONNECTION_LOST`` if the connection had ended; nothing was sent.
         """
         if self.connection.has_ended():
-            # It was closed after it was there, and this task goes on only now. Bytes
-            # written to it would count as sent.
+            # The connection was closed between its acquisition and this write. Bytes
+            # written to it would be counted as sent.
             self.abort()
             return CONNECTION_LOST
         self.sent_at = monotonic()
@@ -110,20 +110,20 @@
         return None
 
     async def read_head(self, *, response_timeout):
-        """Wait for the head of the answer.
+        """Wait for the response head.
 
         Parameters
         ----------
         response_timeout : float
-            Seconds of silence after which the endpoint is given up.
+            Seconds without a response head after which the attempt is aborted.
 
         Returns
         -------
         Response or Failure
-            ``NOT_RUN`` is a promise; the other failures are none.
+            Only ``NOT_RUN`` guarantees that the endpoint did not run the request.
         """
-        # Silence is judged on the steady clock: a host that was suspended could hear
-        # nothing, and has to give an endpoint time to send again.
+        # The response timeout uses the monotonic clock: a suspended host receives
+        # nothing, so an endpoint needs the remaining time after the host resumes.
         deadline = self._timers.until(self._withdrawal_time())
         try:
             async with deadline, asyncio.timeout(response_timeout):
@@ -133,7 +133,7 @@
                 return self._withdraw()
             self._end("silent")
             self.abort()
-            return SILENT.because(f"no answer in {response_timeout:.3f} s")
+            return SILENT.because(f"no response head within {response_timeout:.3f} s")
         if isinstance(head, Failure):
             self.fail()
             return MAY_HAVE_RUN.because(f"{head.code}: {head.reason}")
@@ -144,37 +144,39 @@
         return head
 
     def _withdrawal_time(self):
-        """Return when the request must have begun, None if there is no such time."""
+        """Return the time by which the request must have started, None if unlimited."""
         if self.place.begin_deadline is None:
             return None
-        # The place was looked at just before the send, on the steady clock.
+        # The deadline was computed on the monotonic clock just before sending.
         return self._timers.clock() + self.place.begin_deadline - monotonic()
 
     def _withdraw(self):
-        # That the request begins in time was expected when it was sent. An engine
-        # that a dozen entry hosts fill at once begins it a second later, on weights
-        # that are then too old; an engine drops what it has not begun when the
-        # connection closes. It is no fault of the engine's.
+        # The request was expected to start in time when it was sent. An engine that a
+        # dozen entry hosts fill at once starts it a second later, on weights that are
+        # too old by then. Closing the connection makes the engine drop a request that
+        # has not started. This doesn't count as a failure of the engine.
         self._end("left")
         self.abort()
         version = self.place.weights_version
-        return WITHDRAWN.because(f"not begun before version {version} is too old")
+        return WITHDRAWN.because(
+            f"not started before weights version {version} expired"
+        )
 
     async def read_whole(self, *, response_timeout):
-        """Read the body of an answer that is passed on as a whole."""
+        """Read the body of a response that is not streamed."""
         try:
             async with asyncio.timeout(response_timeout):
                 answer = await self.exchange.read_whole()
         except TimeoutError:
             self.fail()
-            return SILENT.because(f"no whole answer in {response_timeout:.3f} s")
+            return SILENT.because(f"incomplete response after {response_timeout:.3f} s")
         if isinstance(answer, Failure):
             self.fail()
             return MAY_HAVE_RUN.because(f"{answer.code}: {answer.reason}")
         return answer
 
     def done(self, *, is_success):
-        """The answer is complete; the connection can be used again."""
+        """End the attempt after a complete response; release the connection."""
         seconds = monotonic() - self.sent_at
         self._end(
             "done" if is_success else "failed", seconds=seconds if is_success else None
@@ -182,17 +184,17 @@
         self._release()
 
     def fail(self):
-        """The endpoint broke off or is silent."""
+        """End the attempt after a broken connection or a timeout."""
         self._end("failed")
         self.abort()
 
     def abandon(self):
-        """The caller is gone: the endpoint drops what it has of the request."""
+        """Close the connection, so that the endpoint drops an unfinished request."""
         self._end("left")
         self.abort()
 
     def withdraw(self, failure):
-        """Take the request back; whoever waits for its answer gets a failure.
+        """Cancel the request; a task waiting for the response gets the failure.
 
         Parameters
         ----------
@@ -203,14 +205,14 @@
         self.abort()
 
     def abort(self):
-        """Close the connection, if there still is one."""
+        """Close the connection if it is still held."""
         if self.connection is not None:
             self.connection.abort()
             self.connection = None
 
     async def _handle_refusal(self, head):
-        # The body is read so that the connection can be used again: a full engine
-        # refuses many, and a new connection for each costs it more than a refusal.
+        # The body is read so that the connection can be reused: a full engine refuses
+        # many requests, and a new connection costs it more than a refusal.
         moved = False
         if head.status == MISDIRECTED:
             reported = head.get(self._dialect.endpoint_id)
