--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -1,15 +1,15 @@
-"""Whether a request may run now: asked when it comes, and again before each send."""
+"""Admission checks of requests: on arrival, and again before each send."""
 
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.catalog import RouteTable
 from hawthornspoke.placing import Decline, Recheck
 
-#: Seconds after which callers return to a host that knows no configuration yet,
-#: or can't tell whether their key is still valid: the time of a short outage.
+#: Retry-After in seconds while this host has no configuration yet, or can't confirm
+#: that a key is still valid: the duration of a short outage.
 UNCONFIRMED_RETRY_AFTER = 0.5
 
-#: Seconds after which a caller returns whose route or key changed on the way: at
-#: once, since what is in force now is known here.
+#: Retry-After in seconds if the route or key changed while a request was handled:
+#: almost at once, since this host has the new configuration.
 CHANGED_RETRY_AFTER = 0.05
 
 CALLER_LEFT = Failure(code="caller_left")
@@ -19,12 +19,12 @@
 )
 CONFIGURATION_CHANGED = Failure(code="configuration_changed")
 
-#: Only this endpoint can't have it; another one may.
+#: The request can't be sent to this endpoint, but may be sent to another one.
 ENDPOINT_CHANGED = Failure(code="endpoint_changed")
 
 
 class Admission:
-    """Holds the configuration in force, and says what stands against a request.
+    """Holds the active configuration and decides whether requests are admitted.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
     contact : Contact
     suspects : Suspects
     clock : callable
-        Goes on while the host is suspended; deadlines of requests are on it.
+        Clock of request deadlines; includes the time for which the host is suspended.
     """
 
     __slots__ = (
@@ -56,12 +56,12 @@
         self._suspects = suspects
 
     def set_catalog(self, catalog):
-        """Put a configuration in force; the switch is one assignment each."""
+        """Activate a configuration; each attribute is replaced in one assignment."""
         self._routes = RouteTable(routes=catalog.routes)
         self.catalog = catalog
 
     def contact_age(self):
-        """Return the age of the platform's word in seconds, None if none."""
+        """Return the age of the last platform confirmation in seconds, None if none."""
         return self._contact.age(now=self.clock())
 
     def identify(self, context):
@@ -70,12 +70,12 @@
         Parameters
         ----------
         context : RequestContext
-            Gets both.
+            Receives both.
 
         Returns
         -------
         None or tuple of (int, str, float or None)
-            Status, reason and seconds to come back after, of a refusal.
+            Status, reason and Retry-After in seconds of a refusal.
         """
         context.catalog = self.catalog
         context.route = self._find_route(context)
@@ -91,26 +91,26 @@
         return None
 
     def recheck(self, context, *, ask, place):
-        """Say whether a request may be sent to a place at this moment.
+        """Check whether a request may still be sent to a place.
 
-        The process can have stood still since the place was chosen, or a connection
-        was waited for. Then the task goes on before the loop has seen the caller's
-        close, the timer of its deadline, or the time without the platform's word;
-        an endpoint would run what nobody waits for, or what is no longer allowed.
-        So this is called directly before the bytes are written, with nothing waited
-        for in between; what passes fastest is looked at last.
+        The process may have stalled, or waited for a connection, since the place was
+        selected. The task then resumes before the event loop has processed the
+        caller's disconnect, the deadline timer or the loss of the platform, and an
+        endpoint would run a request that is abandoned or no longer allowed. So this
+        is called directly before the bytes are written, without an await in between,
+        and checks the most short-lived conditions last.
 
         Parameters
         ----------
         context : RequestContext
-            Gets an ``objection`` if no endpoint may have it any more.
+            Its ``rejection`` is set if no endpoint may run it any more.
         ask : Ask
         place : Place
 
         Returns
         -------
         Place or Failure
-            The place as it is now; ``ENDPOINT_CHANGED`` if another may do.
+            The updated place; ``ENDPOINT_CHANGED`` if another endpoint may be used.
         """
         failure = self._check_configuration(context)
         if failure is None:
@@ -135,7 +135,7 @@
         return None
 
     def _check_configuration(self, context):
-        """Return a Failure if what was in force for a request is so no longer."""
+        """Return a Failure if the current configuration doesn't allow a request."""
         is_keyed = context.organisation is not None
         if is_keyed and not self._contact.keys_trusted(now=self.clock()):
             return KEY_NOT_CONFIRMED
@@ -168,7 +168,7 @@
         return not route.public and bool(self.catalog.organisation_by_key)
 
     def _deny(self, status, reason):
-        """Return a refusal for good, or one for now if the configuration is old."""
+        """Return a permanent refusal, or a temporary one if it can't be confirmed."""
         if self._contact.may_deny(now=self.clock()):
             return status, reason, None
         return 503, f"{reason}_not_confirmed", UNCONFIRMED_RETRY_AFTER
--- a/hawthornspoke/relay/_agents.py
+++ b/hawthornspoke/relay/_agents.py
@@ -1,4 +1,4 @@
-"""Links from an entry host to the agents beside engines."""
+"""Connections from an entry host to the agents of engines."""
 
 import asyncio
 import math
@@ -12,13 +12,13 @@
 
 CONNECT_TIMEOUT = 1.0
 
-#: Seconds between two tries to reach an agent, at the least and at the most. All
-#: hosts of a failure domain may start at once, so the pause is drawn at random.
+#: Minimum and maximum seconds between two connection attempts to an agent. The delay
+#: is random, since all hosts of a failure domain may start at once.
 RECONNECT_PAUSE = (0.3, 0.9)
 
 
 class _EncodedDirective:
-    """What all agents of a service are told, and its bytes once they are needed."""
+    """A directive for the agents of a service, encoded on first use."""
 
     __slots__ = ("directive", "relevant", "_encoded")
 
@@ -28,32 +28,32 @@
         self._encoded = None
 
     def encoded(self):
-        """Return it as the bytes that are sent."""
+        """Return the encoded frame."""
         if self._encoded is None:
             self._encoded = PeerConnection.encode(Frame(directive=self.directive))
         return self._encoded
 
 
 class AgentLinks:
-    """Keeps one connection to each agent: directives out, engine states in.
+    """Keeps a connection to each agent; sends directives, receives engine states.
 
     Parameters
     ----------
     port : int
-        On which agents listen.
+        Port on which agents listen.
     failure_domain : str
         Failure domain of this host.
     fleet : Fleet
     log : EventLog
     directive_for : callable
         Returns the Directive for the agents of a service's endpoints, None if there
-        is nothing to tell yet.
+        is none yet.
     on_entry_hosts : callable
         Called with an agent's address and the entry hosts that it sees.
     suspects : Suspects
-        Shares with agents which requests end endpoints.
+        Exchanges evidence of poison requests with agents.
     arrived_after : callable, default=contact_clock
-        Returns a moment after which what is read now has arrived.
+        Returns a time after which the data being read now has arrived.
     """
 
     __slots__ = (
@@ -105,12 +105,12 @@
         self._entry_hosts_by_agent = {}
 
     def set_endpoints(self, service_by_address):
-        """Keep links to exactly the agents of these endpoints.
+        """Keep connections to exactly the agents of these endpoints.
 
         Parameters
         ----------
         service_by_address : dict of str to str
-            By ``IP:PORT`` of the endpoints that have an agent.
+            Services by ``IP:PORT`` of the endpoints that have an agent.
         """
         self._service_by_address = wanted = service_by_address
         for address in list(self._task_by_address):
@@ -124,17 +124,17 @@
                 self._task_by_address[address] = task
 
     def entry_hosts(self):
-        """Return how many entry hosts there seem to be, None if no agent told.
+        """Return the estimated number of entry hosts, None if no agent reported one.
 
         Returns
         -------
         int or None
-            The most that an agent sees; one that is cut off sees too few.
+            The maximum over all agents; one that is cut off sees too few.
         """
         return max(self._entry_hosts_by_agent.values(), default=None)
 
     def send_directives(self):
-        """Send every agent what it has to know now."""
+        """Send the current directive to every agent that lacks it."""
         directive_by_service = {}
         for address, link in self._link_by_address.items():
             service = self._service_by_address.get(address)
@@ -143,19 +143,19 @@
             self._send_if_changed(address, link, directive_by_service[service])
 
     def set_followed(self, followed):
-        """Tell agents which of them have to tell each change of their load.
+        """Tell agents which of them should report each change of their load.
 
         Parameters
         ----------
         followed : frozenset of str
-            Addresses of their endpoints.
+            Addresses of the endpoints whose load is followed.
         """
         self._followed_addresses = followed
         for address, link in self._link_by_address.items():
             self._send_follows(address, link)
 
     def close(self):
-        """End all links."""
+        """Close all connections."""
         for task in self._task_by_address.values():
             task.cancel()
 
@@ -163,7 +163,7 @@
         if self._followed_addresses is None:
             return
         follows = address in self._followed_addresses
-        # An agent that was told nothing tells all.
+        # An agent reports each change by default.
         if self._sent_follows_by_address.get(address, True) != follows:
             self._sent_follows_by_address[address] = follows
             link.send(Frame(follows=follows))
@@ -174,21 +174,20 @@
         )
 
     def _encode_directive(self, service):
-        """Return what the agents of a service have to know now, None if nothing.
+        """Return the current directive for the agents of a service, None if none.
 
-        It is made once for all of them. Made for each, with a part for each
-        endpoint, one change of the list held up all requests for 1.2 s at 960
-        endpoints, as measured.
+        It is built once per service. Built per agent, with a part for each endpoint,
+        one change of the list blocked all requests for 1.2 s at 960 endpoints.
         """
         directive = self._directive_for(service)
         if directive is None:
             return None
-        # The list of endpoints changes with each load of weights; agents need to
-        # hear only of changes of what they act on, and links are narrow.
+        # The list of endpoints changes with each load of weights. Links are narrow, so
+        # agents are only sent changes of the fields that they act on.
         relevant = _relevant_fields(directive)
         known = self._relevant_by_service.get(service)
         if known == relevant:
-            # The one object, so that comparing it for each agent takes no time.
+            # Reuse the same object, so that it can be compared by identity per agent.
             relevant = known
         self._relevant_by_service[service] = relevant
         return _EncodedDirective(directive=directive, relevant=relevant)
@@ -220,8 +219,8 @@
     async def _serve_link(self, address, link, closed):
         self._link_by_address[address] = link
         self._log.change("agent_connected", agent=address)
-        # Sent before any directive, since directives require a configuration: the
-        # agent replies with the neighbours from which it can be read.
+        # Sent first, since directives require a configuration: the agent replies with
+        # the neighbours from which the configuration can be read.
         link.send(Frame(entry_domain=self._failure_domain))
         self._send_directive(address, link)
         self._send_follows(address, link)
@@ -290,10 +289,10 @@
 
 
 def _pace(told):
-    """Return how many times slower than usual an engine is, 1 if that is unknown.
+    """Return the slowdown factor of an engine, 1 if unknown.
 
-    Compared with a time that is no number nothing is sooner or later, and requests
-    would be placed, or refused, at random.
+    Comparisons with NaN are always false, so requests would be placed or refused
+    arbitrarily.
     """
     is_known = told is not None and math.isfinite(told) and told > 0
     return told if is_known else 1.0
--- a/hawthornspoke/relay/_contact.py
+++ b/hawthornspoke/relay/_contact.py
@@ -1,24 +1,24 @@
-"""How long ago the platform's word was last known to be true: a state machine."""
+"""State machine for the age of the last confirmation from the platform."""
 
 from dataclasses import dataclass
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 
-#: Part of the time for which keys are trusted after which a host that has heard
-#: nothing sends its callers elsewhere. Answers come every two seconds, so one late
-#: answer is no reason yet.
+#: Share of ``keys_valid_for`` after which a host without a confirmation directs its
+#: callers to other hosts. Responses arrive every two seconds, so that a single late
+#: one doesn't trigger this.
 STABLE_SHARE = 0.6
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Confirmed:
-    """The platform answered.
+    """The platform responded.
 
     Parameters
     ----------
     at : float
-        A moment at which what this process believes was true: the earliest at
-        which the platform may have made its answer.
+        Time at which the state known to this process was current: the earliest time
+        at which the platform can have produced its response.
     """
 
     at: float
@@ -45,30 +45,31 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ContactLost:
-    """The platform can't be read."""
+    """The platform can no longer be read."""
 
     reason: str
 
 
 @MACHINES.register("contact")
 class Contact(Machine):
-    """Tells whether keys may still be trusted.
+    """Decides whether API keys may still be trusted.
 
-    A key can be revoked while this host is cut off. One would notice by requests
-    that run long after the operators were told that the key is dead. So keys are
-    refused once the platform's word is too old, whoever's fault that is.
+    A key can be revoked while this host is cut off from the platform, and requests
+    with it would run long after the operators were told that it is revoked. So keys
+    are refused once the last confirmation is too old, whatever the cause.
 
     Parameters
     ----------
     keys_valid_for : float, default=4.6
-        Seconds after a confirmation for which keys are trusted. Revocations bind
-        after 5 s, and a request needs some time from the check to the endpoint.
+        Seconds after a confirmation for which keys are trusted. Revocations take
+        effect within 5 s, and a request needs some time from the check to the
+        endpoint.
     changes_bind_after : float, default=2.0
         Seconds after which a change of the configuration has to be in force.
 
     Notes
     -----
-    ``now`` must be on a clock that goes on while the host is suspended.
+    ``now`` must be on a clock that includes the time for which the host is suspended.
     """
 
     __slots__ = (
@@ -91,7 +92,7 @@
         self.regained_at = float("-inf")
 
     def on_confirmed(self, message, *, now):
-        """Take an answer of the platform."""
+        """Record a response of the platform."""
         if self.confirmed_at is None or message.at > self.confirmed_at:
             self.confirmed_at = message.at
         if self.connected is False:
@@ -102,12 +103,12 @@
         return [ContactRegained(silent_for=round(now - self.confirmed_at, 3))]
 
     def on_lost(self, message, *, now):
-        """Take that a call failed."""
+        """Record a failed call to the platform."""
         changed, self.connected = self.connected is not False, False
         return [ContactLost(reason=message.reason)] if changed else []
 
     def keys_trusted(self, *, now):
-        """Tell whether a key that is known may be used.
+        """Return whether a known key may be used.
 
         Parameters
         ----------
@@ -120,11 +121,12 @@
         return self._heard_within(self.keys_valid_for, now)
 
     def may_deny(self, *, now):
-        """Tell whether what is not in the configuration may be refused for good.
+        """Return whether an unknown key or route may be refused permanently.
 
-        A key or a route may have been added since the platform's last word. A caller
-        that is told so is not to return, so a host whose word is older than changes
-        may take says that it can't tell, and the caller goes to another one.
+        A key or a route may have been added since the last confirmation, and callers
+        don't retry after a permanent refusal. A host whose confirmation is older than
+        ``changes_bind_after`` refuses temporarily instead, so that the caller tries
+        another host.
 
         Parameters
         ----------
@@ -137,7 +139,7 @@
         return self._heard_within(self.changes_bind_after, now)
 
     def is_stable(self, *, now):
-        """Tell whether callers had better stay at this host.
+        """Return whether callers should keep using this host.
 
         Parameters
         ----------
@@ -146,8 +148,8 @@
         Returns
         -------
         bool
-            False some time before keys are no longer trusted: the balancer needs
-            two seconds to send new callers elsewhere.
+            False some time before keys are no longer trusted: the load balancer needs
+            two seconds to direct new callers elsewhere.
         """
         return self._heard_within(self.keys_valid_for * STABLE_SHARE, now)
 
@@ -155,7 +157,7 @@
         return self.confirmed_at is not None and now < self.confirmed_at + seconds
 
     def age(self, *, now):
-        """Return the age of the platform's word in seconds, None if none."""
+        """Return the age of the last confirmation in seconds, None if none."""
         return None if self.confirmed_at is None else round(now - self.confirmed_at, 3)
 
     def dump(self, *, now):
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -1,4 +1,4 @@
-"""The filters that a request passes, in order, and its final answer."""
+"""Request handling: the checks in their order, and the final response."""
 
 import asyncio
 
@@ -8,24 +8,24 @@
 from hawthornspoke.relay._admission import CALLER_LEFT, UNCONFIRMED_RETRY_AFTER
 from hawthornspoke.relay._work import RequestContext
 
-#: Milliseconds by which a caller's first deadline varies. One that has less time
-#: than others on its route has spent it on an earlier try.
+#: Tolerance in milliseconds between the initial deadlines of callers on a route. A
+#: request with less time than that has spent it on an earlier attempt.
 DEADLINE_JITTER_MS = 150
 
-#: Callers' deadlines that are remembered for that: the longest on each route.
+#: Seconds assumed as the deadline of a request that gives none.
 ASSUMED_DEADLINE = 30.0
 
-#: Seconds before a stream's caller leaves from which its request is not sent once
-#: more. A link that is full delays it by half a second and more, and a
-#: first event takes some 0.2 s.
+#: Minimum seconds left, before the caller of a stream gives up, for its request to be
+#: sent again. A saturated link delays it by half a second or more, and the first event
+#: takes about 0.2 s.
 MIN_RESEND_TIME = 0.7
 
-#: Seconds after which a caller returns to another host when this one stops.
+#: Retry-After in seconds while this host shuts down; callers then reach another one.
 SHUTDOWN_RETRY_AFTER = 0.05
 
 
 class Handler:
-    """Authenticates, authorises, sets deadlines, forwards, answers.
+    """Authenticates, authorises and forwards requests, and responds to callers.
 
     Parameters
     ----------
@@ -65,11 +65,11 @@
 
     @property
     def catalog(self):
-        """The configuration in force, None before the first."""
+        """The active configuration, None before the first one is read."""
         return self._admission.catalog
 
     def set_catalog(self, catalog):
-        """Put a configuration in force."""
+        """Activate a configuration."""
         self._admission.set_catalog(catalog)
 
     async def __call__(self, request, reply):
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that end endpoints: what this host sees of them, and which it refuses."""
+"""Detection and quarantine of poison requests, which crash endpoints."""
 
 import asyncio
 import collections
@@ -18,15 +18,15 @@
 
 QUARANTINED = Failure(code="quarantined")
 
-#: Seconds for an endpoint's host to say whether a process listens there still.
+#: Seconds to find out whether an endpoint still accepts connections.
 PROBE_TIMEOUT = 0.3
 
-#: Requests that are remembered as seen by this host at the end of an endpoint.
+#: Fingerprints kept of requests that this host had at an endpoint when it ended.
 MAX_OBSERVED = 512
 
 
 class Suspects:
-    """Finds out which requests end endpoints, and shares that with other hosts.
+    """Finds out which requests crash endpoints, and shares the evidence.
 
     Parameters
     ----------
@@ -92,7 +92,7 @@
         self._step(Answered(fingerprint=fingerprint))
 
     def sent(self, fingerprint, attempt):
-        """Track a try of a request, so that a quarantine can withdraw it.
+        """Track an attempt of a request, so that a quarantine can cancel it.
 
         Parameters
         ----------
@@ -102,7 +102,7 @@
         self._attempts_by_fingerprint.setdefault(fingerprint, set()).add(attempt)
 
     def ended(self, fingerprint, attempt):
-        """Stop tracking a try that is over; see ``sent``."""
+        """Stop tracking an attempt that has ended; see ``sent``."""
         attempts = self._attempts_by_fingerprint.get(fingerprint)
         if attempts is None:
             return
@@ -117,7 +117,7 @@
         ----------
         fingerprint : str
         place : Place
-            Where the request was.
+            The endpoint that had the request.
         service : str
         """
         start = _start_name(place)
@@ -129,10 +129,10 @@
             self._probe_by_start[start] = probe
 
     async def wait_for_probes(self, fingerprint):
-        """Wait until it is known which endpoints ended under a suspected request.
+        """Wait until it is known which endpoints a suspected request has ended.
 
-        Without it, the request would be sent to the next endpoint meanwhile. One that
-        was broken off for the first time doesn't wait.
+        Otherwise the request would be sent to another endpoint in the meantime. A
+        request whose connection broke for the first time doesn't wait.
 
         Parameters
         ----------
@@ -167,7 +167,7 @@
         self._step(EvidenceHeard(items=items))
 
     async def next_unrecorded(self):
-        """Wait for requests that are in quarantine by what this host saw.
+        """Wait for requests that are in quarantine due to evidence from this host.
 
         Returns
         -------
@@ -183,7 +183,7 @@
         ]
 
     def close(self):
-        """End all looks at endpoints."""
+        """Cancel all probes of endpoints."""
         for probe in self._probe_by_start.values():
             probe.cancel()
 
@@ -226,7 +226,7 @@
             fingerprint=outcome.fingerprint,
             endpoints_ended=list(outcome.starts),
         )
-        # Where it still waits for its turn, it would end one more endpoint.
+        # Still queued at an endpoint, the request would crash that one too.
         for attempt in list(self._attempts_by_fingerprint.get(outcome.fingerprint, ())):
             attempt.withdraw(QUARANTINED)
         if outcome.fingerprint in self._observed_here:
@@ -235,7 +235,7 @@
 
 
 def _start_name(place):
-    """Return a name of an endpoint's start that all hosts agree on."""
+    """Return an id of an endpoint's incarnation that is the same on all hosts."""
     started_ms = place.incarnation.started_ms
     return (
         place.endpoint_id if started_ms is None else f"{place.endpoint_id}@{started_ms}"
--- a/hawthornspoke/relay/_work.py
+++ b/hawthornspoke/relay/_work.py
@@ -1,8 +1,8 @@
-"""One request on its way through the filters."""
+"""The state of a request while it is handled."""
 
 
 class RequestContext:
-    """What the filters found out about a request, and what became of it.
+    """Properties of a request, and the state of its processing.
 
     Parameters
     ----------
@@ -13,14 +13,14 @@
     Attributes
     ----------
     fingerprint : str
-        What it has in common with its repeats; empty until its caller is known.
+        Identifies repeats of the request; empty until the caller is known.
     catalog : Catalog or None
-        The configuration by which it was last found to be allowed.
+        The configuration by which the request was last allowed.
     deadline, objective_deadline, resend_deadline : float
-        On the clock that goes on while the host is suspended: callers don't wait
-        longer for a host that was.
-    objection : Failure or None
-        Why it may not be sent to any endpoint any more.
+        On a clock that includes the time for which the host is suspended, since
+        callers don't wait longer for a suspended host.
+    rejection : Failure or None
+        Why the request may not be sent to any endpoint any more.
     """
 
     __slots__ = (
