--- a/hawthornspoke/relay/_budgets.py
+++ b/hawthornspoke/relay/_budgets.py
@@ -1,20 +1,20 @@
-"""This host's part of the retries that all entry hosts may make."""
+"""This host's share of the retry budgets of all entry hosts."""
 
 from hawthornspoke.retries import RetryBudget
 
-#: Entry hosts that share the allowed retries, until an agent has told how many.
+#: Entry hosts assumed to share the retry reserve, until an agent reports the number.
 ASSUMED_ENTRY_HOSTS = 20
 
 
 class RetryBudgets:
-    """A retry budget for each service.
+    """Retry budgets by service.
 
     Parameters
     ----------
     settings : RelaySettings
-        Replaced when they are read again.
+        Replaced when the settings are reloaded.
     reported_entry_hosts : callable
-        Returns how many entry hosts agents have told of, 0 if none has.
+        Returns the number of entry hosts reported by agents, 0 or None if unknown.
     """
 
     __slots__ = ("settings", "_reported_entry_hosts", "_budget_by_service")
@@ -25,7 +25,7 @@
         self._budget_by_service = {}
 
     def entry_hosts(self):
-        """Return how many entry hosts there seem to be."""
+        """Return the estimated number of entry hosts."""
         return self._reported_entry_hosts() or ASSUMED_ENTRY_HOSTS
 
     def for_service(self, service):
@@ -38,7 +38,7 @@
         return budget
 
     def update_reserves(self):
-        """Let all budgets follow the number of entry hosts."""
+        """Adapt the reserves of all budgets to the number of entry hosts."""
         for budget in self._budget_by_service.values():
             budget.reserve = self._reserve_per_host()
 
--- a/hawthornspoke/relay/_contact.py
+++ b/hawthornspoke/relay/_contact.py
@@ -65,7 +65,7 @@
         effect within 5 s, and a request needs some time from the check to the
         endpoint.
     changes_bind_after : float, default=2.0
-        Seconds after which a change of the configuration has to be in force.
+        Seconds within which a change of the configuration must take effect.
 
     Notes
     -----
--- a/hawthornspoke/relay/_dialect.py
+++ b/hawthornspoke/relay/_dialect.py
@@ -1,41 +1,41 @@
-"""Names of the header fields that callers and endpoints speak."""
+"""Names of the header fields exchanged with callers and endpoints."""
 
 
 class Dialect:
-    """Header names, the project's own unless an adapter gives others.
+    """Header names; the defaults are those of the project's own protocol.
 
     Parameters
     ----------
     request_id : str
-        The caller's id of one try; endpoints echo it.
+        Id that the caller gives to one attempt; endpoints echo it.
     deadline_ms : str
-        Milliseconds that the sender will still wait.
+        Milliseconds for which the sender still waits.
     key : str
-        The caller's key; never passed on.
+        API key of the caller; never forwarded.
     organisation : str
-        Whose request it is; set here, whatever the caller sent.
+        Organisation of the caller; a value sent by the caller is replaced.
     expected_endpoint : str
-        Only the endpoint with this id may run the request.
+        Id of the only endpoint that may run the request.
     expected_version : str
-        Only an engine with this version of the weights may run it.
+        Weights version of the only engines that may run the request.
     priority : str
-        0 to 9, 0 goes first.
+        0 to 9; 0 is the most urgent.
     last_event : str
-        A stream goes on after this event.
+        Id of the event after which a stream resumes.
     seal : str
-        An endpoint's signature under its answer.
+        Signature of the endpoint's response.
     not_run : str
-        Present where the endpoint says that it has not run the request.
+        Present if the endpoint guarantees that it has not run the request.
     load : str
-        Running, waiting, slots.
+        Number of running requests, of waiting ones, and of slots.
     endpoint_id : str
-        Who answered.
+        Id of the endpoint that responded.
     versions : str
-        Version of the weights that answered.
+        Version of the weights that produced the response.
     tokens : str
-        Prompt tokens and most output tokens.
+        Number of prompt tokens, and maximum number of output tokens.
     path : str
-        Engines that a request passes through.
+        Engines that the request passes through.
     """
 
     __slots__ = (
@@ -92,7 +92,7 @@
         self.path = path
 
     def reserved(self):
-        """Return the names, in lower case, that a caller may not set itself."""
+        """Return the names, in lower case, that callers may not set."""
         names = (
             self.deadline_ms,
             self.key,
@@ -105,5 +105,5 @@
         return frozenset(name.lower() for name in names)
 
     def internal(self):
-        """Return the names, in lower case, that callers don't get to see."""
+        """Return the names, in lower case, that are removed from responses."""
         return frozenset((self.load.lower(), self.endpoint_id.lower()))
--- a/hawthornspoke/relay/_encoding.py
+++ b/hawthornspoke/relay/_encoding.py
@@ -1,23 +1,23 @@
-"""What endpoints are sent of a request, and callers of an answer."""
+"""Encodes requests for endpoints, and the headers of responses for callers."""
 
 from hawthornspoke.httpio import encode_request
 
-#: Seconds kept for the answer's own way back to the caller.
+#: Seconds reserved for returning the response to the caller.
 RESPONSE_RETURN_TIME = 0.005
 
-#: Levels on the wire between two priorities of ours, and the least urgent level.
+#: Wire priority levels per configured priority, and the least urgent wire level.
 PRIORITY_STEP = 2
 LOWEST_PRIORITY = 9
 
 
 class Encoder:
-    """Sets the fields that are ours.
+    """Encodes requests, with the header fields that are set by this host.
 
     Parameters
     ----------
     dialect : Dialect
     clock : callable
-        Returns the moment on the clock of a request's deadlines.
+        Returns the time on the clock that request deadlines are measured on.
     """
 
     __slots__ = ("_dialect", "_clock")
@@ -34,7 +34,7 @@
         context : RequestContext
         place : Place
         last_event, version : int or None
-            After which event a stream goes on, and of which weights.
+            Id of the last event received and weights version of a stream to resume.
 
         Returns
         -------
@@ -52,7 +52,7 @@
         )
 
     def response_headers(self, response):
-        """Return the fields of an endpoint's answer that callers get."""
+        """Return the header fields of an endpoint's response that callers receive."""
         return response.end_to_end(without=self._dialect.internal())
 
     def _headers(self, context, place, *, last_event=None):
@@ -78,8 +78,8 @@
             and context.organisation.priority is not None
         ):
             base_priority = context.organisation.priority
-        # A caller that is late already gains nothing by going first, and one that
-        # is not would become late behind it.
+        # A late request gains nothing from being served first, and would delay requests
+        # that can still be on time.
         now = self._clock()
         is_late = context.returned or now > context.objective_deadline
         return min(LOWEST_PRIORITY, base_priority * PRIORITY_STEP + int(is_late))
--- a/hawthornspoke/relay/_events.py
+++ b/hawthornspoke/relay/_events.py
@@ -1,21 +1,21 @@
-"""Taking a stream of events apart."""
+"""Splits streams of server-sent events."""
 
 SEPARATOR = b"\n\n"
 
-#: Bytes of the longest event that is waited for; more is not a stream of ours.
+#: Maximum size of an event in bytes; a longer one is treated as invalid data.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventSplitter:
-    """Cuts a byte stream into whole events and reads their ids.
+    """Splits a byte stream into complete events and checks the order of their ids.
 
-    An endpoint may die in the middle of an event. Only whole events are passed on,
-    so that what another endpoint sends next starts where a caller can read it.
+    An endpoint may fail in the middle of an event. Only complete events are
+    forwarded, so that another endpoint can resume at an event boundary.
 
     Parameters
     ----------
     last_id : int or None, default=None
-        The event after which the stream goes on.
+        Id of the event after which the stream resumes.
     """
 
     __slots__ = ("last_id", "error", "_partial")
@@ -26,7 +26,7 @@
         self._partial = b""
 
     def feed(self, data):
-        """Take bytes and return the whole events among them.
+        """Add bytes and return the complete events among the buffered ones.
 
         Parameters
         ----------
@@ -35,7 +35,7 @@
         Returns
         -------
         bytes
-            Nothing behind an event that is out of order; ``broken`` then says why.
+            Nothing after an event that is out of order; ``error`` holds the reason.
         """
         if self.error:
             return b""
@@ -44,18 +44,18 @@
         if end < 0:
             self._partial = buffer
             if len(buffer) > MAX_EVENT_BYTES:
-                self.error = "an event without an end"
+                self.error = "an event exceeds the maximum size"
             return b""
         end += len(SEPARATOR)
         self._partial = buffer[end:]
         return self._check(buffer[:end])
 
     def has_partial_event(self):
-        """Tell whether the stream stopped within an event."""
+        """Return whether the buffer holds an incomplete event."""
         return bool(self._partial.strip())
 
     def restart(self):
-        """Forget a part of an event: another endpoint sends it whole."""
+        """Discard an incomplete event, which another endpoint sends again."""
         self._partial = b""
         self.error = ""
 
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -1,4 +1,4 @@
-"""The entry host's process on one event loop: sockets, signals, what is believed."""
+"""The process of an entry host: servers, signals and background tasks."""
 
 import asyncio
 import random
@@ -20,39 +20,39 @@
 from hawthornspoke.relay._suspects import Suspects
 from hawthornspoke.relay._timers import Timers
 
-#: Seconds after SIGTERM during which new requests are still served: the balancer
-#: asks once a second and needs two refusals, and callers come a little later.
+#: Seconds after SIGTERM during which new requests are still served: the load balancer
+#: probes once a second and needs two failures, and callers follow a little later.
 SHUTDOWN_SERVE_TIME = 2.6
 
-#: Seconds before the kill at which requests that still run are cut, so that their
-#: callers see a closed connection and not a host that vanished.
+#: Seconds before SIGKILL at which running requests are aborted, so that their callers
+#: see a closed connection and not an unresponsive host.
 ABORT_BEFORE_KILL = 0.4
 
-#: Seconds between two looks at idle connections and vanished endpoints.
+#: Seconds between two runs of the housekeeping task.
 HOUSEKEEPING_INTERVAL = 0.5
 
-#: Seconds between two lines of counters in the log.
+#: Seconds between two log entries with the counters.
 COUNTERS_INTERVAL = 10.0
 
-#: Seconds, drawn at random between these, after which a task that ended is begun
-#: again: what ended it may be there still, and may have ended it on all hosts.
+#: Minimum and maximum seconds before a background task that ended is restarted. The
+#: cause may persist, and may have ended the task on all hosts at once.
 RESTART_PAUSE = (0.3, 0.9)
 
-#: Seconds given to the log's writer at the end.
+#: Seconds for flushing the log at exit.
 FLUSH_TIMEOUT = 0.2
 
 
 class Relay:
-    """Takes callers' requests and forwards them straight to endpoints.
+    """Serves callers' requests by forwarding them directly to endpoints.
 
     Parameters
     ----------
     settings : RelaySettings
     source : object
-        Reads the platform: ``await source.run(sink, neighbours)`` tells a ``Sink``.
+        Platform reader: ``await source.run(sink, neighbours)`` updates a ``Sink``.
     dialect : Dialect or None, default=None
     reload_settings : callable or None, default=None
-        Returns fresh RelaySettings on SIGHUP.
+        Returns new RelaySettings on SIGHUP; anything else is logged as the error.
     """
 
     __slots__ = (
@@ -158,11 +158,11 @@
 
     @property
     def agents(self):
-        """The connections to agents."""
+        """Connections to agents."""
         return self.sink.agents
 
     async def run(self):
-        """Serve until SIGTERM and the end of what is in progress.
+        """Serve until SIGTERM and the end of running requests.
 
         Returns
         -------
@@ -224,8 +224,8 @@
 
     async def _handle_ready(self, request, reply):
         is_ready = not self.stopping and self.handler.catalog is not None
-        # A host that is cut off from the platform must soon refuse all keys. Its
-        # callers are sent to others before that, if the balancer has others.
+        # A host that is cut off from the platform must soon refuse all keys. The load
+        # balancer directs its callers to other hosts, if any, before that.
         is_ready = is_ready and self.contact.is_stable(now=contact_clock())
         reply.send(200 if is_ready else 503)
 
@@ -250,11 +250,11 @@
 
     def _reload(self):
         if self.reload_settings is None:
-            self.log.change("reload", result="nothing to read again")
+            self.log.change("reload", result="no settings to reload")
             return
         new_settings = self.reload_settings()
         if not isinstance(new_settings, type(self.settings)):
-            # A file that is half-written or wrong must not end a host that serves.
+            # An incomplete or invalid file must not stop a running host.
             self.log.change("reload", result="kept", reason=str(new_settings))
             return
         self.settings = self.sink.settings = self.budgets.settings = new_settings
@@ -272,8 +272,8 @@
         asyncio.get_running_loop().create_task(self._stop())
 
     async def _stop(self):
-        # Callers keep coming until the balancer has noticed; they are served, and
-        # told to use another connection next time.
+        # New callers arrive until the load balancer reacts; they are served, and their
+        # connections are closed afterwards.
         self.front.draining = True
         await asyncio.sleep(SHUTDOWN_SERVE_TIME)
         self.handler.refusing = True
@@ -285,18 +285,18 @@
             self._stopped.set_result(None)
 
     async def _supervise(self, name, run_task):
-        """Run a task that is not to end, and begin it again if it does.
+        """Run a task that should never end, and restart it if it does.
 
-        A task that ended unseen would leave a host that serves on with what it
-        believed then. Ending the process instead would cut all streams that callers
-        read through it, and the next process would read the same rows. Meanwhile the
-        platform's word gets older, so that the host stops trusting keys and reports
-        itself not ready, as when the platform can't be reached.
+        If a task ended unnoticed, the host would keep serving from stale state. Ending
+        the process instead would interrupt all streams, and the next process would
+        read the same rows. While the task is down, the last platform confirmation
+        ages, so that the host stops trusting keys and reports itself not ready, as
+        when the platform is unreachable.
         """
         while True:
             try:
                 await run_task()
-                error = "it returned"
+                error = "the task returned"
             except Exception as raised:
                 error = repr(raised)
             self.metrics.count("tasks_ended_total", task=name)
--- a/hawthornspoke/relay/_settings.py
+++ b/hawthornspoke/relay/_settings.py
@@ -1,4 +1,4 @@
-"""What an entry host's relay has to be told."""
+"""Settings of the relay of an entry host."""
 
 from hawthornspoke.base import Bounds, check_params
 
@@ -19,24 +19,25 @@
     front : str
         ``IP:PORT`` for callers.
     ready : str
-        ``IP:PORT`` for the balancer's question whether this host takes callers.
+        ``IP:PORT`` of the readiness endpoint for the load balancer.
     ready_path : str, default="/v1/readyz"
     operator_port : int, default=7701
         Metrics (``/metrics``) and state dump (``/dump``), on the front's IP.
     agent_port : int, default=7700
-        On which agents listen.
+        Port on which agents listen.
     grace : float, default=8.0
         Seconds from SIGTERM until the process is killed.
     version_bound : float, default=8.0
-        Seconds after which only declared or newer weights may begin to answer.
+        Seconds after a declaration during which requests may still start on older
+        weights.
     keys_valid_for : float, default=4.6
-        Seconds for which a key is trusted after the platform's last word.
+        Seconds for which keys are trusted after the platform's last confirmation.
     changes_bind_after : float, default=2.0
-        Seconds after which a change of the configuration has to be in force.
+        Seconds within which a change of the configuration must take effect.
     retry_ratio : float, default=0.1
-        Retries for each success.
+        Retries allowed per successful request.
     retry_reserve : float, default=80.0
-        Retries at hand at the start, for each service and all entry hosts together.
+        Initial retry budget per service, shared by all entry hosts.
     """
 
     __slots__ = (
@@ -102,11 +103,11 @@
         self.retry_reserve = retry_reserve
 
     def check(self):
-        """Check the values.
+        """Validate the values.
 
         Raises
         ------
         ValueError
-            Naming the setting and what is accepted.
+            If a value is invalid; names the setting and the accepted values.
         """
         check_params(self, self.PARAMS)
--- a/hawthornspoke/relay/_sharing.py
+++ b/hawthornspoke/relay/_sharing.py
@@ -1,16 +1,16 @@
-"""Evidence of requests that end endpoints, told to agents, which join it."""
+"""Sends evidence of poison requests to agents, which combine it."""
 
 from hawthornspoke.base import monotonic, rendezvous_order
 from hawthornspoke.protocol import Frame
 from hawthornspoke.quarantine import write_evidence
 
-#: Agents of each failure domain that join the evidence of a request. One may be lost,
-#: and a failure domain that is cut off has its own.
+#: Agents per failure domain that combine the evidence of a request. One may fail, and
+#: a failure domain that is cut off still has its own.
 AGENTS_PER_DOMAIN = 2
 
 
 class EvidenceSharing:
-    """Sends evidence to the agents at which other entry hosts' meets it.
+    """Sends evidence to the agents that combine it with that of other entry hosts.
 
     Parameters
     ----------
@@ -32,31 +32,31 @@
         self._failure_domain_at = failure_domain_at
         self._link_by_address = {}
         self._domain_by_address = {}
-        # Of the agents by which evidence was shared out last.
+        # Agents to which evidence was last assigned.
         self._assigned_domain_by_address = {}
 
     def add_agent(self, address, link):
-        """Greet an agent; it answers with what it knows.
+        """Add a connected agent, and ask it for its evidence.
 
         Parameters
         ----------
         address : str
-            Of its endpoint.
+            Address of its endpoint.
         link : PeerConnection
         """
         self._link_by_address[address] = link
         self._domain_by_address[address] = self._failure_domain_at(address)
-        # What it knew may be gone with its process.
+        # The agent may have restarted and lost its evidence.
         self._assigned_domain_by_address.pop(address, None)
         link.send(Frame(evidence=[]))
 
     def remove_agent(self, address):
-        """Forget an agent; others take its part at the next ``rebalance``."""
+        """Remove an agent; ``rebalance`` assigns its evidence to others."""
         self._link_by_address.pop(address, None)
         self._domain_by_address.pop(address, None)
 
     def share(self, items):
-        """Send evidence to the agents that join it.
+        """Send evidence to the agents that combine it.
 
         Parameters
         ----------
@@ -66,7 +66,7 @@
             self._send(address, outgoing)
 
     def rebalance(self):
-        """Tell agents what they have to know since others came or went."""
+        """Send agents the evidence assigned to them since agents changed."""
         if self._domain_by_address == self._assigned_domain_by_address:
             return
         items = self._quarantine.evidence(now=monotonic())
@@ -83,7 +83,7 @@
 
     @staticmethod
     def _assign(items, domain_by_address):
-        """Return which agents join which evidence, as items by address."""
+        """Return the evidence assigned to each agent, as items by address."""
         addresses_by_domain = {}
         for address, domain in domain_by_address.items():
             addresses_by_domain.setdefault(domain, []).append(address)
--- a/hawthornspoke/relay/_timers.py
+++ b/hawthornspoke/relay/_timers.py
@@ -1,26 +1,27 @@
-"""Ends waits at moments of others, whatever the host's steady clock does."""
+"""Timeouts that include the time for which the host is suspended."""
 
 import asyncio
 
 from hawthornspoke.base import monotonic
 
-#: Seconds by which the clocks must have parted: less is the time between reading one
-#: and the other on a busy host.
+#: Minimum change in seconds of the offset between the clocks that is treated as a
+#: suspension. Smaller changes occur on a busy host between the readings of the two.
 MIN_CLOCK_SHIFT = 0.02
 
 
 class Timers:
-    """Timeouts on a clock that goes on while the host is suspended.
+    """Timeouts on a clock that includes the time for which the host is suspended.
 
-    The event loop's timers run on the steady clock, which stands still meanwhile. A
-    host that was suspended for 5 s ended its waits 5 s late: callers whose time was
-    up were kept, and requests began on old weights after their bound. So it looks
-    now and then whether the clocks have parted, and sets what waits anew.
+    The event loop's timers use the monotonic clock, which stops during a suspension.
+    After a suspension of 5 s all timeouts fired 5 s late: callers waited beyond their
+    deadlines, and requests started on old weights after their version bound. So the
+    offset between the clocks is checked regularly, and pending timeouts are
+    rescheduled when it has changed.
 
     Parameters
     ----------
     clock : callable
-        Goes on while the host is suspended.
+        Returns seconds; includes the time for which the host is suspended.
     """
 
     __slots__ = ("clock", "_clock_offset", "_deadline_by_timeout")
@@ -31,22 +32,22 @@
         self._deadline_by_timeout = {}
 
     def until(self, deadline):
-        """Return a context that raises TimeoutError at a moment.
+        """Return a context manager that raises TimeoutError at a deadline.
 
         Parameters
         ----------
-        moment : float or None
-            On the clock of the timers; None to wait as long as it takes.
+        deadline : float or None
+            On the clock of the timers; None for no timeout.
 
         Returns
         -------
         async context manager
-            ``expired()`` tells whether the moment has ended the wait.
+            ``expired()`` returns whether the timeout has fired.
         """
         return _DeadlineContext(timers=self, deadline=deadline)
 
     async def run(self, ticks):
-        """Look at the clocks until cancelled; a look costs 0.7 us, timed alone.
+        """Check the clocks until cancelled; a check alone takes 0.7 us.
 
         Parameters
         ----------
@@ -62,7 +63,7 @@
             return
         self._clock_offset = offset
         for timeout, deadline in self._deadline_by_timeout.items():
-            # One that is over can't be set anew; its wait is about to end.
+            # A timeout that has fired can't be rescheduled.
             if not timeout.expired():
                 timeout.reschedule(_loop_time(deadline, self.clock))
 
@@ -74,7 +75,7 @@
 
 
 class _DeadlineContext:
-    """A wait that ends at a moment."""
+    """Context manager with a timeout at a deadline."""
 
     __slots__ = ("_timers", "_deadline", "_timeout")
 
@@ -100,7 +101,7 @@
         return await self._timeout.__aexit__(*error)
 
     def expired(self):
-        """Tell whether the moment has ended the wait."""
+        """Return whether the timeout has fired."""
         return self._timeout is not None and self._timeout.expired()
 
 
