--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -174,8 +174,8 @@
         return 503, f"{reason}_not_confirmed", UNCONFIRMED_RETRY_AFTER
 
 
-def _configuration_changed(what):
-    return CONFIGURATION_CHANGED.because(what, retry_after=CHANGED_RETRY_AFTER)
+def _configuration_changed(part):
+    return CONFIGURATION_CHANGED.because(part, retry_after=CHANGED_RETRY_AFTER)
 
 
 def _name_of(organisation):
--- a/hawthornspoke/relay/_choosing.py
+++ b/hawthornspoke/relay/_choosing.py
@@ -88,13 +88,13 @@
             Weights version of the stream to resume.
         """
         now = self._clock()
-        begun = same_version is not None
+        is_resumption = same_version is not None
         return Ask(
             service=context.service,
             prompt_tokens=context.prompt_tokens,
-            on_time_left=1.0 if begun else context.objective_deadline - now,
+            on_time_left=1.0 if is_resumption else context.objective_deadline - now,
             time_left=context.deadline - now,
-            returned=begun or context.returned or context.sent > 0,
+            returned=is_resumption or context.returned or context.sent > 0,
             tried=frozenset(context.tried),
             same_version=same_version,
             contact_now=now,
--- a/hawthornspoke/relay/_contact.py
+++ b/hawthornspoke/relay/_contact.py
@@ -118,7 +118,7 @@
         -------
         bool
         """
-        return self._heard_within(self.keys_valid_for, now)
+        return self._confirmed_within(self.keys_valid_for, now)
 
     def may_deny(self, *, now):
         """Return whether an unknown key or route may be refused permanently.
@@ -136,7 +136,7 @@
         -------
         bool
         """
-        return self._heard_within(self.changes_bind_after, now)
+        return self._confirmed_within(self.changes_bind_after, now)
 
     def is_stable(self, *, now):
         """Return whether callers should keep using this host.
@@ -151,9 +151,9 @@
             False some time before keys are no longer trusted: the load balancer needs
             two seconds to direct new callers elsewhere.
         """
-        return self._heard_within(self.keys_valid_for * STABLE_SHARE, now)
+        return self._confirmed_within(self.keys_valid_for * STABLE_SHARE, now)
 
-    def _heard_within(self, seconds, now):
+    def _confirmed_within(self, seconds, now):
         return self.confirmed_at is not None and now < self.confirmed_at + seconds
 
     def age(self, *, now):
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -116,18 +116,20 @@
     def _set_deadlines(self, context):
         arrived = context.request.contact_arrived_at
         value = context.request.get(self._dialect.deadline_ms, "")
-        given = float(value) if value.isdigit() else ASSUMED_DEADLINE * 1000
-        longest = self._max_deadline_by_route.get(context.route.name, 0.0)
-        if given > longest:
-            self._max_deadline_by_route[context.route.name] = longest = given
-        context.returned = given < longest - DEADLINE_JITTER_MS
-        context.deadline = arrived + min(given / 1000, context.route.timeout)
-        spent = (longest - given) / 1000 if context.returned else 0.0
+        requested_ms = float(value) if value.isdigit() else ASSUMED_DEADLINE * 1000
+        max_requested_ms = self._max_deadline_by_route.get(context.route.name, 0.0)
+        if requested_ms > max_requested_ms:
+            self._max_deadline_by_route[context.route.name] = max_requested_ms = (
+                requested_ms
+            )
+        context.returned = requested_ms < max_requested_ms - DEADLINE_JITTER_MS
+        context.deadline = arrived + min(requested_ms / 1000, context.route.timeout)
+        spent = (max_requested_ms - requested_ms) / 1000 if context.returned else 0.0
         context.objective_deadline = arrived - spent + context.route.objective
         context.resend_deadline = context.deadline
         if context.route.event_patience is not None:
-            leaves_at = min(context.deadline, arrived + context.route.event_patience)
-            context.resend_deadline = leaves_at - MIN_RESEND_TIME
+            abandoned_at = min(context.deadline, arrived + context.route.event_patience)
+            context.resend_deadline = abandoned_at - MIN_RESEND_TIME
         tokens = context.request.get(self._dialect.tokens, "").partition(",")[0]
         context.prompt_tokens = int(tokens) if tokens.isdigit() else 0
 
--- a/hawthornspoke/relay/_sharing.py
+++ b/hawthornspoke/relay/_sharing.py
@@ -71,9 +71,9 @@
             return
         items = self._quarantine.evidence(now=monotonic())
         before = self._assign(items, self._assigned_domain_by_address)
-        for address, due in self._assign(items, self._domain_by_address).items():
+        for address, assigned in self._assign(items, self._domain_by_address).items():
             known = {id(item) for item in before.get(address, ())}
-            self._send(address, [item for item in due if id(item) not in known])
+            self._send(address, [item for item in assigned if id(item) not in known])
         self._assigned_domain_by_address = dict(self._domain_by_address)
 
     def _send(self, address, items):
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -49,7 +49,7 @@
         "_attempts_by_fingerprint",
         "_fingerprints_by_start",
         "_probe_by_start",
-        "_observed_here",
+        "_observed_locally",
         "_unrecorded",
         "_has_unrecorded",
     )
@@ -65,7 +65,7 @@
         self._attempts_by_fingerprint = {}
         self._fingerprints_by_start = {}
         self._probe_by_start = {}
-        self._observed_here = collections.deque(maxlen=MAX_OBSERVED)
+        self._observed_locally = collections.deque(maxlen=MAX_OBSERVED)
         self._unrecorded = set()
         self._has_unrecorded = asyncio.Event()
 
@@ -120,7 +120,7 @@
             The endpoint that had the request.
         service : str
         """
-        start = _start_name(place)
+        start = _incarnation_id(place)
         self._fingerprints_by_start.setdefault(start, set()).add(fingerprint)
         if start not in self._probe_by_start:
             probe = asyncio.get_running_loop().create_task(
@@ -201,7 +201,7 @@
             started_ms=place.incarnation.started_ms,
             requests=len(fingerprints),
         )
-        self._observed_here.extend(fingerprints)
+        self._observed_locally.extend(fingerprints)
         ended = EndpointEnded(
             start=start,
             fingerprints=tuple(sorted(fingerprints)),
@@ -229,12 +229,12 @@
         # Still queued at an endpoint, the request would crash that one too.
         for attempt in list(self._attempts_by_fingerprint.get(outcome.fingerprint, ())):
             attempt.withdraw(QUARANTINED)
-        if outcome.fingerprint in self._observed_here:
+        if outcome.fingerprint in self._observed_locally:
             self._unrecorded.add(outcome.fingerprint)
             self._has_unrecorded.set()
 
 
-def _start_name(place):
+def _incarnation_id(place):
     """Return an id of an endpoint's incarnation that is the same on all hosts."""
     started_ms = place.incarnation.started_ms
     return (
