--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -32,7 +32,7 @@
 ENGINE = engine_profile()
 
 
-class Endpoint:
+class ScriptedEndpoint:
     """Answers each request by the next step of a script.
 
     A step is a coroutine function called with the endpoint, the raw request and
@@ -103,7 +103,7 @@
     return step
 
 
-def shed():
+def refuse_as_full():
     """A step: the endpoint is full and says so."""
     return answer(503, b"", ("X-Not-Run: 1",))
 
@@ -118,7 +118,7 @@
     return step
 
 
-def reset():
+def reset_connection():
     """A step: the connection is reset without an answer."""
 
     async def step(endpoint, head, writer):
@@ -143,14 +143,14 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def events(ids, *, version="1", cut=b"", whole=True):
+def events(ids, *, version="1", cut=b"", is_complete=True):
     """A step: a stream of events, complete or cut off behind some bytes."""
 
     async def step(endpoint, head, writer):
         writer.write(stream_head(head, version))
         for number in ids:
             writer.write(stream_event(number))
-        if whole:
+        if is_complete:
             writer.write(b"0\r\n\r\n")
             return None
         if cut:
@@ -162,7 +162,7 @@
     return step
 
 
-def begins_late(wait, begun, *, pause=0.0):
+def delayed_stream(delay, start_times, *, pause=0.0):
     """A step: a stream of two events that begins after some time.
 
     Like an engine it drops a request whose connection is closed before it began.
@@ -179,11 +179,11 @@
 
     async def step(endpoint, head, writer):
         try:
-            async with asyncio.timeout(wait):
+            async with asyncio.timeout(delay):
                 await endpoint.reader.read(1)
             return False
         except TimeoutError:
-            begun.append(monotonic())
+            start_times.append(monotonic())
         writer.write(stream_head(head))
         writer.write(stream_event(1))
         await writer.drain()
@@ -293,7 +293,7 @@
             clock=self.contact_clock,
         )
         self.timers = Timers(clock=self.contact_clock)
-        self.looking = asyncio.create_task(self.timers.run(Ticks()))
+        self.timer_task = asyncio.create_task(self.timers.run(Ticks()))
         forwarder = Forwarder(
             admission=admission,
             timers=self.timers,
@@ -319,21 +319,24 @@
             now=0.0,
         )
         self.fleet.step(EndpointsListed(entries=self.entries()), now=0.0)
-        self.broken = []
+        self.handler_errors = []
         self.server = HttpServer(
-            host="127.0.0.1", port=0, handler=self.handler, on_broken=self.broken.append
+            host="127.0.0.1",
+            port=0,
+            handler=self.handler,
+            on_broken=self.handler_errors.append,
         )
         await self.server.start()
         return self
 
     async def __aexit__(self, *exc):
-        self.looking.cancel()
+        self.timer_task.cancel()
         self.server.close()
         self.pool.close()
         for endpoint in self.endpoints:
             endpoint.close()
         await asyncio.sleep(0)
-        assert self.broken == []
+        assert self.handler_errors == []
 
     async def ask(self, prefix, *, extra=(), read_time=3.0):
         """Make one request; return (status, head, body, whether it is whole)."""
@@ -348,8 +351,8 @@
         text = head.decode()
         status = int(text.split(" ")[1]) if text else 0
         if "chunked" in text:
-            whole = body.endswith(b"0\r\n\r\n")
-            return status, text, unchunk(body), whole
+            is_complete = body.endswith(b"0\r\n\r\n")
+            return status, text, unchunk(body), is_complete
         return status, text, body, bool(text)
 
     def call(self, prefix, *, extra=()):
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -22,27 +22,27 @@
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.placing import EndpointsListed, EngineReported, WeightsDeclared
 from hawthornspoke.relay.tests.endpoint import (
-    Endpoint,
     RelayHarness,
+    ScriptedEndpoint,
     answer,
     events,
     field,
-    reset,
-    shed,
+    refuse_as_full,
+    reset_connection,
 )
 
 #: Seconds that a caller gives; standing still for longer than that is too long.
-SHORT = 0.4
-STILL = 0.5
+SHORT_TIMEOUT = 0.4
+STALL_TIME = 0.5
 
 #: Time enough for all that is not about time.
-LONG = 20.0
+LONG_TIMEOUT = 20.0
 
 KEY = "X-Api-Key: k"
 KEYS = {"k": "org"}
 
 
-class Place:
+class StallPoint:
     """Where the process stands still: before which send.
 
     ``before`` is what the endpoint did that was asked earlier, if there is one.
@@ -52,37 +52,39 @@
         self.route = route
         self.before = before
 
-    async def play(self, act, *, timeout=LONG):
+    async def stall(self, action, *, timeout=LONG_TIMEOUT):
         """Stand still there; return the answer and what the endpoint got."""
-        target = Endpoint(events([3]) if self.route == "stream" else answer())
+        target = ScriptedEndpoint(events([3]) if self.route == "stream" else answer())
         endpoints = [target]
         if self.before is not None:
-            endpoints.insert(0, Endpoint(self.before))
+            endpoints.insert(0, ScriptedEndpoint(self.before))
         async with RelayHarness(*endpoints, timeout=timeout, keys=KEYS) as harness:
             if self.before is not None:
                 harness.fleet.endpoint_by_id["e1"].own_running = 1
                 harness.pool.actions.append(None)
-            harness.pool.actions.append(lambda: act(harness))
+            harness.pool.actions.append(lambda: action(harness))
             milliseconds = f"X-Deadline-Ms: {timeout * 1000:.0f}"
-            seen = await harness.ask(self.route, extra=[KEY, milliseconds])
+            answer_seen = await harness.ask(self.route, extra=[KEY, milliseconds])
             await asyncio.sleep(0.05)
             assert harness.pool.actions == []
-            assert harness.broken == []
-        return seen, target.requests
+            assert harness.handler_errors == []
+        return answer_seen, target.requests
 
 
-def place(name):
+def stall_point(name):
     """Return one of the places by its name."""
     return {
-        "first": Place(route="once"),
-        "retry": Place(route="again", before=shed()),
-        "retry of what may have run": Place(route="again", before=reset()),
-        "resume": Place(route="stream", before=events([1, 2], whole=False)),
+        "first": StallPoint(route="once"),
+        "retry": StallPoint(route="again", before=refuse_as_full()),
+        "retry of what may have run": StallPoint(
+            route="again", before=reset_connection()
+        ),
+        "resume": StallPoint(route="stream", before=events([1, 2], is_complete=False)),
     }[name]
 
 
-PLACES = ("first", "retry", "retry of what may have run", "resume")
-REFUSED_BY_PLACE = {
+STALL_POINTS = ("first", "retry", "retry of what may have run", "resume")
+EXPECTED_STATUSES = {
     "first": {503},
     "retry": {503},
     "retry of what may have run": {502, 504},
@@ -90,45 +92,49 @@
 }
 
 
-def check(name, act, *, timeout=LONG):
+def check_not_sent(name, action, *, timeout=LONG_TIMEOUT):
     """Stand still at a place; nothing is sent, and the answer says what is true."""
 
     async def scenario():
-        (status, head, _, whole), requests = await place(name).play(
-            act, timeout=timeout
+        (status, head, _, is_complete), requests = await stall_point(name).stall(
+            action, timeout=timeout
         )
         assert requests == []
-        assert status in REFUSED_BY_PLACE[name]
+        assert status in EXPECTED_STATUSES[name]
         if status == 503:
             assert float(field(head, "Retry-After")) > 0
         if status == 200:
-            assert not whole
+            assert not is_complete
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_deadline_that_passed_while_the_process_stood_still(name):
     """Symptom: an endpoint got a request after its caller's deadline."""
-    check(name, lambda harness: time.sleep(STILL), timeout=SHORT)
+    check_not_sent(name, lambda harness: time.sleep(STALL_TIME), timeout=SHORT_TIMEOUT)
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_deadline_that_passed_while_the_host_was_suspended(name):
     """The same, and the steady clock did not count the time.
 
     Cause: the deadline was on the clock that stands still with the host.
     """
-    check(name, lambda harness: harness.contact_clock.suspend(STILL), timeout=SHORT)
+    check_not_sent(
+        name,
+        lambda harness: harness.contact_clock.suspend(STALL_TIME),
+        timeout=SHORT_TIMEOUT,
+    )
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_key_that_nobody_confirmed_while_the_host_was_suspended(name):
     """Symptom: a request ran with a key 9 s after the platform's last word on it."""
-    check(name, lambda harness: harness.contact_clock.suspend(5.0))
+    check_not_sent(name, lambda harness: harness.contact_clock.suspend(5.0))
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_key_that_was_taken_away_meanwhile(name):
     """Symptom: a request ran with a key that its host knew to be revoked.
 
@@ -136,7 +142,7 @@
     newer configuration comes in force meanwhile. Cause: the key was looked up once,
     when the request came.
     """
-    check(
+    check_not_sent(
         name,
         lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, keys={"other": "org"})
@@ -144,10 +150,10 @@
     )
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_key_that_passed_to_another_organisation(name):
     """Symptom: a request ran in the name of an organisation that lost its key."""
-    check(
+    check_not_sent(
         name,
         lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, keys={"k": "someone"})
@@ -155,10 +161,10 @@
     )
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_route_that_was_taken_away_meanwhile(name):
     """Symptom: a request ran on a route that is no longer there."""
-    check(
+    check_not_sent(
         name,
         lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, without=("once", "again", "stream"))
@@ -166,10 +172,10 @@
     )
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_route_that_leads_to_another_service_now(name):
     """Symptom: the service of before ran a request after the change was in force."""
-    check(
+    check_not_sent(
         name,
         lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, service="other")
@@ -177,7 +183,7 @@
     )
 
 
-def listed(harness, **changes):
+def change_endpoints(harness, **changes):
     """Take the platform's list with some endpoints changed."""
     message = EndpointsListed(entries=harness.entries(**changes))
     harness.fleet.step(message, now=monotonic())
@@ -188,19 +194,23 @@
     return len(harness.endpoints) - 1
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_endpoint_that_leaves_meanwhile(name):
     """Symptom: an endpoint that leaves got a request seconds after that was known."""
-    check(name, lambda harness: listed(harness, leaving=[last(harness)]))
+    check_not_sent(
+        name, lambda harness: change_endpoints(harness, leaving=[last(harness)])
+    )
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_endpoint_that_is_gone_meanwhile(name):
     """Symptom: a request was sent to an endpoint that the list no longer has."""
-    check(name, lambda harness: listed(harness, gone=[last(harness)]))
+    check_not_sent(
+        name, lambda harness: change_endpoints(harness, gone=[last(harness)])
+    )
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_weights_that_became_too_old_meanwhile(name):
     """Symptom: a request began on weights 6 s after their bound."""
 
@@ -209,10 +219,10 @@
         message = WeightsDeclared(declared=declared, at=contact_clock() - 20)
         harness.fleet.step(message, now=monotonic())
 
-    check(name, declare)
+    check_not_sent(name, declare)
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_engine_that_takes_up_other_weights_meanwhile(name):
     """Symptom: a request waited at an engine that had been told to load."""
 
@@ -228,10 +238,10 @@
         )
         harness.fleet.step(message, now=monotonic())
 
-    check(name, report)
+    check_not_sent(name, report)
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_caller_that_left_while_the_process_stood_still(name):
     """Symptom: endpoints worked seconds later for callers that had long left.
 
@@ -240,12 +250,12 @@
     """
 
     async def scenario():
-        where = place(name)
-        target = Endpoint()
+        where = stall_point(name)
+        target = ScriptedEndpoint()
         endpoints = [target]
         if where.before is not None:
-            endpoints.insert(0, Endpoint(where.before))
-        async with RelayHarness(*endpoints, timeout=LONG, keys=KEYS) as harness:
+            endpoints.insert(0, ScriptedEndpoint(where.before))
+        async with RelayHarness(*endpoints, timeout=LONG_TIMEOUT, keys=KEYS) as harness:
             if where.before is not None:
                 harness.fleet.endpoint_by_id["e1"].own_running = 1
                 harness.pool.actions.append(None)
@@ -263,8 +273,8 @@
     """The same, and the process stood still between reading and handling."""
 
     async def scenario():
-        target = Endpoint()
-        async with RelayHarness(target, timeout=LONG) as harness:
+        target = ScriptedEndpoint()
+        async with RelayHarness(target, timeout=LONG_TIMEOUT) as harness:
             # A connection is there already, so that the send needs no further turn.
             assert (await harness.ask("once"))[0] == 200
             caller = harness.call("once")
@@ -284,11 +294,11 @@
     """The same, and the host was suspended meanwhile: only one clock tells."""
 
     async def scenario():
-        target = Endpoint()
-        async with RelayHarness(target, timeout=SHORT) as harness:
+        target = ScriptedEndpoint()
+        async with RelayHarness(target, timeout=SHORT_TIMEOUT) as harness:
 
             async def late(request, reply):
-                harness.contact_clock.suspend(STILL)
+                harness.contact_clock.suspend(STALL_TIME)
                 await harness.handler(request, reply)
 
             harness.server.handler = late
@@ -303,10 +313,10 @@
     """A request that only lost its endpoint still runs, once."""
 
     async def scenario():
-        first, second = Endpoint(), Endpoint()
+        first, second = ScriptedEndpoint(), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            harness.pool.actions.append(lambda: listed(harness, leaving=[0]))
+            harness.pool.actions.append(lambda: change_endpoints(harness, leaving=[0]))
             status, _, _, _ = await harness.ask("once")
             assert status == 200
             assert (first.requests, len(second.requests)) == ([], 1)
@@ -323,7 +333,7 @@
     """
 
     async def scenario():
-        first, second = Endpoint(), Endpoint()
+        first, second = ScriptedEndpoint(), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
 
@@ -355,7 +365,7 @@
             kept.append(writer.get_extra_info("socket"))
             await answer()(endpoint, head, writer)
 
-        first, second = Endpoint(keeps), Endpoint()
+        first, second = ScriptedEndpoint(keeps), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             assert (await harness.ask("once"))[0] == 200
@@ -375,7 +385,7 @@
     """
 
     async def scenario():
-        target = Endpoint()
+        target = ScriptedEndpoint()
         async with RelayHarness(target, timeout=2.0) as harness:
             harness.pool.actions.append(lambda: harness.contact_clock.suspend(1.5))
             assert (await harness.ask("once"))[0] == 200
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -12,14 +12,14 @@
 ADDRESSES = ("10.0.0.1:80", "10.0.0.2:80")
 
 
-class Link:
+class StubLink:
     """Takes frames."""
 
     def send(self, frame):
         return True
 
 
-def links():
+def make_links():
     """Return an entry host's links and its fleet of two engines."""
     fleet = Fleet(failure_domain="a")
     entries = tuple(
@@ -39,7 +39,7 @@
     fleet.step(
         EndpointsListed(entries=entries, contact_regained_at=float("-inf")), now=0.0
     )
-    made = AgentLinks(
+    agent_links = AgentLinks(
         port=7700,
         failure_domain="a",
         fleet=fleet,
@@ -48,14 +48,14 @@
         on_entry_hosts=lambda agent, addresses: None,
         suspects=lone_suspects(fleet),
     )
-    return made, fleet
+    return agent_links, fleet
 
 
 @settings(max_examples=200, deadline=None)
 @given(structs(Frame))
 def test_odd_word_of_one_agent_leaves_the_other_engine(frame):
-    made, fleet = links()
-    made._on_frame(ADDRESSES[0], Link(), frame)
+    agent_links, fleet = make_links()
+    agent_links._on_frame(ADDRESSES[0], StubLink(), frame)
     ask = Ask(service="s", prompt_tokens=10, tried=(ADDRESSES[0],))
     (answer,) = fleet.step(ask, now=0.1)
     assert isinstance(answer, Place)
@@ -63,10 +63,10 @@
 
 
 def test_pace_that_is_no_number_counts_as_usual():
-    made, fleet = links()
+    agent_links, fleet = make_links()
     for pace in (float("nan"), float("inf"), -1.0):
         state = EngineState(running=0, waiting=0, pace=pace, weights_version=1)
-        made._on_frame(ADDRESSES[0], Link(), Frame(engine_state=state))
+        agent_links._on_frame(ADDRESSES[0], StubLink(), Frame(engine_state=state))
         assert fleet.endpoint_by_id[ADDRESSES[0]].pace == 1.0
 
 
@@ -77,10 +77,10 @@
     its agent is gone for good; the other agents tell nine. Cause: what an agent told
     last is kept when its connection ends, and the most that any told counts.
     """
-    made, _ = links()
+    agent_links, _ = make_links()
     for address, seen in zip(ADDRESSES, (12, 9), strict=True):
         state = EngineState(endpoint_address=address, entry_hosts=seen)
-        made._on_frame(address, Link(), Frame(engine_state=state))
-    assert made.entry_hosts() == 12
-    made._remove(ADDRESSES[0])
-    assert made.entry_hosts() == 9
+        agent_links._on_frame(address, StubLink(), Frame(engine_state=state))
+    assert agent_links.entry_hosts() == 12
+    agent_links._remove(ADDRESSES[0])
+    assert agent_links.entry_hosts() == 9
--- a/hawthornspoke/relay/tests/test_events.py
+++ b/hawthornspoke/relay/tests/test_events.py
@@ -12,15 +12,15 @@
 
 def test_any_cut_of_the_bytes_gives_the_same_events():
     rng = random.Random(1)
-    whole = b"".join(event(number) for number in range(1, 40))
+    stream = b"".join(event(number) for number in range(1, 40))
     for _ in range(50):
         splitter = EventSplitter()
-        passed, rest = b"", whole
-        while rest:
+        forwarded, remaining = b"", stream
+        while remaining:
             size = rng.randrange(1, 60)
-            passed += splitter.feed(rest[:size])
-            rest = rest[size:]
-        assert passed == whole
+            forwarded += splitter.feed(remaining[:size])
+            remaining = remaining[size:]
+        assert forwarded == stream
         assert not splitter.has_partial_event()
 
 
--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -6,36 +6,36 @@
 
 from hawthornspoke.base import monotonic
 from hawthornspoke.relay.tests.endpoint import (
-    Endpoint,
     RelayHarness,
+    ScriptedEndpoint,
     answer,
     events,
     field,
-    reset,
+    refuse_as_full,
+    reset_connection,
     response,
-    shed,
     silent,
 )
 
 
-def play(scenario):
+def run_scenario(scenario):
     """Run a scenario on an event loop of its own."""
     asyncio.run(scenario())
 
 
-def ids_of(body):
+def event_ids(body):
     """Return the ids of the events in a body."""
     return [int(part[4:].split(b"\n")[0]) for part in body.split(b"\n\n") if part]
 
 
 def test_request_is_passed_on_unchanged():
     async def scenario():
-        endpoint = Endpoint(answer(body=b"hello"))
+        endpoint = ScriptedEndpoint(answer(body=b"hello"))
         async with RelayHarness(endpoint) as harness:
-            status, head, body, whole = await harness.ask(
+            status, head, body, is_complete = await harness.ask(
                 "once", extra=["X-Mine: 7", "X-Organisation: liar"]
             )
-            assert (status, body, whole) == (200, b"hello", True)
+            assert (status, body, is_complete) == (200, b"hello", True)
             assert field(head, "X-Seal") == "s"
             raw, sent = endpoint.requests[0]
             assert raw.startswith("POST /once/x?q=1 HTTP/1.1\r\n")
@@ -45,7 +45,7 @@
             assert field(raw, "X-Expect-Endpoint") == "e0"
             assert int(field(raw, "X-Deadline-Ms")) <= 600
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_silent_endpoint_is_no_promise_at_the_time_limit():
@@ -57,42 +57,47 @@
     """
 
     async def scenario():
-        endpoint = Endpoint(silent())
+        endpoint = ScriptedEndpoint(silent())
         async with RelayHarness(endpoint) as harness:
             status, head, _, _ = await harness.ask("once")
             assert status == 504
             assert field(head, "Retry-After") is None
             assert len(endpoint.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_reset_endpoint_is_no_promise_either():
     async def scenario():
-        endpoint, other = Endpoint(reset()), Endpoint(reset())
+        endpoint, other = (
+            ScriptedEndpoint(reset_connection()),
+            ScriptedEndpoint(reset_connection()),
+        )
         async with RelayHarness(endpoint, other) as harness:
             status, _, _, _ = await harness.ask("once")
             assert status == 502
             assert len(endpoint.requests) + len(other.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endpoint_that_sheds_gives_a_truthful_refusal():
     async def scenario():
-        endpoint = Endpoint(shed())
+        endpoint = ScriptedEndpoint(refuse_as_full())
         async with RelayHarness(endpoint) as harness:
             status, head, _, _ = await harness.ask("once")
             assert status == 503
             assert float(field(head, "Retry-After")) > 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("step", [shed(), reset(), answer(status=500)])
+@pytest.mark.parametrize(
+    "step", [refuse_as_full(), reset_connection(), answer(status=500)]
+)
 def test_repeatable_request_goes_to_another_endpoint(step):
     async def scenario():
-        first, second = Endpoint(step, step), Endpoint(step, step)
+        first, second = ScriptedEndpoint(step, step), ScriptedEndpoint(step, step)
         first.steps, second.steps = [step], [answer(body=b"good")]
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
@@ -100,7 +105,7 @@
             assert (status, body) == (200, b"good")
             assert len(first.requests) == len(second.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unreachable_endpoint_costs_no_run():
@@ -112,14 +117,14 @@
     """
 
     async def scenario():
-        dead, alive = Endpoint(), Endpoint(answer())
+        dead, alive = ScriptedEndpoint(), ScriptedEndpoint(answer())
         async with RelayHarness(dead, alive) as harness:
             dead.close()
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             status, _, _, _ = await harness.ask("once")
             assert status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stream_goes_on_at_another_endpoint_after_its_last_event():
@@ -131,18 +136,18 @@
     """
 
     async def scenario():
-        first = Endpoint(events([1, 2, 3], whole=False, cut=b"id: 4\nda"))
-        second = Endpoint(events([4, 5]))
+        first = ScriptedEndpoint(events([1, 2, 3], is_complete=False, cut=b"id: 4\nda"))
+        second = ScriptedEndpoint(events([4, 5]))
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            status, _, body, whole = await harness.ask("stream")
-            assert (status, whole) == (200, True)
-            assert ids_of(body) == [1, 2, 3, 4, 5]
+            status, _, body, is_complete = await harness.ask("stream")
+            assert (status, is_complete) == (200, True)
+            assert event_ids(body) == [1, 2, 3, 4, 5]
             raw, _ = second.requests[0]
             assert field(raw, "Last-Event-Id") == "3"
             assert field(raw, "X-Expect-Version") == "1"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_is_not_sent_again_when_its_caller_is_about_to_leave():
@@ -154,14 +159,17 @@
     """
 
     async def scenario():
-        first, second = Endpoint(reset()), Endpoint(events([1]))
+        first, second = (
+            ScriptedEndpoint(reset_connection()),
+            ScriptedEndpoint(events([1])),
+        )
         async with RelayHarness(first, second, timeout=0.6) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             status, _, _, _ = await harness.ask("stream")
             assert status == 502
             assert second.requests == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stream_is_not_joined_from_two_versions():
@@ -172,26 +180,26 @@
     """
 
     async def scenario():
-        first = Endpoint(events([1, 2], whole=False))
-        second = Endpoint(events([3], version="2"))
+        first = ScriptedEndpoint(events([1, 2], is_complete=False))
+        second = ScriptedEndpoint(events([3], version="2"))
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            status, _, body, whole = await harness.ask("stream")
-            assert (status, whole) == (200, False)
-            assert ids_of(body) == [1, 2]
+            status, _, body, is_complete = await harness.ask("stream")
+            assert (status, is_complete) == (200, False)
+            assert event_ids(body) == [1, 2]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stream_with_a_missing_event_does_not_look_complete():
     async def scenario():
-        only = Endpoint(events([1, 2, 4]))
+        only = ScriptedEndpoint(events([1, 2, 4]))
         async with RelayHarness(only, timeout=2.0) as harness:
-            status, _, body, whole = await harness.ask("stream")
-            assert (status, whole) == (200, False)
-            assert ids_of(body) == [1, 2]
+            status, _, body, is_complete = await harness.ask("stream")
+            assert (status, is_complete) == (200, False)
+            assert event_ids(body) == [1, 2]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_second_answer_reaches_no_later_request():
@@ -208,13 +216,13 @@
         writer.write(response(head, body=b"again"))
 
     async def scenario():
-        endpoint = Endpoint(twice, answer(body=b"second"))
+        endpoint = ScriptedEndpoint(twice, answer(body=b"second"))
         async with RelayHarness(endpoint) as harness:
             assert (await harness.ask("once"))[2] == b"first"
             await asyncio.sleep(0.1)
             assert (await harness.ask("once", extra=["X-N: 2"]))[2] == b"second"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_late_answer_with_another_id_is_passed_over():
@@ -223,22 +231,22 @@
         writer.write(response(head, body=b"new"))
 
     async def scenario():
-        async with RelayHarness(Endpoint(late)) as harness:
+        async with RelayHarness(ScriptedEndpoint(late)) as harness:
             assert (await harness.ask("once"))[2] == b"new"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_success_without_a_seal_is_none():
     async def unsealed(endpoint, head, writer):
-        whole = response(head, body=b"rubbish")
-        writer.write(whole.replace(b"X-Seal: s\r\n", b""))
+        is_complete = response(head, body=b"rubbish")
+        writer.write(is_complete.replace(b"X-Seal: s\r\n", b""))
 
     async def scenario():
-        async with RelayHarness(Endpoint(unsealed)) as harness:
+        async with RelayHarness(ScriptedEndpoint(unsealed)) as harness:
             assert (await harness.ask("once"))[0] == 502
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unframed_answer_that_is_reset_is_not_whole():
@@ -251,10 +259,10 @@
         return False
 
     async def scenario():
-        async with RelayHarness(Endpoint(unframed)) as harness:
+        async with RelayHarness(ScriptedEndpoint(unframed)) as harness:
             assert (await harness.ask("once"))[0] == 502
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endpoint_is_told_at_once_when_the_caller_leaves():
@@ -275,7 +283,7 @@
         async def read_to_end(endpoint, head, writer):
             return await wait(endpoint, head, writer)
 
-        async with RelayHarness(Endpoint(read_to_end), timeout=5.0) as harness:
+        async with RelayHarness(ScriptedEndpoint(read_to_end), timeout=5.0) as harness:
             _, writer = await asyncio.open_connection(
                 "127.0.0.1", harness.server.bound_port
             )
@@ -288,12 +296,12 @@
             await asyncio.sleep(0.1)
             assert harness.fleet.endpoint_by_id["e0"].own_running == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_revoked_or_unknown_key_is_refused():
     async def scenario():
-        endpoint = Endpoint(answer())
+        endpoint = ScriptedEndpoint(answer())
         async with RelayHarness(endpoint, keys={"k1": "org"}) as harness:
             assert (await harness.ask("once", extra=["X-Api-Key: k2"]))[0] == 401
             status, _, _, _ = await harness.ask("once", extra=["X-Api-Key: k1"])
@@ -302,7 +310,7 @@
             assert field(raw, "X-Api-Key") is None
             assert field(raw, "X-Organisation") == "org"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_keys_are_not_trusted_without_the_platforms_word():
@@ -314,7 +322,7 @@
     """
 
     async def scenario():
-        endpoint = Endpoint(answer())
+        endpoint = ScriptedEndpoint(answer())
         async with RelayHarness(
             endpoint, keys={"k1": "org"}, confirmed=False
         ) as harness:
@@ -323,7 +331,7 @@
             assert field(head, "Retry-After") is not None
             assert endpoint.requests == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_host_that_hears_nothing_does_not_say_that_there_is_no_such_thing():
@@ -339,7 +347,7 @@
     """
 
     async def scenario():
-        async with RelayHarness(Endpoint(), keys={"k1": "org"}) as harness:
+        async with RelayHarness(ScriptedEndpoint(), keys={"k1": "org"}) as harness:
             for prefix, key, known in (("once", "new", 401), ("new", "k1", 404)):
                 extra = [f"X-Api-Key: {key}"]
                 harness.contact.confirmed_at = monotonic() - 2.5
@@ -349,15 +357,15 @@
                 harness.contact.confirmed_at = monotonic() - 1.5
                 assert (await harness.ask(prefix, extra=extra))[0] == known
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unknown_route_is_not_found():
     async def scenario():
-        async with RelayHarness(Endpoint()) as harness:
+        async with RelayHarness(ScriptedEndpoint()) as harness:
             assert (await harness.ask("nowhere"))[0] == 404
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -378,7 +386,7 @@
     """
 
     async def scenario():
-        endpoint = Endpoint()
+        endpoint = ScriptedEndpoint()
         async with RelayHarness(endpoint) as harness:
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", harness.server.bound_port
@@ -389,4 +397,4 @@
             assert raw.startswith(b"HTTP/1.1 400 ")
             assert endpoint.requests == []
 
-    play(scenario)
+    run_scenario(scenario)
--- a/hawthornspoke/relay/tests/test_incarnations.py
+++ b/hawthornspoke/relay/tests/test_incarnations.py
@@ -8,28 +8,28 @@
 from hawthornspoke.protocol import EngineState, Frame
 from hawthornspoke.relay._agents import AgentLinks
 from hawthornspoke.relay.tests.endpoint import (
-    Endpoint,
     RelayHarness,
+    ScriptedEndpoint,
     answer,
     lone_suspects,
-    shed,
+    refuse_as_full,
 )
 
 FIRST = Incarnation(started_ms=1_000_000)
 SECOND = Incarnation(started_ms=1_060_000)
 
 
-def breaks_off(broken):
+def reset_when(should_reset):
     """A step: nothing, until an event is set; then the connection is reset."""
 
     async def step(endpoint, head, writer):
-        await broken.wait()
+        await should_reset.wait()
         return False
 
     return step
 
 
-def listed(harness, address, incarnation):
+def list_endpoint(harness, address, incarnation):
     """Let the platform tell the only endpoint's start."""
     entry = EndpointEntry(
         endpoint_id="e0",
@@ -44,7 +44,7 @@
     harness.fleet.step(EndpointsListed(entries=(entry,)), now=monotonic())
 
 
-def believed(harness):
+def tracked_endpoint(harness):
     """Return what is believed of the endpoint."""
     return harness.fleet.endpoint_by_id["e0"]
 
@@ -58,30 +58,30 @@
     """
 
     async def scenario():
-        broken, answered = asyncio.Event(), asyncio.Event()
+        should_reset, released = asyncio.Event(), asyncio.Event()
 
-        async def answers_later(endpoint, head, writer):
-            await answered.wait()
+        async def answer_when_released(endpoint, head, writer):
+            await released.wait()
             await answer()(endpoint, head, writer)
 
-        endpoint = Endpoint(breaks_off(broken), answers_later)
+        endpoint = ScriptedEndpoint(reset_when(should_reset), answer_when_released)
         async with RelayHarness(endpoint, timeout=2.0) as harness:
-            address = believed(harness).entry.address
-            listed(harness, address, FIRST)
+            address = tracked_endpoint(harness).entry.address
+            list_endpoint(harness, address, FIRST)
             first = asyncio.create_task(harness.ask("once"))
-            await _until(lambda: len(endpoint.requests) == 1)
-            listed(harness, address, SECOND)
+            await _wait_until(lambda: len(endpoint.requests) == 1)
+            list_endpoint(harness, address, SECOND)
             second = asyncio.create_task(harness.ask("once"))
-            await _until(lambda: len(endpoint.requests) == 2)
-            broken.set()
+            await _wait_until(lambda: len(endpoint.requests) == 2)
+            should_reset.set()
             status, _, _, _ = await first
             assert status == 502
-            assert believed(harness).own_running == 1
-            assert believed(harness).failure_rate == 0.0
-            answered.set()
+            assert tracked_endpoint(harness).own_running == 1
+            assert tracked_endpoint(harness).failure_rate == 0.0
+            released.set()
             status, _, _, _ = await second
             assert status == 200
-            assert believed(harness).own_running == 0
+            assert tracked_endpoint(harness).own_running == 0
 
     asyncio.run(scenario())
 
@@ -94,14 +94,14 @@
     """
 
     async def scenario():
-        endpoint = Endpoint(answer(), answer(), answer(), shed())
+        endpoint = ScriptedEndpoint(answer(), answer(), answer(), refuse_as_full())
         async with RelayHarness(endpoint) as harness:
-            address = believed(harness).entry.address
-            listed(harness, address, FIRST)
+            address = tracked_endpoint(harness).entry.address
+            list_endpoint(harness, address, FIRST)
             for _ in range(2):
                 assert (await harness.ask("once"))[0] == 200
             assert harness.pool.opened == 1
-            listed(harness, address, SECOND)
+            list_endpoint(harness, address, SECOND)
             assert (await harness.ask("once"))[0] == 200
             assert harness.pool.opened == 2
             assert (await harness.ask("once"))[0] == 503
@@ -137,7 +137,7 @@
     assert fleet.endpoint_by_id["e0"].load == 3
 
 
-async def _until(condition):
+async def _wait_until(condition):
     async with asyncio.timeout(2.0):
         while not condition():
             await asyncio.sleep(0.01)
--- a/hawthornspoke/relay/tests/test_old_weights.py
+++ b/hawthornspoke/relay/tests/test_old_weights.py
@@ -7,9 +7,9 @@
 from hawthornspoke.placing import Ask, Decline, Fleet, WeightsDeclared
 from hawthornspoke.relay.tests.endpoint import (
     ENGINE,
-    Endpoint,
     RelayHarness,
-    begins_late,
+    ScriptedEndpoint,
+    delayed_stream,
     events,
     lone_relay,
 )
@@ -47,14 +47,14 @@
     """
 
     async def scenario():
-        begun = []
-        full = Endpoint(begins_late(BOUND + 0.1, begun))
+        start_times = []
+        full = ScriptedEndpoint(delayed_stream(BOUND + 0.1, start_times))
         async with RelayHarness(full, timeout=3.0, fleet=fleet()) as harness:
             bound = declare(harness, 2)
             status, _, _, _ = await harness.ask("stream")
             assert status == 502
             await asyncio.sleep(max(0.0, bound + 0.2 - monotonic()))
-            assert begun == []
+            assert start_times == []
             assert len(full.requests) == 1
 
     asyncio.run(scenario())
@@ -64,16 +64,16 @@
     """The same events, and an engine that has the new version by then."""
 
     async def scenario():
-        begun = []
+        start_times = []
         full, current = (
-            Endpoint(begins_late(BOUND + 0.1, begun)),
-            Endpoint(events([1, 2], version="2")),
+            ScriptedEndpoint(delayed_stream(BOUND + 0.1, start_times)),
+            ScriptedEndpoint(events([1, 2], version="2")),
         )
         async with RelayHarness(full, current, timeout=3.0, fleet=fleet()) as harness:
             entry = harness.fleet.endpoint_by_id["e1"].entry
             harness.fleet.endpoint_by_id["e1"].own_running = 3
             declare(harness, 2)
-            asking = asyncio.create_task(harness.ask("stream"))
+            request_task = asyncio.create_task(harness.ask("stream"))
             await asyncio.sleep(0.1)
             harness.fleet.endpoint_by_id["e1"].entry = EndpointEntry(
                 endpoint_id="e1",
@@ -84,10 +84,10 @@
                 weights_version=2,
                 layers=(0, 16),
             )
-            status, _, body, whole = await asking
-            assert (status, whole) == (200, True)
+            status, _, body, is_complete = await request_task
+            assert (status, is_complete) == (200, True)
             assert body.count(b"id: ") == 2
-            assert begun == []
+            assert start_times == []
 
     asyncio.run(scenario())
 
@@ -96,11 +96,11 @@
     """A stream that began before the bound goes on after it."""
 
     async def scenario():
-        endpoint = Endpoint(begins_late(0.1, [], pause=BOUND))
+        endpoint = ScriptedEndpoint(delayed_stream(0.1, [], pause=BOUND))
         async with RelayHarness(endpoint, timeout=3.0, fleet=fleet()) as harness:
             declare(harness, 2)
-            status, _, body, whole = await harness.ask("stream")
-            assert (status, whole) == (200, True)
+            status, _, body, is_complete = await harness.ask("stream")
+            assert (status, is_complete) == (200, True)
             assert body.count(b"id: ") == 2
 
     asyncio.run(scenario())
--- a/hawthornspoke/relay/tests/test_reading.py
+++ b/hawthornspoke/relay/tests/test_reading.py
@@ -19,7 +19,7 @@
             await asyncio.Event().wait()
 
 
-class Log:
+class RecordingLog:
     """Keeps lines."""
 
     def __init__(self):
@@ -45,7 +45,7 @@
     async def scenario():
         source = FailingSource()
         relay = lone_relay(source=source)
-        log = relay.log = Log()
+        log = relay.log = RecordingLog()
         running = asyncio.create_task(relay.run())
         try:
             async with asyncio.timeout(5.0):
@@ -54,10 +54,10 @@
         finally:
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
-        ended = [fields for event, fields in log.lines if event == "task_ended"]
-        assert len(ended) == 2
-        assert ended[0]["task"] == "platform"
-        assert "rpartition" in ended[0]["error"]
+        restarts = [fields for event, fields in log.lines if event == "task_ended"]
+        assert len(restarts) == 2
+        assert restarts[0]["task"] == "platform"
+        assert "rpartition" in restarts[0]["error"]
         assert relay.metrics.value("tasks_ended_total", task="platform") == 2
 
     asyncio.run(scenario())
--- a/hawthornspoke/relay/tests/test_sharing.py
+++ b/hawthornspoke/relay/tests/test_sharing.py
@@ -15,19 +15,19 @@
 DOMAINS = ("a", "b", "c")
 
 
-class Link:
+class RecordingLink:
     """Takes frames as they arrive at the other end."""
 
     def __init__(self):
-        self.heard = []
+        self.received_items = []
 
     def send(self, frame):
         received = decode(Frame, encode(frame))
-        self.heard += read_evidence(received.evidence, now=monotonic())
+        self.received_items += read_evidence(received.evidence, now=monotonic())
         return True
 
 
-class Host:
+class FakeHost:
     """An entry host with links to some agents of each failure domain."""
 
     def __init__(self, *, agents=4):
@@ -42,73 +42,77 @@
                 self.connect(f"{domain}/{number}")
 
     def connect(self, address):
-        self.link_by_address[address] = Link()
+        self.link_by_address[address] = RecordingLink()
         self.sharing.add_agent(address, self.link_by_address[address])
         self.sharing.rebalance()
 
-    def see(self, start, fingerprint="f"):
+    def observe_end(self, start, fingerprint="f"):
         ended = EndpointEnded(start=start, fingerprints=(fingerprint,), in_use=9)
         for news in self.quarantine.step(ended, now=monotonic()):
             self.sharing.share(news.items)
 
-    def addresses_told(self):
-        return {address for address, link in self.link_by_address.items() if link.heard}
+    def notified_addresses(self):
+        return {
+            address
+            for address, link in self.link_by_address.items()
+            if link.received_items
+        }
 
 
 def test_evidence_meets_at_the_same_agents_of_each_failure_domain():
-    hosts = [Host() for _ in range(3)]
+    hosts = [FakeHost() for _ in range(3)]
     for number, host in enumerate(hosts):
-        host.see(f"e{number}")
-    told = hosts[0].addresses_told()
-    assert all(host.addresses_told() == told for host in hosts)
+        host.observe_end(f"e{number}")
+    told = hosts[0].notified_addresses()
+    assert all(host.notified_addresses() == told for host in hosts)
     for domain in DOMAINS:
         assert sum(name.startswith(domain) for name in told) == AGENTS_PER_DOMAIN
 
 
 def test_agent_that_takes_the_place_of_a_lost_one_is_told():
-    host = Host()
-    host.see("e1")
-    for address in host.addresses_told():
+    host = FakeHost()
+    host.observe_end("e1")
+    for address in host.notified_addresses():
         host.sharing.remove_agent(address)
         del host.link_by_address[address]
     host.sharing.rebalance()
-    assert len(host.addresses_told()) == AGENTS_PER_DOMAIN * len(DOMAINS)
+    assert len(host.notified_addresses()) == AGENTS_PER_DOMAIN * len(DOMAINS)
 
 
 def test_failure_domain_that_was_cut_off_is_told_when_it_is_back():
-    host = Host(agents=0)
+    host = FakeHost(agents=0)
     host.connect("a/1")
-    host.see("e1")
-    assert host.addresses_told() == {"a/1"}
+    host.observe_end("e1")
+    assert host.notified_addresses() == {"a/1"}
     for address in ("b/1", "c/1"):
         host.connect(address)
     host.sharing.rebalance()
-    assert host.addresses_told() == {"a/1", "b/1", "c/1"}
+    assert host.notified_addresses() == {"a/1", "b/1", "c/1"}
 
 
 def test_agent_that_started_again_is_told_anew():
-    host = Host(agents=1)
-    host.see("e1")
+    host = FakeHost(agents=1)
+    host.observe_end("e1")
     host.sharing.remove_agent("a/0")
     host.connect("a/0")
-    assert len(host.link_by_address["a/0"].heard) == 1
-    assert len(host.link_by_address["b/0"].heard) == 1
+    assert len(host.link_by_address["a/0"].received_items) == 1
+    assert len(host.link_by_address["b/0"].received_items) == 1
 
 
 def test_agent_is_told_once():
-    host = Host()
-    host.see("e1")
+    host = FakeHost()
+    host.observe_end("e1")
     host.sharing.rebalance()
     host.sharing.rebalance()
-    assert all(len(link.heard) <= 1 for link in host.link_by_address.values())
+    assert all(len(link.received_items) <= 1 for link in host.link_by_address.values())
 
 
 def test_what_agents_told_is_not_told_back():
-    host = Host(agents=1)
+    host = FakeHost(agents=1)
     item = Evidence(fingerprint="f", start="e1", deadline=monotonic() + 50)
     host.quarantine.step(EvidenceHeard(items=(item,)), now=monotonic())
     host.sharing.rebalance()
-    assert host.addresses_told() == set()
+    assert host.notified_addresses() == set()
 
 
 def test_unusable_evidence_is_passed_over():
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -8,29 +8,29 @@
 from hawthornspoke.quarantine import EndpointEnded, Evidence, write_evidence
 from hawthornspoke.relay import _suspects
 from hawthornspoke.relay.tests.endpoint import (
-    Endpoint,
     RelayHarness,
+    ScriptedEndpoint,
     answer,
     events,
     field,
-    reset,
+    reset_connection,
     silent,
     stream_event,
     stream_head,
 )
-from hawthornspoke.relay.tests.test_forward import ids_of, play
+from hawthornspoke.relay.tests.test_forward import event_ids, run_scenario
 
 
-def ends(step):
+def then_exit(step):
     """A step: what another one writes, and then the endpoint's process ends."""
 
-    async def ending(endpoint, head, writer):
+    async def exiting(endpoint, head, writer):
         await step(endpoint, head, writer)
         await writer.drain()
         endpoint.close()
         return False
 
-    return ending
+    return exiting
 
 
 async def next_event(endpoint, head, writer):
@@ -60,20 +60,20 @@
 
 async def fingerprint_of_next(harness, prefix):
     """Return the fingerprint of a request, as the host makes it."""
-    seen = []
+    recorded = []
     refusal = harness.suspects.refusal
 
-    def noting(fingerprint):
-        seen.append(fingerprint)
+    def record(fingerprint):
+        recorded.append(fingerprint)
         return refusal(fingerprint)
 
-    harness.handler._suspects = Noting(harness.suspects, noting)
+    harness.handler._suspects = RecordingSuspects(harness.suspects, record)
     await harness.ask(prefix)
     harness.handler._suspects = harness.suspects
-    return seen[0]
+    return recorded[0]
 
 
-class Noting:
+class RecordingSuspects:
     """Suspects of which one method is another."""
 
     def __init__(self, suspects, refusal):
@@ -83,7 +83,7 @@
 
 def test_request_in_quarantine_is_refused_without_being_sent():
     async def scenario():
-        endpoint = Endpoint()
+        endpoint = ScriptedEndpoint()
         async with RelayHarness(endpoint) as harness:
             fingerprint = await fingerprint_of_next(harness, "again")
             quarantine(harness, fingerprint)
@@ -92,23 +92,23 @@
             assert float(field(head, "Retry-After")) > 60
             assert len(endpoint.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_other_requests_of_the_caller_are_served():
     async def scenario():
-        endpoint = Endpoint()
+        endpoint = ScriptedEndpoint()
         async with RelayHarness(endpoint) as harness:
             fingerprint = await fingerprint_of_next(harness, "again")
             quarantine(harness, fingerprint)
             assert (await harness.ask("once"))[0] == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_quarantine_that_begins_while_a_connection_is_waited_for_holds():
     async def scenario():
-        endpoint = Endpoint()
+        endpoint = ScriptedEndpoint()
         async with RelayHarness(endpoint) as harness:
             fingerprint = await fingerprint_of_next(harness, "again")
             harness.pool.actions = [lambda: quarantine(harness, fingerprint)]
@@ -117,103 +117,112 @@
             assert float(field(head, "Retry-After")) > 60
             assert len(endpoint.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_that_was_sent_before_its_quarantine_is_not_called_not_run():
     async def scenario():
-        first, second = Endpoint(ends(reset())), Endpoint(ends(reset()))
+        first, second = (
+            ScriptedEndpoint(then_exit(reset_connection())),
+            ScriptedEndpoint(then_exit(reset_connection())),
+        )
         async with RelayHarness(first, second, timeout=2.0) as harness:
             quarantine(harness, "other")
             status, head, _, _ = await harness.ask("again")
             assert status == 502
             assert field(head, "Retry-After") is None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_that_waits_at_an_endpoint_is_withdrawn_when_its_quarantine_begins():
     """Guards against endpoints that end under a request already sent to them."""
 
     async def scenario():
-        endpoint = Endpoint(events([1]), silent())
+        endpoint = ScriptedEndpoint(events([1]), silent())
         async with RelayHarness(endpoint, timeout=2.0) as harness:
             fingerprint = await fingerprint_of_next(harness, "stream")
-            asked = asyncio.create_task(harness.ask("stream"))
+            request_task = asyncio.create_task(harness.ask("stream"))
             await asyncio.sleep(0.1)
             at_endpoint = harness.fleet.endpoint_by_id["e0"]
             assert at_endpoint.own_running == 1
             harness.suspects.merge_evidence(evidence_against(fingerprint))
-            status, head, _, _ = await asyncio.wait_for(asked, 0.5)
+            status, head, _, _ = await asyncio.wait_for(request_task, 0.5)
             assert status == 502
             assert field(head, "Retry-After") is None
             assert at_endpoint.own_running == 0
             assert at_endpoint.failure_rate == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_endpoint_that_resets_and_lives_is_no_evidence():
     async def scenario():
-        first, second = Endpoint(reset(), reset()), Endpoint(answer(), answer())
+        first, second = (
+            ScriptedEndpoint(reset_connection(), reset_connection()),
+            ScriptedEndpoint(answer(), answer()),
+        )
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             assert (await harness.ask("again"))[0] == 200
             await asyncio.sleep(0.05)
             assert harness.suspects.quarantine.evidence(now=monotonic()) == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_third_end_is_awaited_before_a_request_is_sent_again(monkeypatch):
     """Guards against a fourth endpoint that ends while the third is looked at."""
 
-    async def far_away(address, *, timeout):
+    async def slow_probe(address, *, timeout):
         await asyncio.sleep(0.05)
         return await refuses_connections(address, timeout=timeout)
 
-    monkeypatch.setattr(_suspects, "refuses_connections", far_away)
+    monkeypatch.setattr(_suspects, "refuses_connections", slow_probe)
 
     async def scenario():
-        endpoints = [Endpoint(ends(reset())) for _ in range(4)]
+        endpoints = [ScriptedEndpoint(then_exit(reset_connection())) for _ in range(4)]
         async with RelayHarness(*endpoints, timeout=2.0) as harness:
             await harness.ask("again")
             await harness.ask("again")
             await harness.ask("again")
             assert sum(len(endpoint.requests) for endpoint in endpoints) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_stream_that_goes_on_elsewhere_counts_at_each_endpoint_that_ended():
     async def scenario():
-        endpoints = [Endpoint(ends(next_event)) for _ in range(4)]
+        endpoints = [ScriptedEndpoint(then_exit(next_event)) for _ in range(4)]
         async with RelayHarness(*endpoints, timeout=2.0) as harness:
-            _, _, body, whole = await harness.ask("stream")
-            assert ids_of(body) == [1, 2]
-            assert not whole
+            _, _, body, is_complete = await harness.ask("stream")
+            assert event_ids(body) == [1, 2]
+            assert not is_complete
             await harness.ask("stream")
             status, _, _, _ = await harness.ask("stream")
             assert status == 503
             assert sum(len(endpoint.requests) for endpoint in endpoints) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_request_at_most_once_counts_when_its_caller_repeats_it():
     async def scenario():
-        endpoints = [Endpoint(ends(reset())) for _ in range(4)]
+        endpoints = [ScriptedEndpoint(then_exit(reset_connection())) for _ in range(4)]
         async with RelayHarness(*endpoints) as harness:
             statuses = [(await harness.ask("once"))[0] for _ in range(4)]
             assert statuses == [502, 502, 502, 503]
             assert sum(len(endpoint.requests) for endpoint in endpoints) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_answer_clears_a_request_that_ran_beside():
     async def scenario():
-        first, second = Endpoint(ends(reset())), Endpoint(answer())
+        first, second = (
+            ScriptedEndpoint(then_exit(reset_connection())),
+            ScriptedEndpoint(answer()),
+        )
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             assert (await harness.ask("again"))[0] == 200
@@ -221,16 +230,19 @@
             items = harness.suspects.quarantine.evidence(now=monotonic())
             assert all(item.cleared for item in items)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_error_that_a_living_endpoint_answers_clears_a_request_too():
     async def scenario():
-        first, second = Endpoint(ends(reset())), Endpoint(answer(status=500))
+        first, second = (
+            ScriptedEndpoint(then_exit(reset_connection())),
+            ScriptedEndpoint(answer(status=500)),
+        )
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             assert (await harness.ask("again"))[0] == 500
             items = harness.suspects.quarantine.evidence(now=monotonic())
             assert all(item.cleared for item in items)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/hawthornspoke/relay/tests/test_suspended.py
+++ b/hawthornspoke/relay/tests/test_suspended.py
@@ -6,10 +6,10 @@
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.placing import Fleet, WeightsDeclared
 from hawthornspoke.relay.tests.endpoint import (
-    Endpoint,
     RelayHarness,
+    ScriptedEndpoint,
     answer,
-    begins_late,
+    delayed_stream,
     events,
     silent,
 )
@@ -26,12 +26,12 @@
     """
 
     async def scenario():
-        async with RelayHarness(Endpoint(silent()), timeout=5.2) as harness:
-            asking = asyncio.create_task(harness.ask("once", read_time=8.0))
+        async with RelayHarness(ScriptedEndpoint(silent()), timeout=5.2) as harness:
+            request_task = asyncio.create_task(harness.ask("once", read_time=8.0))
             await asyncio.sleep(0.2)
             harness.contact_clock.suspend(5.0)
             woke_at = monotonic()
-            status, _, _, _ = await asking
+            status, _, _, _ = await request_task
             assert status == 504
             assert monotonic() - woke_at < NOTICED
 
@@ -47,33 +47,33 @@
     """
 
     async def scenario():
-        begun = []
-        engine = Endpoint(begins_late(0.9, begun))
+        start_times = []
+        engine = ScriptedEndpoint(delayed_stream(0.9, start_times))
         fleet = Fleet(failure_domain="a", version_bound=3.0, version_margin=0.3)
         async with RelayHarness(engine, timeout=4.0, fleet=fleet) as harness:
             declared = DeclaredWeights(model="m", version=2)
             message = WeightsDeclared(declared=declared, at=contact_clock())
             harness.fleet.step(message, now=monotonic())
-            asking = asyncio.create_task(harness.ask("stream"))
+            request_task = asyncio.create_task(harness.ask("stream"))
             await asyncio.sleep(0.2)
             harness.contact_clock.suspend(2.0)
-            status, _, _, _ = await asking
+            status, _, _, _ = await request_task
             assert status == 502
             await asyncio.sleep(0.5)
-            assert begun == []
+            assert start_times == []
 
     asyncio.run(scenario())
 
 
 def test_suspension_that_leaves_time_ends_nothing():
     async def scenario():
-        engine = Endpoint(begins_late(0.5, []))
+        engine = ScriptedEndpoint(delayed_stream(0.5, []))
         async with RelayHarness(engine, timeout=4.0) as harness:
-            asking = asyncio.create_task(harness.ask("stream"))
+            request_task = asyncio.create_task(harness.ask("stream"))
             await asyncio.sleep(0.1)
             harness.contact_clock.suspend(2.0)
-            status, _, body, whole = await asking
-            assert (status, whole) == (200, True)
+            status, _, body, is_complete = await request_task
+            assert (status, is_complete) == (200, True)
             assert body.count(b"id: ") == 2
 
     asyncio.run(scenario())
@@ -83,11 +83,11 @@
     """The host wakes after a caller's answer has come, and within its time."""
 
     async def scenario():
-        async with RelayHarness(Endpoint(events([1])), timeout=2.0) as harness:
+        async with RelayHarness(ScriptedEndpoint(events([1])), timeout=2.0) as harness:
             harness.contact_clock.suspend(1.5)
-            status, _, _, whole = await harness.ask("stream")
-            assert (status, whole) == (200, True)
-        async with RelayHarness(Endpoint(answer()), timeout=2.0) as harness:
+            status, _, _, is_complete = await harness.ask("stream")
+            assert (status, is_complete) == (200, True)
+        async with RelayHarness(ScriptedEndpoint(answer()), timeout=2.0) as harness:
             harness.contact_clock.suspend(1.5)
             assert (await harness.ask("once"))[0] == 200
 
--- a/hawthornspoke/relay/tests/test_telling_agents.py
+++ b/hawthornspoke/relay/tests/test_telling_agents.py
@@ -12,22 +12,22 @@
 ENDPOINTS = 60
 
 
-class Link:
+class RecordingLink:
     """Takes frames, as an open connection does."""
 
     def __init__(self):
-        self.heard = []
+        self.received = []
 
     def send(self, frame):
-        self.heard.append(frame.directive)
+        self.received.append(frame.directive)
         return True
 
     def send_encoded(self, data):
-        self.heard.append(decode(Frame, data[4:]).directive)
+        self.received.append(decode(Frame, data[4:]).directive)
         return True
 
 
-def listed(*, version=1, leaving=False, service="llm", count=ENDPOINTS):
+def list_entries(*, version=1, leaving=False, service="llm", count=ENDPOINTS):
     """Return the platform's list; only its first endpoint differs."""
     entries = [entry(f"e{number}") for number in range(count)]
     first = entry("e0", weights_version=version, leaving=leaving, service=service)
@@ -46,25 +46,25 @@
         },
     )
     sink._handler._admission.catalog = catalog
-    links = {f"e{number}:1": Link() for number in range(ENDPOINTS)}
+    links = {f"e{number}:1": RecordingLink() for number in range(ENDPOINTS)}
     task = SimpleNamespace(cancel=lambda: None)
     sink.agents._task_by_address.update(dict.fromkeys(links, task))
     sink.agents._link_by_address.update(links)
-    sink.on_entries(listed())
+    sink.on_entries(list_entries())
     return sink, links
 
 
 def count_peers(monkeypatch):
     """Return a list that grows by each endpoint that is made into a message."""
-    made = []
+    constructed = []
     real = PeerEndpoint.__init__
 
     def counting(self, *args, **kwargs):
-        made.append(1)
+        constructed.append(1)
         real(self, *args, **kwargs)
 
     monkeypatch.setattr(PeerEndpoint, "__init__", counting)
-    return made
+    return constructed
 
 
 def test_change_of_one_endpoint_costs_in_step_with_their_number(monkeypatch):
@@ -79,44 +79,44 @@
     """
     sink, links = connected_sink()
     for link in links.values():
-        link.heard.clear()
-    made = count_peers(monkeypatch)
-    sink.on_entries(listed(version=2))
-    assert all(link.heard == [] for link in links.values())
-    assert len(made) <= ENDPOINTS
+        link.received.clear()
+    constructed = count_peers(monkeypatch)
+    sink.on_entries(list_entries(version=2))
+    assert all(link.received == [] for link in links.values())
+    assert len(constructed) <= ENDPOINTS
 
 
 def test_each_agent_hears_who_leaves():
     sink, links = connected_sink()
-    assert all(len(link.heard) == 1 for link in links.values())
-    sink.on_entries(listed(leaving=True))
+    assert all(len(link.received) == 1 for link in links.values())
+    sink.on_entries(list_entries(leaving=True))
     for link in links.values():
-        assert [peer.leaving for peer in link.heard[-1].peers][:2] == [True, False]
-    sink.on_entries(listed())
-    assert all(len(link.heard) == 3 for link in links.values())
-    assert not links["e5:1"].heard[-1].peers[0].leaving
+        assert [peer.leaving for peer in link.received[-1].peers][:2] == [True, False]
+    sink.on_entries(list_entries())
+    assert all(len(link.received) == 3 for link in links.values())
+    assert not links["e5:1"].received[-1].peers[0].leaving
 
 
 def test_agents_of_two_services_hear_of_their_own():
     sink, links = connected_sink()
-    sink.on_entries(listed(service="other"))
-    addresses = [peer.address for peer in links["e0:1"].heard[-1].peers]
+    sink.on_entries(list_entries(service="other"))
+    addresses = [peer.address for peer in links["e0:1"].received[-1].peers]
     assert addresses == ["e0:1"]
-    assert len(links["e1:1"].heard[-1].peers) == ENDPOINTS - 1
+    assert len(links["e1:1"].received[-1].peers) == ENDPOINTS - 1
 
 
 def test_agent_that_connects_late_hears_it_too():
     sink, links = connected_sink()
-    late = Link()
+    late = RecordingLink()
     sink.agents._sent_by_address.pop("e7:1")
     sink.agents._send_directive("e7:1", late)
-    assert len(late.heard[0].peers) == ENDPOINTS
+    assert len(late.received[0].peers) == ENDPOINTS
 
 
 def test_agent_whose_endpoint_left_the_list_hears_nothing():
     sink, links = connected_sink()
-    sink.on_entries(listed(count=ENDPOINTS - 1))
-    assert len(links[f"e{ENDPOINTS - 1}:1"].heard) == 1
+    sink.on_entries(list_entries(count=ENDPOINTS - 1))
+    assert len(links[f"e{ENDPOINTS - 1}:1"].received) == 1
 
 
 def test_agents_hear_once_whether_their_load_is_wanted():
