--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -1,4 +1,4 @@
-"""A scripted endpoint on loopback, and a relay's handler before it."""
+"""Test harness: scripted endpoints on loopback behind the handler of a relay."""
 
 import asyncio
 import contextlib
@@ -35,8 +35,9 @@
 class ScriptedEndpoint:
     """Answers each request by the next step of a script.
 
-    A step is a coroutine function called with the endpoint, the raw request and
-    the stream writer; what it writes is what the relay gets.
+    A step is a coroutine function that is called with the endpoint, the raw request
+    and the stream writer, and writes the response. It returns False to abort the
+    connection.
     """
 
     def __init__(self, *steps):
@@ -73,7 +74,7 @@
 
 
 def field(head, name):
-    """Return a header field of a raw request, None if it has none."""
+    """Return the value of a header field of a raw message, None if it is missing."""
     for line in head.split("\r\n"):
         key, _, value = line.partition(":")
         if key.lower() == name.lower():
@@ -82,7 +83,7 @@
 
 
 def response(head, status=200, body=b"ok", extra=()):
-    """Return a whole sealed response to a raw request."""
+    """Return a complete sealed response to a raw request."""
     lines = [
         f"HTTP/1.1 {status} X",
         f"X-Request-Id: {field(head, 'X-Request-Id')}",
@@ -95,7 +96,7 @@
 
 
 def answer(status=200, body=b"ok", extra=()):
-    """A step: a whole answer."""
+    """Return a step that sends a complete response."""
 
     async def step(endpoint, head, writer):
         writer.write(response(head, status, body, extra))
@@ -104,12 +105,12 @@
 
 
 def refuse_as_full():
-    """A step: the endpoint is full and says so."""
+    """Return a step that refuses the request because the endpoint is full."""
     return answer(503, b"", ("X-Not-Run: 1",))
 
 
 def silent():
-    """A step: nothing is answered until the relay closes the connection."""
+    """Return a step that sends nothing until the relay closes the connection."""
 
     async def step(endpoint, head, writer):
         await writer.wait_closed()
@@ -119,7 +120,7 @@
 
 
 def reset_connection():
-    """A step: the connection is reset without an answer."""
+    """Return a step that resets the connection without a response."""
 
     async def step(endpoint, head, writer):
         return False
@@ -144,7 +145,7 @@
 
 
 def events(ids, *, version="1", cut=b"", is_complete=True):
-    """A step: a stream of events, complete or cut off behind some bytes."""
+    """Return a step that sends a stream of events, complete or truncated."""
 
     async def step(endpoint, head, writer):
         writer.write(stream_head(head, version))
@@ -163,16 +164,16 @@
 
 
 def delayed_stream(delay, start_times, *, pause=0.0):
-    """A step: a stream of two events that begins after some time.
+    """Return a step that sends a stream of two events after a delay.
 
-    Like an engine it drops a request whose connection is closed before it began.
+    Like an engine, it drops a request whose connection is closed before it starts.
 
     Parameters
     ----------
-    wait : float
+    delay : float
         Seconds until the first event.
-    begun : list
-        Gets the moment at which the stream began.
+    start_times : list
+        Receives the time at which the stream started.
     pause : float, default=0.0
         Seconds between the two events.
     """
@@ -194,7 +195,7 @@
 
 
 def lone_relay(*, source=None):
-    """Return a relay's process that listens on any ports of loopback."""
+    """Return a relay that listens on free loopback ports."""
     return Relay(
         settings=RelaySettings(
             node="n",
@@ -209,7 +210,7 @@
 
 
 def lone_suspects(fleet):
-    """Return what an entry host without agents knows of poison requests."""
+    """Return the Suspects of an entry host without agents."""
     return Suspects(fleet=fleet, log=EventLog(node="test"), metrics=Metrics())
 
 
@@ -221,11 +222,11 @@
 
 
 class StallingPool(ConnectionPool):
-    """Runs an action where a process may stand still: a connection is there.
+    """Connection pool that runs an action when a connection has been acquired.
 
-    What an action does happens between the choice of an endpoint and the send, and
-    the loop turns no more before the send. So the time that passes, the close of a
-    caller and news that came meanwhile are those of a process that was frozen.
+    The action runs between the selection of an endpoint and the send, and the event
+    loop doesn't run again before the send. So an action that sleeps, closes the
+    caller's socket or changes state simulates a process that was frozen there.
 
     Parameters
     ----------
@@ -240,7 +241,7 @@
         self.last = None
 
     async def acquire(self, key, address, **options):
-        """Return a connection; run the next action, None for none, before that."""
+        """Return a connection after running the next action, if it is not None."""
         connection = await super().acquire(key, address, **options)
         self.last = connection
         action = self.actions.pop(0) if self.actions else None
@@ -250,7 +251,7 @@
 
 
 class SuspendedClock:
-    """The clock that goes on while the host is suspended; the steady one doesn't."""
+    """Clock that includes simulated suspensions; the monotonic clock doesn't."""
 
     def __init__(self):
         self.suspended = 0.0
@@ -259,12 +260,12 @@
         return contact_clock() + self.suspended
 
     def suspend(self, seconds):
-        """Let a host be suspended for some time."""
+        """Simulate a suspension of the host."""
         self.suspended += seconds
 
 
 class RelayHarness:
-    """Endpoints, a relay's handler, and callers, on one event loop."""
+    """Endpoints, the handler of a relay, and callers, on one event loop."""
 
     def __init__(self, *endpoints, timeout=0.6, keys=None, confirmed=True, fleet=None):
         self.endpoints = endpoints
@@ -339,7 +340,7 @@
         assert self.handler_errors == []
 
     async def ask(self, prefix, *, extra=(), read_time=3.0):
-        """Make one request; return (status, head, body, whether it is whole)."""
+        """Make a request; return (status, head, body, whether it is complete)."""
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", self.server.bound_port
         )
@@ -356,7 +357,7 @@
         return status, text, body, bool(text)
 
     def call(self, prefix, *, extra=()):
-        """Make one request and return its socket, which can be closed at any time."""
+        """Send a request and return its socket, which can be closed at any time."""
         caller = socket.create_connection(("127.0.0.1", self.server.bound_port))
         caller.sendall(_request(prefix, extra))
         return caller
@@ -368,11 +369,11 @@
         ----------
         revision : int, default=1
         service : str, default="s"
-            That all routes lead to.
+            Service of all routes.
         keys : dict of str to str or None, default=None
-            Organisations by key, if others than the harness was made with.
+            Organisations by key; those of the harness by default.
         without : collection of str
-            Names of routes that are left out.
+            Names of routes to leave out.
         """
         keys = self.keys if keys is None else keys
         routes = tuple(
@@ -410,9 +411,9 @@
         Parameters
         ----------
         leaving : collection of int
-            Numbers of those that leave.
+            Indices of the endpoints marked as leaving.
         gone : collection of int
-            Numbers of those that it has no longer.
+            Indices of the endpoints removed from the list.
         """
         return tuple(
             EndpointEntry(
@@ -444,7 +445,7 @@
 
 
 def unchunk(body):
-    """Return the data of a chunked body, as far as it came."""
+    """Return the data of a chunked body, as far as it was received."""
     data = b""
     while body:
         size, _, rest = body.partition(b"\r\n")
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -1,15 +1,13 @@
-"""Nothing is sent on a decision that a wait has made old.
-
-Symptom: an entry host took a request 3 ms after it came and sent it to an endpoint
-6.6 s after the caller's deadline, when the caller had long left.
-Events: an endpoint is chosen; the process stands still for 9 s; it wakes, and all
-that is due runs in one turn of the loop: the task goes on before the timer of the
-deadline, the caller's close and the news of the platform are seen.
-Cause: what a request needs to be sent was looked at when its endpoint was chosen,
-and not once more when its bytes were written.
-
-The process stands still before the first send, before that of a retry and before that
-of the rest of a stream, each with all that can have changed meanwhile.
+"""The conditions for sending a request are rechecked right before the write.
+
+An entry host selected an endpoint for a request, stalled for 9 s, and sent the request
+6.6 s after the caller's deadline, when the caller had left. After a stall the event
+loop resumes the task before it processes the deadline timer, the caller's disconnect
+and updates from the platform. The conditions were only checked when the endpoint was
+selected.
+
+The process stalls before the first send, before a retry and before the resumption of
+a stream, each combined with every change that can happen during the stall.
 """
 
 import asyncio
@@ -31,11 +29,11 @@
     reset_connection,
 )
 
-#: Seconds that a caller gives; standing still for longer than that is too long.
+#: Deadline of callers in seconds, and a longer stall.
 SHORT_TIMEOUT = 0.4
 STALL_TIME = 0.5
 
-#: Time enough for all that is not about time.
+#: Deadline in seconds of tests that don't depend on it.
 LONG_TIMEOUT = 20.0
 
 KEY = "X-Api-Key: k"
@@ -43,9 +41,9 @@
 
 
 class StallPoint:
-    """Where the process stands still: before which send.
+    """The send before which the process stalls.
 
-    ``before`` is what the endpoint did that was asked earlier, if there is one.
+    ``before`` is the step of the endpoint that was tried earlier, if any.
     """
 
     def __init__(self, *, route, before=None):
@@ -53,7 +51,7 @@
         self.before = before
 
     async def stall(self, action, *, timeout=LONG_TIMEOUT):
-        """Stand still there; return the answer and what the endpoint got."""
+        """Stall there; return the response and the requests of the endpoint."""
         target = ScriptedEndpoint(events([3]) if self.route == "stream" else answer())
         endpoints = [target]
         if self.before is not None:
@@ -72,7 +70,7 @@
 
 
 def stall_point(name):
-    """Return one of the places by its name."""
+    """Return a stall point by name."""
     return {
         "first": StallPoint(route="once"),
         "retry": StallPoint(route="again", before=refuse_as_full()),
@@ -93,7 +91,7 @@
 
 
 def check_not_sent(name, action, *, timeout=LONG_TIMEOUT):
-    """Stand still at a place; nothing is sent, and the answer says what is true."""
+    """Stall; check that nothing is sent and that the response is accurate."""
 
     async def scenario():
         (status, head, _, is_complete), requests = await stall_point(name).stall(
@@ -111,15 +109,15 @@
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_deadline_that_passed_while_the_process_stood_still(name):
-    """Symptom: an endpoint got a request after its caller's deadline."""
+    """Guards against a request that is sent after its caller's deadline."""
     check_not_sent(name, lambda harness: time.sleep(STALL_TIME), timeout=SHORT_TIMEOUT)
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_deadline_that_passed_while_the_host_was_suspended(name):
-    """The same, and the steady clock did not count the time.
+    """The same for a suspension, during which the monotonic clock stops.
 
-    Cause: the deadline was on the clock that stands still with the host.
+    The deadline was measured on the monotonic clock.
     """
     check_not_sent(
         name,
@@ -130,17 +128,16 @@
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_key_that_nobody_confirmed_while_the_host_was_suspended(name):
-    """Symptom: a request ran with a key 9 s after the platform's last word on it."""
+    """Guards against a request with a key last confirmed 9 s before."""
     check_not_sent(name, lambda harness: harness.contact_clock.suspend(5.0))
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_key_that_was_taken_away_meanwhile(name):
-    """Symptom: a request ran with a key that its host knew to be revoked.
+    """Guards against a request with a key that its host knew to be revoked.
 
-    Events: the wait is that for a connection, or for the endpoint asked before; the
-    newer configuration comes in force meanwhile. Cause: the key was looked up once,
-    when the request came.
+    A newer configuration is activated while the request waits for a connection or for
+    the previous endpoint. The key was only looked up on arrival of the request.
     """
     check_not_sent(
         name,
@@ -152,7 +149,7 @@
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_key_that_passed_to_another_organisation(name):
-    """Symptom: a request ran in the name of an organisation that lost its key."""
+    """Guards against a request of an organisation that lost its key."""
     check_not_sent(
         name,
         lambda harness: harness.handler.set_catalog(
@@ -163,7 +160,7 @@
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_route_that_was_taken_away_meanwhile(name):
-    """Symptom: a request ran on a route that is no longer there."""
+    """Guards against a request on a removed route."""
     check_not_sent(
         name,
         lambda harness: harness.handler.set_catalog(
@@ -174,7 +171,7 @@
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_route_that_leads_to_another_service_now(name):
-    """Symptom: the service of before ran a request after the change was in force."""
+    """Guards against a request to the old service of a changed route."""
     check_not_sent(
         name,
         lambda harness: harness.handler.set_catalog(
@@ -184,19 +181,19 @@
 
 
 def change_endpoints(harness, **changes):
-    """Take the platform's list with some endpoints changed."""
+    """Apply a list from the platform with some endpoints changed."""
     message = EndpointsListed(entries=harness.entries(**changes))
     harness.fleet.step(message, now=monotonic())
 
 
 def last(harness):
-    """Return the number of the endpoint that would be sent to."""
+    """Return the index of the endpoint that would receive the request."""
     return len(harness.endpoints) - 1
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_endpoint_that_leaves_meanwhile(name):
-    """Symptom: an endpoint that leaves got a request seconds after that was known."""
+    """Guards against a request to an endpoint known to be leaving."""
     check_not_sent(
         name, lambda harness: change_endpoints(harness, leaving=[last(harness)])
     )
@@ -204,7 +201,7 @@
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_endpoint_that_is_gone_meanwhile(name):
-    """Symptom: a request was sent to an endpoint that the list no longer has."""
+    """Guards against a request to an endpoint that is no longer listed."""
     check_not_sent(
         name, lambda harness: change_endpoints(harness, gone=[last(harness)])
     )
@@ -212,7 +209,7 @@
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_weights_that_became_too_old_meanwhile(name):
-    """Symptom: a request began on weights 6 s after their bound."""
+    """Guards against a request that started on weights 6 s after their bound."""
 
     def declare(harness):
         declared = DeclaredWeights(model="m", version=2)
@@ -224,7 +221,7 @@
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_engine_that_takes_up_other_weights_meanwhile(name):
-    """Symptom: a request waited at an engine that had been told to load."""
+    """Guards against a request queued at an engine that is loading weights."""
 
     def report(harness):
         number = last(harness)
@@ -243,10 +240,10 @@
 
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_caller_that_left_while_the_process_stood_still(name):
-    """Symptom: endpoints worked seconds later for callers that had long left.
+    """Guards against requests sent for callers that have disconnected.
 
-    Events: the caller closes while the process stands still; the close waits in the
-    socket when the task goes on. Cause: a close was only noticed by the loop.
+    The caller closes its socket during the stall, and the task resumes before the event
+    loop reads the close. Only the event loop detected a close.
     """
 
     async def scenario():
@@ -270,12 +267,12 @@
 
 
 def test_caller_that_left_before_its_request_was_looked_at():
-    """The same, and the process stood still between reading and handling."""
+    """The same with a stall between reading and handling the request."""
 
     async def scenario():
         target = ScriptedEndpoint()
         async with RelayHarness(target, timeout=LONG_TIMEOUT) as harness:
-            # A connection is there already, so that the send needs no further turn.
+            # A pooled connection exists, so the send needs no further loop iteration.
             assert (await harness.ask("once"))[0] == 200
             caller = harness.call("once")
 
@@ -291,7 +288,7 @@
 
 
 def test_request_read_before_the_host_was_suspended():
-    """The same, and the host was suspended meanwhile: only one clock tells."""
+    """The same with a suspension, which only the boot-time clock shows."""
 
     async def scenario():
         target = ScriptedEndpoint()
@@ -310,7 +307,7 @@
 
 
 def test_another_endpoint_is_asked_where_only_the_endpoint_changed():
-    """A request that only lost its endpoint still runs, once."""
+    """A request whose endpoint became unusable runs once, at another endpoint."""
 
     async def scenario():
         first, second = ScriptedEndpoint(), ScriptedEndpoint()
@@ -325,11 +322,11 @@
 
 
 def test_endpoint_that_closed_the_connection_meanwhile():
-    """Symptom: a request that was never sent was answered as one that may have run.
+    """Guards against a request that was never sent but reported as maybe run.
 
-    Events: a connection is made; the process stands still; the endpoint closes it, and
-    the loop has taken note before the task goes on. Cause: the bytes were written to
-    a connection that is no more, and counted as sent.
+    The endpoint closes a new connection during a stall, and the event loop processes
+    the close before the task resumes. The bytes were written to the closed connection
+    and counted as sent.
     """
 
     async def scenario():
@@ -350,12 +347,11 @@
 
 
 def test_endpoint_that_closed_the_connection_unseen():
-    """The same, and the loop has yet to see it, as with callers.
+    """The same, with a close that the event loop has not processed yet.
 
-    Events: a connection is kept; the process stands still; the endpoint closes it for
-    its idleness; on waking the task goes on before the loop reads the end of it.
-    Cause: the caller's socket is looked at directly before the write, the endpoint's
-    is not.
+    The endpoint closes an idle pooled connection during a stall, and the task resumes
+    before the event loop reads the close. Only the caller's socket was checked directly
+    before the write, not the endpoint's.
     """
 
     async def scenario():
@@ -378,10 +374,10 @@
 
 
 def test_time_that_an_endpoint_is_given_counts_the_suspension():
-    """Symptom: endpoints were told that callers wait for seconds longer than they do.
+    """Guards against deadlines sent to endpoints that are seconds too late.
 
-    Events: the host is suspended for half of a caller's time. Cause: what is left was
-    counted on the clock that stands still with the host.
+    The host is suspended during part of the caller's time. The remaining time was
+    measured on the monotonic clock, which stops then.
     """
 
     async def scenario():
--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -1,4 +1,4 @@
-"""A relay before scripted endpoints: what callers and endpoints see of failures."""
+"""Forwarding to scripted endpoints, and the handling of their failures."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 def run_scenario(scenario):
-    """Run a scenario on an event loop of its own."""
+    """Run a scenario on a new event loop."""
     asyncio.run(scenario())
 
 
@@ -49,11 +49,10 @@
 
 
 def test_silent_endpoint_is_no_promise_at_the_time_limit():
-    """A request that may run was answered with "not run".
+    """Guards against a 503 for an at-most-once request that may still run.
 
-    Symptom: 503 for a request at most once, and an endpoint ran it later.
-    Events: the request is sent; the endpoint says nothing; the route's time ends.
-    Cause: "may have run" was noted only with an answer or a broken connection.
+    The endpoint doesn't respond before the deadline. "May have run" was only recorded
+    on a response or a broken connection.
     """
 
     async def scenario():
@@ -109,11 +108,10 @@
 
 
 def test_unreachable_endpoint_costs_no_run():
-    """An endpoint that is gone made a request fail that was never sent.
+    """Guards against a 502 for an at-most-once request that was never sent.
 
-    Symptom: 502 for a request at most once. Events: the endpoint dies; its entry
-    is still listed; the connection is refused. Cause: nothing was sent, so another
-    endpoint may be tried.
+    An endpoint has ended but is still listed, and refuses the connection. Nothing was
+    sent, so another endpoint may be tried.
     """
 
     async def scenario():
@@ -128,11 +126,10 @@
 
 
 def test_stream_goes_on_at_another_endpoint_after_its_last_event():
-    """A stream was joined from two runs.
+    """Guards against duplicate or missing events in a resumed stream.
 
-    Symptom: an event came twice, or was missing. Events: an endpoint dies within
-    an event. Cause: bytes, not events, were passed on, and the second run began
-    elsewhere than after the last whole event.
+    The first endpoint fails in the middle of an event. If bytes rather than complete
+    events are forwarded, the second endpoint doesn't resume at the event boundary.
     """
 
     async def scenario():
@@ -151,11 +148,11 @@
 
 
 def test_request_is_not_sent_again_when_its_caller_is_about_to_leave():
-    """Engines read prompts for callers that had left.
+    """Guards against engines that process prompts for callers that have left.
 
-    Events: an engine is silent; the request is sent to a second one just before the
-    caller's patience ends; a full link delays it by more. Cause: only the route's
-    limit was looked at.
+    The first engine fails shortly before the caller gives up, and a saturated link
+    delays the retry beyond that. Only the route's timeout was checked, not the time
+    that the caller waits for an event.
     """
 
     async def scenario():
@@ -173,10 +170,10 @@
 
 
 def test_stream_is_not_joined_from_two_versions():
-    """Weights of two versions made one answer.
+    """Guards against a response produced by two versions of the weights.
 
-    Events: an endpoint dies in the middle; another, which has newer weights, goes
-    on. Cause: the version was not asked for.
+    An endpoint fails in mid-stream, and one with newer weights resumes the stream. The
+    weights version was not requested.
     """
 
     async def scenario():
@@ -203,10 +200,10 @@
 
 
 def test_second_answer_reaches_no_later_request():
-    """A caller got the answer to another request.
+    """Guards against a caller that receives the response to another request.
 
-    Events: an endpoint answers twice on a kept connection; the next request on it
-    reads the second answer. Cause: answers were matched by order, not by id.
+    An endpoint responds twice on a kept-alive connection, and the next request reads
+    the second response. Responses were matched by order, not by id.
     """
 
     async def twice(endpoint, head, writer):
@@ -266,10 +263,10 @@
 
 
 def test_endpoint_is_told_at_once_when_the_caller_leaves():
-    """An endpoint worked on for a caller that was gone.
+    """Guards against an endpoint that keeps running a request of a lost caller.
 
-    Events: a caller sends a request and closes its connection. Cause: nobody read
-    from the caller while the endpoint was waited for.
+    The caller closes its connection after sending a request. The caller's socket was
+    not read while waiting for the endpoint.
     """
 
     async def scenario():
@@ -314,11 +311,11 @@
 
 
 def test_keys_are_not_trusted_without_the_platforms_word():
-    """A key that had been revoked still worked.
+    """Guards against requests with a revoked key.
 
-    Symptom: requests with it ran more than five seconds after the operators were
-    told that it was dead. Events: the entry host is cut off from the platform, the
-    key is revoked, its owner goes on. Cause: the host trusted what it last knew.
+    An entry host that is cut off from the platform doesn't see a revocation, and kept
+    trusting the key for more than five seconds after operators were told that it is
+    revoked.
     """
 
     async def scenario():
@@ -335,15 +332,13 @@
 
 
 def test_host_that_hears_nothing_does_not_say_that_there_is_no_such_thing():
-    """A key that had been accepted 3.96 s before was refused for good, with 401.
-
-    Symptom: 401 from hosts of one failure domain, whose readiness failed in the same
-    seconds; their callers don't come back after it.
-    Events: a configuration with a new key is accepted; the hosts' link is full and
-    they don't read it in time; a caller uses the key.
-    Cause: the age of the platform's word was looked at for keys that are known, not
-    for those that are missing, nor for routes.
-    Evidence: the revision and the age of the word on the refusals' log lines.
+    """Guards against permanent refusals by a host with an outdated configuration.
+
+    A key that the platform had accepted 3.96 s before was refused with 401 by hosts
+    of one failure domain, after which callers don't retry. The hosts' link was
+    saturated, so they had not read the configuration yet and were not ready, as
+    shown by the revision and confirmation age in the log of the refusals. That age
+    was checked for known keys only, not for missing keys or routes.
     """
 
     async def scenario():
@@ -380,10 +375,7 @@
     ],
 )
 def test_ambiguous_requests_are_refused(head):
-    """A request was hidden inside another one.
-
-    Cause: two lengths are read differently by different programs.
-    """
+    """Guards against request smuggling: parsers resolve two lengths differently."""
 
     async def scenario():
         endpoint = ScriptedEndpoint()
