--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -1,4 +1,4 @@
-"""Messages of agents with anything in them, at an entry host."""
+"""Handling of arbitrary frames from agents by an entry host."""
 
 from hypothesis import given, settings
 
@@ -13,14 +13,14 @@
 
 
 class StubLink:
-    """Takes frames."""
+    """Connection that accepts all frames."""
 
     def send(self, frame):
         return True
 
 
 def make_links():
-    """Return an entry host's links and its fleet of two engines."""
+    """Return the AgentLinks of an entry host and its fleet of two engines."""
     fleet = Fleet(failure_domain="a")
     entries = tuple(
         EndpointEntry(
@@ -71,11 +71,11 @@
 
 
 def test_agent_that_is_gone_tells_no_number_of_entry_hosts():
-    """Requests were refused a retry though the budget of all hosts had room.
+    """Guards against retries that are refused although the common budget allows them.
 
-    Events: agents see twelve entry hosts; three of these leave, and one engine with
-    its agent is gone for good; the other agents tell nine. Cause: what an agent told
-    last is kept when its connection ends, and the most that any told counts.
+    Agents see twelve entry hosts; three of these leave, and one agent is lost for
+    good while the others report nine. The number reported by the lost agent was kept,
+    and the maximum over all agents counts.
     """
     agent_links, _ = make_links()
     for address, seen in zip(ADDRESSES, (12, 9), strict=True):
--- a/hawthornspoke/relay/tests/test_contact.py
+++ b/hawthornspoke/relay/tests/test_contact.py
@@ -1,4 +1,4 @@
-"""How long keys are trusted: the contact machine."""
+"""Tests of the Contact state machine, which limits the trust in keys."""
 
 from hawthornspoke.relay import Confirmed, Contact, ContactLost, Lost
 
@@ -12,9 +12,10 @@
 
 
 def test_suspended_host_wakes_without_trust():
-    """A host that stood still for ten seconds served a key that had been revoked.
+    """Guards against a revoked key that is accepted after a suspension of 10 s.
 
-    Cause: its clock had stood still too. The machine is given one that goes on.
+    The monotonic clock stops during a suspension, so the state machine is given a
+    clock that includes it.
     """
     contact = Contact(keys_valid_for=4.6)
     contact.step(Confirmed(at=10.0), now=10.0)
--- a/hawthornspoke/relay/tests/test_events.py
+++ b/hawthornspoke/relay/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Taking streams apart: only whole events in order are passed on."""
+"""Splitting of streams: only complete events in order are returned."""
 
 import random
 
--- a/hawthornspoke/relay/tests/test_incarnations.py
+++ b/hawthornspoke/relay/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Requests to an endpoint that starts again under its id."""
+"""Requests to an endpoint that restarts under the same id."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 def reset_when(should_reset):
-    """A step: nothing, until an event is set; then the connection is reset."""
+    """Return a step that resets the connection once an event is set."""
 
     async def step(endpoint, head, writer):
         await should_reset.wait()
@@ -30,7 +30,7 @@
 
 
 def list_endpoint(harness, address, incarnation):
-    """Let the platform tell the only endpoint's start."""
+    """List the only endpoint with an incarnation."""
     entry = EndpointEntry(
         endpoint_id="e0",
         service="s",
@@ -45,16 +45,17 @@
 
 
 def tracked_endpoint(harness):
-    """Return what is believed of the endpoint."""
+    """Return the state of the endpoint in the fleet."""
     return harness.fleet.endpoint_by_id["e0"]
 
 
 def test_request_of_the_earlier_start_ends_after_the_next_one_has_begun():
-    """A new start was avoided, and given more requests than it has slots.
+    """Guards against attributing a failed request to a later incarnation.
 
-    Events: a request runs at an endpoint that loses power; it starts again, the list
-    tells so, and another request runs there; then the first request's connection
-    breaks. Cause: its end was counted for the endpoint, whichever start it was.
+    A request runs at an endpoint that loses power. The endpoint restarts, is listed
+    with its new incarnation and gets another request; then the connection of the
+    first one breaks. Its failure was counted for the endpoint whatever its
+    incarnation: the new one was avoided, and received more requests than it has slots.
     """
 
     async def scenario():
@@ -87,10 +88,10 @@
 
 
 def test_connection_to_the_earlier_start_carries_nothing_to_the_next():
-    """A first request to an endpoint that was back got 502.
+    """Guards against a 502 for the first request to a restarted endpoint.
 
-    Events: a connection is idle when the endpoint loses power; it starts again under
-    its id. Cause: the connection was kept by the id.
+    A pooled connection is idle when the endpoint loses power and restarts under the
+    same id. Connections were pooled by the id alone.
     """
 
     async def scenario():
@@ -111,7 +112,7 @@
 
 
 def test_agents_word_carries_the_start_to_the_fleet():
-    """A restart that only the agent had seen was noticed by no entry host."""
+    """Guards against entry hosts that miss a restart seen only by the agent."""
     fleet = Fleet(failure_domain="a")
     entry = EndpointEntry(
         endpoint_id="e0",
--- a/hawthornspoke/relay/tests/test_old_weights.py
+++ b/hawthornspoke/relay/tests/test_old_weights.py
@@ -1,4 +1,4 @@
-"""Old weights answer nothing after their bound, whatever an engine does meanwhile."""
+"""No request starts on old weights after their version bound."""
 
 import asyncio
 
@@ -18,12 +18,12 @@
 
 
 def fleet():
-    """Return a fleet whose old weights may begin to answer for 0.8 s."""
+    """Return a fleet in which requests may start on old weights for 0.8 s."""
     return Fleet(failure_domain="a", version_bound=BOUND, version_margin=0.3)
 
 
 def declare(harness, version):
-    """Declare a version now; return when older ones may no longer begin."""
+    """Declare a version now; return the time when the bound of older ones ends."""
     declared = DeclaredWeights(model="m", version=version)
     message = WeightsDeclared(declared=declared, at=contact_clock())
     harness.fleet.step(message, now=monotonic())
@@ -31,19 +31,16 @@
 
 
 def test_request_that_waits_at_an_engine_is_withdrawn_before_the_bound():
-    """A request began on old weights 46 ms after their bound.
-
-    Symptom: callers got a first event of version 2 more than 8 s after version 3 was
-    declared, on a day on which two versions were named 4 s apart.
-    Events: an engine that had just taken up version 2 took 45 requests within a
-    second from nine entry hosts, each of which saw it empty. One was sent 1.2 s before
-    the bound and expected to begin within 0.1 s; it began after 1.19 s, 1 ms
-    before the entry host gave it up for its silence.
-    Cause: whether a request begins in time was an expectation at the moment of
-    sending. Nothing took a request back that waited longer.
-    Evidence: arrivals at that engine in the second concerned, and two requests of
-    another run of the same day that waited 1.11 s at such an engine and were given
-    up by the same clock, 1.0 s before the bound by luck alone.
+    """Guards against a request that starts on old weights after their bound.
+
+    Two versions were declared 4 s apart, and a request started on version 2 46 ms after
+    its bound, which ends 8 s after the declaration of version 3. An engine that had
+    just loaded version 2 received 45 requests within a second from nine entry hosts,
+    each of which considered it idle. One was sent 1.2 s before the bound and expected
+    to start within 0.1 s, but started after 1.19 s, 1 ms before its response timeout.
+    In another run two requests waited 1.11 s at such an engine and timed out 1.0 s
+    before the bound only by chance. The start time was only estimated when sending; a request
+    that waited longer was not cancelled.
     """
 
     async def scenario():
@@ -61,7 +58,7 @@
 
 
 def test_withdrawn_request_goes_to_an_engine_with_the_new_weights():
-    """The same events, and an engine that has the new version by then."""
+    """The same, with an engine that has loaded the new version by then."""
 
     async def scenario():
         start_times = []
@@ -93,7 +90,7 @@
 
 
 def test_request_that_has_begun_in_time_is_left_alone():
-    """A stream that began before the bound goes on after it."""
+    """A stream that started before the bound continues after it."""
 
     async def scenario():
         endpoint = ScriptedEndpoint(delayed_stream(0.1, [], pause=BOUND))
@@ -107,17 +104,14 @@
 
 
 def test_entry_host_that_restarts_does_not_begin_the_bound_anew():
-    """Old weights answered for up to 7 s after their bound.
-
-    Symptom: an entry host that had started 4 s after version 2 was declared sent
-    requests to engines with version 1 until 11 s after the declaration; the bound
-    is 8 s.
-    Events: the process starts, reads the platform's tables for the first time and
-    finds a declared version there, without a word on when it was written.
-    Cause: the bound was counted from the moment at which this process learned of
-    the declaration.
-    Evidence: after a kill of all processes the logs tell an age of 6 ms for a
-    version that had been declared 18 s before.
+    """Guards against a version bound that restarts with the entry host.
+
+    An entry host that started 4 s after version 2 was declared sent requests to
+    engines with version 1 until 11 s after the declaration, with a bound of 8 s; the
+    longest excess was 7 s. The platform's tables don't contain the time of a
+    declaration, so the bound was counted from the first read by the process: after a
+    restart of all processes, the logs showed an age of 6 ms for a version declared
+    18 s before.
     """
 
     async def scenario():
--- a/hawthornspoke/relay/tests/test_reading.py
+++ b/hawthornspoke/relay/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""What becomes of an entry host whose reader of the platform ends."""
+"""Restart of the platform reader of an entry host after it ends."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class FailingSource:
-    """Ends with an error at first, later without one, and then goes on."""
+    """Source whose first run raises, whose second returns, and whose third blocks."""
 
     def __init__(self):
         self.runs = 0
@@ -20,7 +20,7 @@
 
 
 class RecordingLog:
-    """Keeps lines."""
+    """Log that records its entries."""
 
     def __init__(self):
         self.lines = []
@@ -33,13 +33,11 @@
 
 
 def test_reader_that_ends_is_told_and_begun_again():
-    """A host served on with a configuration that never changed.
+    """Guards against a host that keeps serving an outdated configuration.
 
-    Symptom: new routes unknown, revoked keys refused only when the contact ran out,
-    and no line that says why.
-    Events: the task that reads the platform ends with an error that nobody expected;
-    its result is looked at by nobody, as it was to run until the end.
-    Cause: nothing waited for that task.
+    The task that reads the platform ended with an unexpected error. Its result was
+    never awaited, so new routes stayed unknown, revoked keys were only refused once
+    the last confirmation was too old, and nothing was logged.
     """
 
     async def scenario():
--- a/hawthornspoke/relay/tests/test_sharing.py
+++ b/hawthornspoke/relay/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""To which agents an entry host tells what it saw at the end of endpoints."""
+"""Assignment of evidence of poison requests to agents."""
 
 from hawthornspoke.base import monotonic
 from hawthornspoke.protocol import EndEvidence, Frame, decode, encode
@@ -16,7 +16,7 @@
 
 
 class RecordingLink:
-    """Takes frames as they arrive at the other end."""
+    """Link that decodes and records the evidence sent on it."""
 
     def __init__(self):
         self.received_items = []
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""An entry host before endpoints that end under a request."""
+"""Quarantine of requests that crash endpoints, at an entry host."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 def then_exit(step):
-    """A step: what another one writes, and then the endpoint's process ends."""
+    """Return a step that runs another one, and then ends the endpoint."""
 
     async def exiting(endpoint, head, writer):
         await step(endpoint, head, writer)
@@ -34,7 +34,7 @@
 
 
 async def next_event(endpoint, head, writer):
-    """Write the event after the last one that the caller has, of a longer stream."""
+    """Step that sends the event after the last one received, of a longer stream."""
     last = int(field(head, "Last-Event-Id") or 0)
     writer.write(stream_head(head) + stream_event(last + 1))
     await writer.drain()
@@ -42,14 +42,14 @@
 
 
 def quarantine(harness, fingerprint, *, starts=("x1", "x2", "x3")):
-    """Let a request be known to end endpoints."""
+    """Put a request into quarantine."""
     for start in starts:
         message = EndpointEnded(start=start, fingerprints=(fingerprint,), in_use=9)
         harness.suspects.quarantine.step(message, now=monotonic())
 
 
 def evidence_against(fingerprint):
-    """Return what an agent tells of a request that ended endpoints elsewhere."""
+    """Return an agent's frame with evidence against a request from other hosts."""
     now = monotonic()
     items = [
         Evidence(fingerprint=fingerprint, start=start, deadline=now + 60)
@@ -59,7 +59,7 @@
 
 
 async def fingerprint_of_next(harness, prefix):
-    """Return the fingerprint of a request, as the host makes it."""
+    """Make a request; return the fingerprint that the host computes for it."""
     recorded = []
     refusal = harness.suspects.refusal
 
@@ -74,7 +74,7 @@
 
 
 class RecordingSuspects:
-    """Suspects of which one method is another."""
+    """Suspects with another ``refusal`` method."""
 
     def __init__(self, suspects, refusal):
         self.refusal = refusal
@@ -136,7 +136,7 @@
 
 
 def test_request_that_waits_at_an_endpoint_is_withdrawn_when_its_quarantine_begins():
-    """Guards against endpoints that end under a request already sent to them."""
+    """Guards against endpoints that crash by a request already sent to them."""
 
     async def scenario():
         endpoint = ScriptedEndpoint(events([1]), silent())
@@ -172,7 +172,7 @@
 
 
 def test_third_end_is_awaited_before_a_request_is_sent_again(monkeypatch):
-    """Guards against a fourth endpoint that ends while the third is looked at."""
+    """Guards against a fourth endpoint that crashes while the third is probed."""
 
     async def slow_probe(address, *, timeout):
         await asyncio.sleep(0.05)
--- a/hawthornspoke/relay/tests/test_suspended.py
+++ b/hawthornspoke/relay/tests/test_suspended.py
@@ -1,4 +1,4 @@
-"""Waits end by the time of others also if the host was suspended meanwhile."""
+"""Deadlines and version bounds hold although the host is suspended."""
 
 import asyncio
 
@@ -14,15 +14,15 @@
     silent,
 )
 
-#: Seconds within which a host that woke notices that a time is over.
+#: Maximum seconds from the end of a suspension until an expired timeout fires.
 NOTICED = 0.4
 
 
 def test_request_whose_time_passed_in_a_suspension_ends_on_waking():
-    """A caller waited 5 s beyond its deadline for the answer that its time was up.
+    """Guards against a timeout that fires 5 s after the caller's deadline.
 
-    Events: a request waits at an endpoint; the host is suspended for 5 s and wakes.
-    Cause: the timer of the request's end runs on the clock that stands still then.
+    The host is suspended for 5 s while a request waits at an endpoint. The timer of the
+    deadline used the monotonic clock, which stops during a suspension.
     """
 
     async def scenario():
@@ -39,11 +39,12 @@
 
 
 def test_request_is_withdrawn_on_waking_after_its_bound():
-    """A request began on old weights after their bound.
+    """Guards against a request that starts on old weights after their bound.
 
-    Events: version 2 is declared; a request waits at an engine with version 1; the
-    entry host is suspended, and wakes 0.4 s before the request must have begun; it
-    begins 0.3 s after that. Cause: the withdrawal came later by the suspension.
+    Version 2 is declared while a request waits at an engine with version 1. The entry
+    host is suspended and resumes 0.4 s before the request must have started; the engine
+    would start it 0.3 s after that time. The cancellation was delayed by the duration
+    of the suspension.
     """
 
     async def scenario():
@@ -80,7 +81,7 @@
 
 
 def test_answer_that_is_there_on_waking_is_passed_on():
-    """The host wakes after a caller's answer has come, and within its time."""
+    """The host resumes after a response has arrived, before the deadline."""
 
     async def scenario():
         async with RelayHarness(ScriptedEndpoint(events([1])), timeout=2.0) as harness:
--- a/hawthornspoke/relay/tests/test_telling_agents.py
+++ b/hawthornspoke/relay/tests/test_telling_agents.py
@@ -1,4 +1,4 @@
-"""What it costs to tell all agents, and that each hears what matters to it."""
+"""Sending directives to agents: cost, and which agents receive which changes."""
 
 import asyncio
 from types import SimpleNamespace
@@ -13,7 +13,7 @@
 
 
 class RecordingLink:
-    """Takes frames, as an open connection does."""
+    """Open connection that records the directives sent on it."""
 
     def __init__(self):
         self.received = []
@@ -28,14 +28,14 @@
 
 
 def list_entries(*, version=1, leaving=False, service="llm", count=ENDPOINTS):
-    """Return the platform's list; only its first endpoint differs."""
+    """Return the platform's list of endpoints; options apply to the first one."""
     entries = [entry(f"e{number}") for number in range(count)]
     first = entry("e0", weights_version=version, leaving=leaving, service=service)
     return [first, *entries[1:]]
 
 
 def connected_sink():
-    """Return the sink of an entry host that reads the platform, and its links."""
+    """Return the sink of a host that reads the platform, and its links to agents."""
     sink = lone_relay().sink
     catalog = SimpleNamespace(
         revision=1,
@@ -55,7 +55,7 @@
 
 
 def count_peers(monkeypatch):
-    """Return a list that grows by each endpoint that is made into a message."""
+    """Return a list that grows with each endpoint encoded into a directive."""
     constructed = []
     real = PeerEndpoint.__init__
 
@@ -68,14 +68,12 @@
 
 
 def test_change_of_one_endpoint_costs_in_step_with_their_number(monkeypatch):
-    """An entry host that reads the platform stands still as a version spreads.
-
-    Symptom: 1.2 s in which it serves nothing for each change of the list, at 960
-    endpoints; 5.5 ms at 60. Sequence: an engine takes up weights and its entry
-    changes; what all agents are told is made for each agent, with a part for each
-    endpoint, and thrown away, since no agent acts on this change. Cause: it was made
-    per agent, though it is the same for all of a service. Figure: 3600 parts at 60
-    endpoints before, 60 after.
+    """Guards against directives that are built per agent instead of per service.
+
+    Each change of the list blocked an entry host for 1.2 s at 960 endpoints, and for
+    5.5 ms at 60, while a version was being loaded. A directive with a part for each
+    endpoint was built for each agent and then discarded, since no agent acts on a
+    loaded version. At 60 endpoints that were 3600 parts; now they are 60.
     """
     sink, links = connected_sink()
     for link in links.values():
@@ -120,7 +118,7 @@
 
 
 def test_agents_hear_once_whether_their_load_is_wanted():
-    """Agents are told what changes, and one that connects again is told anew."""
+    """Only changes are sent to agents."""
     sink, links = connected_sink()
     follows = {address: [] for address in links}
     for address, link in links.items():
@@ -137,7 +135,7 @@
 
 
 def test_agents_get_the_failure_domain_before_the_configuration_is_read():
-    """Guards against a host without a configuration that cannot find neighbours."""
+    """Guards against a host without a configuration that can't find neighbours."""
 
     async def scenario():
         domains = []
