--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_deadline_that_passed_while_the_process_stood_still(name):
+def test_deadline_that_passed_while_the_process_stalled(name):
     """Guards against a request that is sent after its caller's deadline."""
     check_not_sent(name, lambda harness: time.sleep(STALL_TIME), timeout=SHORT_TIMEOUT)
 
@@ -127,13 +127,13 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_key_that_nobody_confirmed_while_the_host_was_suspended(name):
+def test_key_not_confirmed_since_before_a_suspension(name):
     """Guards against a request with a key last confirmed 9 s before."""
     check_not_sent(name, lambda harness: harness.contact_clock.suspend(5.0))
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_key_that_was_taken_away_meanwhile(name):
+def test_key_removed_before_send(name):
     """Guards against a request with a key that its host knew to be revoked.
 
     A newer configuration is activated while the request waits for a connection or for
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_key_that_passed_to_another_organisation(name):
+def test_key_reassigned_to_another_organisation(name):
     """Guards against a request of an organisation that lost its key."""
     check_not_sent(
         name,
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_route_that_was_taken_away_meanwhile(name):
+def test_route_removed_before_send(name):
     """Guards against a request on a removed route."""
     check_not_sent(
         name,
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_route_that_leads_to_another_service_now(name):
+def test_route_changed_to_another_service(name):
     """Guards against a request to the old service of a changed route."""
     check_not_sent(
         name,
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_endpoint_that_leaves_meanwhile(name):
+def test_endpoint_that_started_leaving(name):
     """Guards against a request to an endpoint known to be leaving."""
     check_not_sent(
         name, lambda harness: change_endpoints(harness, leaving=[last(harness)])
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_endpoint_that_is_gone_meanwhile(name):
+def test_endpoint_that_was_removed(name):
     """Guards against a request to an endpoint that is no longer listed."""
     check_not_sent(
         name, lambda harness: change_endpoints(harness, gone=[last(harness)])
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_weights_that_became_too_old_meanwhile(name):
+def test_weights_that_expired_before_send(name):
     """Guards against a request that started on weights 6 s after their bound."""
 
     def declare(harness):
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_engine_that_takes_up_other_weights_meanwhile(name):
+def test_engine_that_started_loading_weights(name):
     """Guards against a request queued at an engine that is loading weights."""
 
     def report(harness):
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
-def test_caller_that_left_while_the_process_stood_still(name):
+def test_caller_that_disconnected_while_the_process_stalled(name):
     """Guards against requests sent for callers that have disconnected.
 
     The caller closes its socket during the stall, and the task resumes before the event
@@ -266,7 +266,7 @@
     asyncio.run(scenario())
 
 
-def test_caller_that_left_before_its_request_was_looked_at():
+def test_caller_that_disconnected_before_its_request_was_handled():
     """The same with a stall between reading and handling the request."""
 
     async def scenario():
@@ -306,7 +306,7 @@
     asyncio.run(scenario())
 
 
-def test_another_endpoint_is_asked_where_only_the_endpoint_changed():
+def test_another_endpoint_is_tried_if_only_the_endpoint_changed():
     """A request whose endpoint became unusable runs once, at another endpoint."""
 
     async def scenario():
@@ -321,7 +321,7 @@
     asyncio.run(scenario())
 
 
-def test_endpoint_that_closed_the_connection_meanwhile():
+def test_endpoint_that_closed_the_connection():
     """Guards against a request that was never sent but reported as maybe run.
 
     The endpoint closes a new connection during a stall, and the event loop processes
@@ -346,7 +346,7 @@
     asyncio.run(scenario())
 
 
-def test_endpoint_that_closed_the_connection_unseen():
+def test_endpoint_that_closed_the_connection_unnoticed():
     """The same, with a close that the event loop has not processed yet.
 
     The endpoint closes an idle pooled connection during a stall, and the task resumes
@@ -373,7 +373,7 @@
     asyncio.run(scenario())
 
 
-def test_time_that_an_endpoint_is_given_counts_the_suspension():
+def test_deadline_sent_to_the_endpoint_includes_the_suspension():
     """Guards against deadlines sent to endpoints that are seconds too late.
 
     The host is suspended during part of the caller's time. The remaining time was
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -53,7 +53,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(structs(Frame))
-def test_odd_word_of_one_agent_leaves_the_other_engine(frame):
+def test_invalid_frame_of_one_agent_does_not_affect_the_other_engine(frame):
     agent_links, fleet = make_links()
     agent_links._on_frame(ADDRESSES[0], StubLink(), frame)
     ask = Ask(service="s", prompt_tokens=10, tried=(ADDRESSES[0],))
@@ -62,7 +62,7 @@
     assert answer.endpoint_id == ADDRESSES[1]
 
 
-def test_pace_that_is_no_number_counts_as_usual():
+def test_invalid_pace_is_treated_as_normal():
     agent_links, fleet = make_links()
     for pace in (float("nan"), float("inf"), -1.0):
         state = EngineState(running=0, waiting=0, pace=pace, weights_version=1)
@@ -70,7 +70,7 @@
         assert fleet.endpoint_by_id[ADDRESSES[0]].pace == 1.0
 
 
-def test_agent_that_is_gone_tells_no_number_of_entry_hosts():
+def test_lost_agent_does_not_count_entry_hosts():
     """Guards against retries that are refused although the common budget allows them.
 
     Agents see twelve entry hosts; three of these leave, and one agent is lost for
--- a/hawthornspoke/relay/tests/test_contact.py
+++ b/hawthornspoke/relay/tests/test_contact.py
@@ -3,7 +3,7 @@
 from hawthornspoke.relay import Confirmed, Contact, ContactLost, Lost
 
 
-def test_keys_are_trusted_for_a_while_after_the_platforms_word():
+def test_keys_are_trusted_for_a_time_after_a_confirmation():
     contact = Contact(keys_valid_for=4.6)
     assert not contact.keys_trusted(now=0.0)
     contact.step(Confirmed(at=10.0), now=10.2)
@@ -11,7 +11,7 @@
     assert not contact.keys_trusted(now=14.7)
 
 
-def test_suspended_host_wakes_without_trust():
+def test_keys_are_not_trusted_after_a_suspension():
     """Guards against a revoked key that is accepted after a suspension of 10 s.
 
     The monotonic clock stops during a suspension, so the state machine is given a
@@ -22,14 +22,14 @@
     assert not contact.keys_trusted(now=20.0)
 
 
-def test_late_answer_to_an_old_question_does_not_take_back_a_newer_one():
+def test_late_older_confirmation_does_not_replace_a_newer_one():
     contact = Contact(keys_valid_for=4.6)
     contact.step(Confirmed(at=10.0), now=10.0)
     contact.step(Confirmed(at=8.0), now=10.1)
     assert contact.keys_trusted(now=14.5)
 
 
-def test_host_sends_callers_elsewhere_before_it_must_refuse_them():
+def test_host_is_unstable_before_keys_are_refused():
     contact = Contact(keys_valid_for=5.0)
     contact.step(Confirmed(at=0.0), now=0.0)
     assert contact.is_stable(now=2.9)
@@ -37,7 +37,7 @@
     assert contact.keys_trusted(now=3.1)
 
 
-def test_loss_is_told_once():
+def test_loss_is_reported_once():
     contact = Contact()
     contact.step(Confirmed(at=0.0), now=0.0)
     assert contact.step(Lost(reason="x"), now=1.0) == [ContactLost(reason="x")]
--- a/hawthornspoke/relay/tests/test_events.py
+++ b/hawthornspoke/relay/tests/test_events.py
@@ -10,7 +10,7 @@
     return extra + b"id: %d\ndata: x%d\n\n" % (number, number)
 
 
-def test_any_cut_of_the_bytes_gives_the_same_events():
+def test_any_split_of_the_bytes_gives_the_same_events():
     rng = random.Random(1)
     stream = b"".join(event(number) for number in range(1, 40))
     for _ in range(50):
@@ -24,7 +24,7 @@
         assert not splitter.has_partial_event()
 
 
-def test_part_of_an_event_is_kept_back():
+def test_incomplete_event_is_held_back():
     splitter = EventSplitter()
     assert splitter.feed(event(1) + b"id: 2\nda") == event(1)
     assert splitter.has_partial_event()
@@ -38,7 +38,7 @@
     assert "event 9 after 7" in splitter.error
 
 
-def test_nothing_is_passed_on_behind_a_gap():
+def test_nothing_is_returned_after_a_gap():
     splitter = EventSplitter()
     assert splitter.feed(event(1) + event(3) + event(4)) == event(1)
     assert splitter.feed(event(5)) == b""
@@ -50,7 +50,7 @@
     assert splitter.feed(data) == data
 
 
-def test_bytes_without_an_id_are_no_event():
+def test_data_without_an_id_is_an_error():
     splitter = EventSplitter()
     assert splitter.feed(b"rubbish\n\n") == b""
     assert splitter.error
--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -28,7 +28,7 @@
     return [int(part[4:].split(b"\n")[0]) for part in body.split(b"\n\n") if part]
 
 
-def test_request_is_passed_on_unchanged():
+def test_request_is_forwarded_unchanged():
     async def scenario():
         endpoint = ScriptedEndpoint(answer(body=b"hello"))
         async with RelayHarness(endpoint) as harness:
@@ -48,7 +48,7 @@
     run_scenario(scenario)
 
 
-def test_silent_endpoint_is_no_promise_at_the_time_limit():
+def test_request_without_a_response_may_have_run():
     """Guards against a 503 for an at-most-once request that may still run.
 
     The endpoint doesn't respond before the deadline. "May have run" was only recorded
@@ -66,7 +66,7 @@
     run_scenario(scenario)
 
 
-def test_reset_endpoint_is_no_promise_either():
+def test_request_with_a_reset_connection_may_have_run():
     async def scenario():
         endpoint, other = (
             ScriptedEndpoint(reset_connection()),
@@ -80,7 +80,7 @@
     run_scenario(scenario)
 
 
-def test_endpoint_that_sheds_gives_a_truthful_refusal():
+def test_refusal_by_a_full_endpoint_is_returned_with_retry_after():
     async def scenario():
         endpoint = ScriptedEndpoint(refuse_as_full())
         async with RelayHarness(endpoint) as harness:
@@ -107,7 +107,7 @@
     run_scenario(scenario)
 
 
-def test_unreachable_endpoint_costs_no_run():
+def test_unreachable_endpoint_does_not_count_as_a_run():
     """Guards against a 502 for an at-most-once request that was never sent.
 
     An endpoint has ended but is still listed, and refuses the connection. Nothing was
@@ -125,7 +125,7 @@
     run_scenario(scenario)
 
 
-def test_stream_goes_on_at_another_endpoint_after_its_last_event():
+def test_stream_resumes_at_another_endpoint_after_its_last_event():
     """Guards against duplicate or missing events in a resumed stream.
 
     The first endpoint fails in the middle of an event. If bytes rather than complete
@@ -147,7 +147,7 @@
     run_scenario(scenario)
 
 
-def test_request_is_not_sent_again_when_its_caller_is_about_to_leave():
+def test_request_is_not_retried_if_its_caller_is_about_to_give_up():
     """Guards against engines that process prompts for callers that have left.
 
     The first engine fails shortly before the caller gives up, and a saturated link
@@ -169,7 +169,7 @@
     run_scenario(scenario)
 
 
-def test_stream_is_not_joined_from_two_versions():
+def test_stream_does_not_mix_two_weights_versions():
     """Guards against a response produced by two versions of the weights.
 
     An endpoint fails in mid-stream, and one with newer weights resumes the stream. The
@@ -188,7 +188,7 @@
     run_scenario(scenario)
 
 
-def test_stream_with_a_missing_event_does_not_look_complete():
+def test_stream_with_a_missing_event_is_incomplete():
     async def scenario():
         only = ScriptedEndpoint(events([1, 2, 4]))
         async with RelayHarness(only, timeout=2.0) as harness:
@@ -199,7 +199,7 @@
     run_scenario(scenario)
 
 
-def test_second_answer_reaches_no_later_request():
+def test_duplicate_response_is_not_read_by_the_next_request():
     """Guards against a caller that receives the response to another request.
 
     An endpoint responds twice on a kept-alive connection, and the next request reads
@@ -222,7 +222,7 @@
     run_scenario(scenario)
 
 
-def test_late_answer_with_another_id_is_passed_over():
+def test_late_response_with_another_id_is_skipped():
     async def late(endpoint, head, writer):
         writer.write(response(head.replace("r1", "r0"), body=b"old"))
         writer.write(response(head, body=b"new"))
@@ -234,7 +234,7 @@
     run_scenario(scenario)
 
 
-def test_success_without_a_seal_is_none():
+def test_success_without_a_seal_is_a_failure():
     async def unsealed(endpoint, head, writer):
         is_complete = response(head, body=b"rubbish")
         writer.write(is_complete.replace(b"X-Seal: s\r\n", b""))
@@ -246,7 +246,7 @@
     run_scenario(scenario)
 
 
-def test_unframed_answer_that_is_reset_is_not_whole():
+def test_response_without_a_length_that_is_reset_is_incomplete():
     async def unframed(endpoint, head, writer):
         text = f"HTTP/1.1 200 X\r\nX-Request-Id: {field(head, 'X-Request-Id')}\r\n"
         writer.write(text.encode() + b"X-Seal: s\r\n\r\npart")
@@ -262,7 +262,7 @@
     run_scenario(scenario)
 
 
-def test_endpoint_is_told_at_once_when_the_caller_leaves():
+def test_endpoint_connection_is_closed_when_the_caller_disconnects():
     """Guards against an endpoint that keeps running a request of a lost caller.
 
     The caller closes its connection after sending a request. The caller's socket was
@@ -310,7 +310,7 @@
     run_scenario(scenario)
 
 
-def test_keys_are_not_trusted_without_the_platforms_word():
+def test_keys_are_not_trusted_without_a_confirmation():
     """Guards against requests with a revoked key.
 
     An entry host that is cut off from the platform doesn't see a revocation, and kept
@@ -331,7 +331,7 @@
     run_scenario(scenario)
 
 
-def test_host_that_hears_nothing_does_not_say_that_there_is_no_such_thing():
+def test_host_with_an_outdated_configuration_refuses_temporarily():
     """Guards against permanent refusals by a host with an outdated configuration.
 
     A key that the platform had accepted 3.96 s before was refused with 401 by hosts
--- a/hawthornspoke/relay/tests/test_incarnations.py
+++ b/hawthornspoke/relay/tests/test_incarnations.py
@@ -49,7 +49,7 @@
     return harness.fleet.endpoint_by_id["e0"]
 
 
-def test_request_of_the_earlier_start_ends_after_the_next_one_has_begun():
+def test_failure_of_an_earlier_incarnation_does_not_count_for_the_next():
     """Guards against attributing a failed request to a later incarnation.
 
     A request runs at an endpoint that loses power. The endpoint restarts, is listed
@@ -87,7 +87,7 @@
     asyncio.run(scenario())
 
 
-def test_connection_to_the_earlier_start_carries_nothing_to_the_next():
+def test_connection_to_an_earlier_incarnation_is_not_reused():
     """Guards against a 502 for the first request to a restarted endpoint.
 
     A pooled connection is idle when the endpoint loses power and restarts under the
@@ -111,7 +111,7 @@
     asyncio.run(scenario())
 
 
-def test_agents_word_carries_the_start_to_the_fleet():
+def test_incarnation_reported_by_an_agent_reaches_the_fleet():
     """Guards against entry hosts that miss a restart seen only by the agent."""
     fleet = Fleet(failure_domain="a")
     entry = EndpointEntry(
--- a/hawthornspoke/relay/tests/test_old_weights.py
+++ b/hawthornspoke/relay/tests/test_old_weights.py
@@ -30,7 +30,7 @@
     return monotonic() + BOUND
 
 
-def test_request_that_waits_at_an_engine_is_withdrawn_before_the_bound():
+def test_request_waiting_at_an_engine_is_cancelled_before_the_bound():
     """Guards against a request that starts on old weights after their bound.
 
     Two versions were declared 4 s apart, and a request started on version 2 46 ms after
@@ -39,8 +39,8 @@
     each of which considered it idle. One was sent 1.2 s before the bound and expected
     to start within 0.1 s, but started after 1.19 s, 1 ms before its response timeout.
     In another run two requests waited 1.11 s at such an engine and timed out 1.0 s
-    before the bound only by chance. The start time was only estimated when sending; a request
-    that waited longer was not cancelled.
+    before the bound only by chance. The start time was only estimated when sending; a
+    request that waited longer was not cancelled.
     """
 
     async def scenario():
@@ -57,7 +57,7 @@
     asyncio.run(scenario())
 
 
-def test_withdrawn_request_goes_to_an_engine_with_the_new_weights():
+def test_cancelled_request_is_retried_at_an_engine_with_new_weights():
     """The same, with an engine that has loaded the new version by then."""
 
     async def scenario():
@@ -89,7 +89,7 @@
     asyncio.run(scenario())
 
 
-def test_request_that_has_begun_in_time_is_left_alone():
+def test_request_that_started_in_time_is_not_cancelled():
     """A stream that started before the bound continues after it."""
 
     async def scenario():
@@ -103,7 +103,7 @@
     asyncio.run(scenario())
 
 
-def test_entry_host_that_restarts_does_not_begin_the_bound_anew():
+def test_restart_of_an_entry_host_does_not_restart_the_bound():
     """Guards against a version bound that restarts with the entry host.
 
     An entry host that started 4 s after version 2 was declared sent requests to
--- a/hawthornspoke/relay/tests/test_reading.py
+++ b/hawthornspoke/relay/tests/test_reading.py
@@ -32,7 +32,7 @@
         pass
 
 
-def test_reader_that_ends_is_told_and_begun_again():
+def test_reader_that_ends_is_logged_and_restarted():
     """Guards against a host that keeps serving an outdated configuration.
 
     The task that reads the platform ended with an unexpected error. Its result was
--- a/hawthornspoke/relay/tests/test_sharing.py
+++ b/hawthornspoke/relay/tests/test_sharing.py
@@ -59,7 +59,7 @@
         }
 
 
-def test_evidence_meets_at_the_same_agents_of_each_failure_domain():
+def test_hosts_send_evidence_to_the_same_agents_of_each_failure_domain():
     hosts = [FakeHost() for _ in range(3)]
     for number, host in enumerate(hosts):
         host.observe_end(f"e{number}")
@@ -69,7 +69,7 @@
         assert sum(name.startswith(domain) for name in told) == AGENTS_PER_DOMAIN
 
 
-def test_agent_that_takes_the_place_of_a_lost_one_is_told():
+def test_agent_that_replaces_a_lost_one_receives_evidence():
     host = FakeHost()
     host.observe_end("e1")
     for address in host.notified_addresses():
@@ -79,7 +79,7 @@
     assert len(host.notified_addresses()) == AGENTS_PER_DOMAIN * len(DOMAINS)
 
 
-def test_failure_domain_that_was_cut_off_is_told_when_it_is_back():
+def test_failure_domain_receives_evidence_after_reconnecting():
     host = FakeHost(agents=0)
     host.connect("a/1")
     host.observe_end("e1")
@@ -90,7 +90,7 @@
     assert host.notified_addresses() == {"a/1", "b/1", "c/1"}
 
 
-def test_agent_that_started_again_is_told_anew():
+def test_restarted_agent_receives_evidence_again():
     host = FakeHost(agents=1)
     host.observe_end("e1")
     host.sharing.remove_agent("a/0")
@@ -99,7 +99,7 @@
     assert len(host.link_by_address["b/0"].received_items) == 1
 
 
-def test_agent_is_told_once():
+def test_evidence_is_sent_to_an_agent_once():
     host = FakeHost()
     host.observe_end("e1")
     host.sharing.rebalance()
@@ -107,7 +107,7 @@
     assert all(len(link.received_items) <= 1 for link in host.link_by_address.values())
 
 
-def test_what_agents_told_is_not_told_back():
+def test_evidence_from_agents_is_not_sent_back():
     host = FakeHost(agents=1)
     item = Evidence(fingerprint="f", start="e1", deadline=monotonic() + 50)
     host.quarantine.step(EvidenceHeard(items=(item,)), now=monotonic())
@@ -115,7 +115,7 @@
     assert host.notified_addresses() == set()
 
 
-def test_unusable_evidence_is_passed_over():
+def test_invalid_evidence_is_skipped():
     good = EndEvidence(fingerprint="f", endpoint_start="e", left_ms=10**9)
     bad = [
         EndEvidence(),
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -106,7 +106,7 @@
     run_scenario(scenario)
 
 
-def test_quarantine_that_begins_while_a_connection_is_waited_for_holds():
+def test_quarantine_that_starts_while_waiting_for_a_connection_applies():
     async def scenario():
         endpoint = ScriptedEndpoint()
         async with RelayHarness(endpoint) as harness:
@@ -120,7 +120,7 @@
     run_scenario(scenario)
 
 
-def test_request_that_was_sent_before_its_quarantine_is_not_called_not_run():
+def test_request_sent_before_its_quarantine_may_have_run():
     async def scenario():
         first, second = (
             ScriptedEndpoint(then_exit(reset_connection())),
@@ -135,7 +135,7 @@
     run_scenario(scenario)
 
 
-def test_request_that_waits_at_an_endpoint_is_withdrawn_when_its_quarantine_begins():
+def test_request_waiting_at_an_endpoint_is_cancelled_by_its_quarantine():
     """Guards against endpoints that crash by a request already sent to them."""
 
     async def scenario():
@@ -156,7 +156,7 @@
     run_scenario(scenario)
 
 
-def test_endpoint_that_resets_and_lives_is_no_evidence():
+def test_reset_by_a_running_endpoint_is_no_evidence():
     async def scenario():
         first, second = (
             ScriptedEndpoint(reset_connection(), reset_connection()),
@@ -171,7 +171,7 @@
     run_scenario(scenario)
 
 
-def test_third_end_is_awaited_before_a_request_is_sent_again(monkeypatch):
+def test_third_probe_is_awaited_before_a_retry(monkeypatch):
     """Guards against a fourth endpoint that crashes while the third is probed."""
 
     async def slow_probe(address, *, timeout):
@@ -191,7 +191,7 @@
     run_scenario(scenario)
 
 
-def test_stream_that_goes_on_elsewhere_counts_at_each_endpoint_that_ended():
+def test_resumed_stream_counts_at_each_endpoint_that_ended():
     async def scenario():
         endpoints = [ScriptedEndpoint(then_exit(next_event)) for _ in range(4)]
         async with RelayHarness(*endpoints, timeout=2.0) as harness:
@@ -206,7 +206,7 @@
     run_scenario(scenario)
 
 
-def test_request_at_most_once_counts_when_its_caller_repeats_it():
+def test_at_most_once_request_counts_when_its_caller_repeats_it():
     async def scenario():
         endpoints = [ScriptedEndpoint(then_exit(reset_connection())) for _ in range(4)]
         async with RelayHarness(*endpoints) as harness:
@@ -217,7 +217,7 @@
     run_scenario(scenario)
 
 
-def test_answer_clears_a_request_that_ran_beside():
+def test_response_clears_a_request_that_ran_concurrently():
     async def scenario():
         first, second = (
             ScriptedEndpoint(then_exit(reset_connection())),
@@ -233,7 +233,7 @@
     run_scenario(scenario)
 
 
-def test_error_that_a_living_endpoint_answers_clears_a_request_too():
+def test_error_response_clears_a_request():
     async def scenario():
         first, second = (
             ScriptedEndpoint(then_exit(reset_connection())),
--- a/hawthornspoke/relay/tests/test_suspended.py
+++ b/hawthornspoke/relay/tests/test_suspended.py
@@ -18,7 +18,7 @@
 NOTICED = 0.4
 
 
-def test_request_whose_time_passed_in_a_suspension_ends_on_waking():
+def test_deadline_that_passed_in_a_suspension_fires_on_resume():
     """Guards against a timeout that fires 5 s after the caller's deadline.
 
     The host is suspended for 5 s while a request waits at an endpoint. The timer of the
@@ -38,7 +38,7 @@
     asyncio.run(scenario())
 
 
-def test_request_is_withdrawn_on_waking_after_its_bound():
+def test_request_is_cancelled_on_resume_after_its_bound():
     """Guards against a request that starts on old weights after their bound.
 
     Version 2 is declared while a request waits at an engine with version 1. The entry
@@ -66,7 +66,7 @@
     asyncio.run(scenario())
 
 
-def test_suspension_that_leaves_time_ends_nothing():
+def test_suspension_within_the_deadline_cancels_nothing():
     async def scenario():
         engine = ScriptedEndpoint(delayed_stream(0.5, []))
         async with RelayHarness(engine, timeout=4.0) as harness:
@@ -80,7 +80,7 @@
     asyncio.run(scenario())
 
 
-def test_answer_that_is_there_on_waking_is_passed_on():
+def test_response_that_arrived_in_a_suspension_is_forwarded():
     """The host resumes after a response has arrived, before the deadline."""
 
     async def scenario():
--- a/hawthornspoke/relay/tests/test_telling_agents.py
+++ b/hawthornspoke/relay/tests/test_telling_agents.py
@@ -67,7 +67,7 @@
     return constructed
 
 
-def test_change_of_one_endpoint_costs_in_step_with_their_number(monkeypatch):
+def test_cost_of_one_changed_endpoint_is_linear(monkeypatch):
     """Guards against directives that are built per agent instead of per service.
 
     Each change of the list blocked an entry host for 1.2 s at 960 endpoints, and for
@@ -84,7 +84,7 @@
     assert len(constructed) <= ENDPOINTS
 
 
-def test_each_agent_hears_who_leaves():
+def test_each_agent_is_sent_leaving_endpoints():
     sink, links = connected_sink()
     assert all(len(link.received) == 1 for link in links.values())
     sink.on_entries(list_entries(leaving=True))
@@ -95,7 +95,7 @@
     assert not links["e5:1"].received[-1].peers[0].leaving
 
 
-def test_agents_of_two_services_hear_of_their_own():
+def test_agents_are_sent_endpoints_of_their_service_only():
     sink, links = connected_sink()
     sink.on_entries(list_entries(service="other"))
     addresses = [peer.address for peer in links["e0:1"].received[-1].peers]
@@ -103,7 +103,7 @@
     assert len(links["e1:1"].received[-1].peers) == ENDPOINTS - 1
 
 
-def test_agent_that_connects_late_hears_it_too():
+def test_agent_that_connects_later_is_sent_the_directive():
     sink, links = connected_sink()
     late = RecordingLink()
     sink.agents._sent_by_address.pop("e7:1")
@@ -111,13 +111,13 @@
     assert len(late.received[0].peers) == ENDPOINTS
 
 
-def test_agent_whose_endpoint_left_the_list_hears_nothing():
+def test_agent_of_a_removed_endpoint_is_sent_nothing():
     sink, links = connected_sink()
     sink.on_entries(list_entries(count=ENDPOINTS - 1))
     assert len(links[f"e{ENDPOINTS - 1}:1"].received) == 1
 
 
-def test_agents_hear_once_whether_their_load_is_wanted():
+def test_agents_are_sent_changes_of_load_reporting_only():
     """Only changes are sent to agents."""
     sink, links = connected_sink()
     follows = {address: [] for address in links}
@@ -134,7 +134,7 @@
     assert follows["e0:1"] == [False]
 
 
-def test_agents_get_the_failure_domain_before_the_configuration_is_read():
+def test_agents_are_sent_the_failure_domain_before_the_configuration():
     """Guards against a host without a configuration that can't find neighbours."""
 
     async def scenario():
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -213,14 +213,14 @@
         old="if message is None or self._sent_by_address.get(address) "
         "is message.relevant:",
         new="if message is None:",
-        test="hawthornspoke/relay/tests/test_telling_agents.py -k in_step",
+        test="hawthornspoke/relay/tests/test_telling_agents.py -k is_linear",
     ),
     Mutation(
         name="what agents are told is made once an agent",
         file="relay/_agents.py",
         old="            if service not in directive_by_service:\n    ",
         new="",
-        test="hawthornspoke/relay/tests/test_telling_agents.py -k in_step",
+        test="hawthornspoke/relay/tests/test_telling_agents.py -k is_linear",
     ),
     Mutation(
         name="a word changes nothing of what is kept of an endpoint",
@@ -318,14 +318,14 @@
         file="relay/_admission.py",
         old="            failure = self._check_caller(context)\n",
         new="            failure = None\n",
-        test="hawthornspoke/relay/tests/test_after_a_wait.py -k process_stood_still",
+        test="hawthornspoke/relay/tests/test_after_a_wait.py -k process_stalled",
     ),
     Mutation(
         name="after a wait: configuration not looked at",
         file="relay/_admission.py",
         old="        failure = self._check_configuration(context)\n",
         new="        failure = None\n",
-        test="hawthornspoke/relay/tests/test_after_a_wait.py -k taken_away",
+        test="hawthornspoke/relay/tests/test_after_a_wait.py -k removed_before_send",
     ),
     Mutation(
         name="after a wait: endpoint not looked at",
@@ -405,7 +405,7 @@
         file="relay/_suspects.py",
         old="        if not has_ended:",
         new="        if False:",
-        test="hawthornspoke/relay/tests/test_suspects.py -k resets_and_lives",
+        test="hawthornspoke/relay/tests/test_suspects.py -k reset_by_a_running",
     ),
     Mutation(
         name="poison: the third end is not awaited",
@@ -419,7 +419,7 @@
         file="relay/_admission.py",
         old="            failure = self._suspects.refusal(context.fingerprint)",
         new="            failure = None",
-        test="hawthornspoke/relay/tests/test_suspects.py -k is_waited_for",
+        test="hawthornspoke/relay/tests/test_suspects.py -k while_waiting_for",
     ),
     Mutation(
         name="poison: an answer clears nothing",
