--- a/hawthornspoke/relay/__init__.py
+++ b/hawthornspoke/relay/__init__.py
@@ -1,6 +1,6 @@
 """Reverse proxy of an entry host: forwards requests directly to endpoints."""
 
-from hawthornspoke.relay._contact import Confirmed, Contact, ContactLost, Lost
+from hawthornspoke.relay._contact import Confirmed, Contact, ContactLost, ReadFailed
 from hawthornspoke.relay._dialect import Dialect
 from hawthornspoke.relay._events import EventSplitter
 from hawthornspoke.relay._process import Relay
@@ -13,7 +13,7 @@
     "ContactLost",
     "Dialect",
     "EventSplitter",
-    "Lost",
+    "ReadFailed",
     "Relay",
     "RelaySettings",
     "Suspects",
--- a/hawthornspoke/relay/_contact.py
+++ b/hawthornspoke/relay/_contact.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Lost:
+class ReadFailed:
     """The platform could not be read.
 
     Parameters
@@ -102,7 +102,7 @@
             return []
         return [ContactRegained(silent_for=round(now - self.confirmed_at, 3))]
 
-    def on_lost(self, message, *, now):
+    def on_read_failed(self, message, *, now):
         """Record a failed call to the platform."""
         changed, self.connected = self.connected is not False, False
         return [ContactLost(reason=message.reason)] if changed else []
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -11,7 +11,7 @@
     WeightsDeclared,
 )
 from hawthornspoke.relay._agents import AgentLinks
-from hawthornspoke.relay._contact import Confirmed, ContactLost, Lost
+from hawthornspoke.relay._contact import Confirmed, ContactLost, ReadFailed
 
 
 class Sink:
@@ -204,7 +204,7 @@
     def on_contact_lost(self, reason):
         """Record that the platform could not be read."""
         self._log_contact_change(
-            self._contact.step(Lost(reason=reason), now=contact_clock()), "lost"
+            self._contact.step(ReadFailed(reason=reason), now=contact_clock()), "lost"
         )
 
     def directive_for(self, service):
--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -209,7 +209,7 @@
     )
 
 
-def lone_suspects(fleet):
+def make_suspects(fleet):
     """Return the Suspects of an entry host without agents."""
     return Suspects(fleet=fleet, log=EventLog(node="test"), metrics=Metrics())
 
@@ -285,7 +285,7 @@
 
     async def __aenter__(self):
         self.addresses = [await endpoint.start() for endpoint in self.endpoints]
-        self.suspects = lone_suspects(self.fleet)
+        self.suspects = make_suspects(self.fleet)
         admission = Admission(
             dialect=self.dialect,
             fleet=self.fleet,
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -7,7 +7,7 @@
 from hawthornspoke.protocol import EngineState, Frame
 from hawthornspoke.protocol.tests.structs import structs
 from hawthornspoke.relay._agents import AgentLinks
-from hawthornspoke.relay.tests.endpoint import ENGINE, lone_suspects
+from hawthornspoke.relay.tests.endpoint import ENGINE, make_suspects
 
 ADDRESSES = ("10.0.0.1:80", "10.0.0.2:80")
 
@@ -46,7 +46,7 @@
         log=None,
         directive_for=lambda address: None,
         on_entry_hosts=lambda agent, addresses: None,
-        suspects=lone_suspects(fleet),
+        suspects=make_suspects(fleet),
     )
     return agent_links, fleet
 
--- a/hawthornspoke/relay/tests/test_contact.py
+++ b/hawthornspoke/relay/tests/test_contact.py
@@ -1,6 +1,6 @@
 """Tests of the Contact state machine, which limits the trust in keys."""
 
-from hawthornspoke.relay import Confirmed, Contact, ContactLost, Lost
+from hawthornspoke.relay import Confirmed, Contact, ContactLost, ReadFailed
 
 
 def test_keys_are_trusted_for_a_time_after_a_confirmation():
@@ -40,7 +40,7 @@
 def test_loss_is_reported_once():
     contact = Contact()
     contact.step(Confirmed(at=0.0), now=0.0)
-    assert contact.step(Lost(reason="x"), now=1.0) == [ContactLost(reason="x")]
-    assert contact.step(Lost(reason="x"), now=1.5) == []
+    assert contact.step(ReadFailed(reason="x"), now=1.0) == [ContactLost(reason="x")]
+    assert contact.step(ReadFailed(reason="x"), now=1.5) == []
     contact.step(Confirmed(at=2.0), now=2.0)
     assert contact.regained_at == 2.0
--- a/hawthornspoke/relay/tests/test_incarnations.py
+++ b/hawthornspoke/relay/tests/test_incarnations.py
@@ -11,7 +11,7 @@
     RelayHarness,
     ScriptedEndpoint,
     answer,
-    lone_suspects,
+    make_suspects,
     refuse_as_full,
 )
 
@@ -130,7 +130,7 @@
         log=None,
         directive_for=None,
         on_entry_hosts=None,
-        suspects=lone_suspects(fleet),
+        suspects=make_suspects(fleet),
     )
     state = EngineState(running=2, waiting=1, started_ms=SECOND.started_ms)
     links._on_frame(entry.address, None, Frame(engine_state=state))
