--- a/hawthornspoke/relay/_encoding.py
+++ b/hawthornspoke/relay/_encoding.py
@@ -1,23 +1,23 @@
-"""What endpoints are sent of a request, and callers of an answer."""
+"""Encodes requests for endpoints, and the headers of responses for callers."""
 
 from hawthornspoke.httpio import encode_request
 
-#: Seconds kept for the answer's own way back to the caller.
-ANSWER_TIME = 0.005
+#: Seconds reserved for returning the response to the caller.
+RESPONSE_RETURN_TIME = 0.005
 
-#: Levels on the wire between two priorities of ours, and the least urgent level.
+#: Wire priority levels per configured priority, and the least urgent wire level.
 PRIORITY_STEP = 2
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 
 
 class Encoder:
-    """Sets the fields that are ours.
+    """Encodes requests, with the header fields that are set by this host.
 
     Parameters
     ----------
     dialect : Dialect
     clock : callable
-        Returns the moment on the clock of a request's deadlines.
+        Returns the time on the clock that request deadlines are measured on.
     """
 
     __slots__ = ("_dialect", "_clock")
@@ -26,22 +26,22 @@
         self._dialect = dialect
         self._clock = clock
 
-    def encode(self, work, place, *, last_event, version):
+    def encode(self, context, place, *, last_event, version):
         """Return the bytes of a request for an endpoint.
 
         Parameters
         ----------
-        work : Work
+        context : RequestContext
         place : Place
         last_event, version : int or None
-            After which event a stream goes on, and of which weights.
+            Id of the last event received and weights version of a stream to resume.
 
         Returns
         -------
         bytes
         """
-        request = work.request
-        headers = self._headers(work, place, last_event=last_event)
+        request = context.request
+        headers = self._headers(context, place, last_event=last_event)
         if version is not None:
             headers.append((self._dialect.expected_version, str(version)))
         return encode_request(
@@ -51,32 +51,35 @@
             body=request.body,
         )
 
-    def answer_headers(self, response):
-        """Return the fields of an endpoint's answer that callers get."""
+    def response_headers(self, response):
+        """Return the header fields of an endpoint's response that callers receive."""
         return response.end_to_end(without=self._dialect.internal())
 
-    def _headers(self, work, place, *, last_event=None):
+    def _headers(self, context, place, *, last_event=None):
         dialect = self._dialect
-        without = set(dialect.set_here())
+        without = set(dialect.reserved())
         if last_event is not None:
             without.add(dialect.last_event.lower())
-        headers = work.request.end_to_end(without=without)
-        left = work.deadline - ANSWER_TIME - self._clock()
-        headers.append((dialect.deadline_ms, str(max(1, int(left * 1000)))))
+        headers = context.request.end_to_end(without=without)
+        remaining = context.deadline - RESPONSE_RETURN_TIME - self._clock()
+        headers.append((dialect.deadline_ms, str(max(1, int(remaining * 1000)))))
         headers.append((dialect.expected_endpoint, place.endpoint_id))
-        if work.organisation is not None:
-            headers.append((dialect.organisation, work.organisation.name))
-        headers.append((dialect.priority, str(self._priority(work))))
+        if context.organisation is not None:
+            headers.append((dialect.organisation, context.organisation.name))
+        headers.append((dialect.priority, str(self._priority(context))))
         if last_event is not None:
             headers.append((dialect.last_event, str(last_event)))
         return headers
 
-    def _priority(self, work):
-        own = work.route.priority
-        if work.organisation is not None and work.organisation.priority is not None:
-            own = work.organisation.priority
-        # A caller that is late already gains nothing by going first, and one that
-        # is not would become late behind it.
+    def _priority(self, context):
+        base_priority = context.route.priority
+        if (
+            context.organisation is not None
+            and context.organisation.priority is not None
+        ):
+            base_priority = context.organisation.priority
+        # A late request gains nothing from being served first, and would delay requests
+        # that can still be on time.
         now = self._clock()
-        late = work.returned or now > work.objective_deadline
-        return min(LEAST_URGENT, own * PRIORITY_STEP + int(late))
+        is_late = context.returned or now > context.objective_deadline
+        return min(LOWEST_PRIORITY, base_priority * PRIORITY_STEP + int(is_late))
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -1,4 +1,4 @@
-"""What the platform's reader tells, and what follows from it."""
+"""Applies the state that is read from the platform."""
 
 from hawthornspoke.base import contact_clock, monotonic
 from hawthornspoke.catalog import UNKNOWN, age_of
@@ -11,11 +11,11 @@
     WeightsDeclared,
 )
 from hawthornspoke.relay._agents import AgentLinks
-from hawthornspoke.relay._contact import Confirmed, ContactLost, Lost
+from hawthornspoke.relay._contact import Confirmed, ContactLost, ReadFailed
 
 
 class Sink:
-    """Takes the platform's word and passes it on to all that decide by it.
+    """Receives platform state and updates the components that depend on it.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
     pool : ConnectionPool
     handler : Handler
     front : HttpServer
-        Takes callers' requests.
+        Serves callers' requests.
     neighbours : Neighbours
     suspects : Suspects
     log : EventLog
@@ -36,7 +36,7 @@
     Attributes
     ----------
     settings : RelaySettings
-        Replaced when they are read again.
+        Replaced when the settings are reloaded.
     entries : tuple of EndpointEntry
     agents : AgentLinks
     """
@@ -94,13 +94,13 @@
         self._neighbours = neighbours
 
     def on_catalog(self, catalog):
-        """Take a configuration; one that is not newer changes nothing."""
+        """Apply a configuration; one that is not newer is ignored."""
         known = self._handler.catalog
         if known is not None and catalog.revision <= known.revision:
             return
         changed = CatalogChanged(service_by_name=catalog.service_by_name)
         self._fleet.step(changed, now=monotonic())
-        self._handler.use(catalog)
+        self._handler.set_catalog(catalog)
         limits = catalog.limits
         self._front.limits = ServerLimits(
             header_bytes=limits.header_bytes,
@@ -114,10 +114,10 @@
             routes=len(catalog.routes),
             organisations=len(set(catalog.organisation_by_key.values())),
         )
-        self._follow_agents()
+        self._update_agents()
 
     def on_entries(self, entries):
-        """Take the platform's whole list of endpoints."""
+        """Apply the platform's complete list of endpoints."""
         listed = EndpointsListed(
             entries=tuple(entries),
             contact_regained_at=monotonic()
@@ -126,11 +126,11 @@
         before = {entry.endpoint_id: entry for entry in self.entries}
         self.entries = listed.entries
         self._fleet.step(listed, now=monotonic())
-        now_there = {entry.endpoint_id: entry for entry in self.entries}
-        for endpoint_id in before.keys() - now_there.keys():
+        current = {entry.endpoint_id: entry for entry in self.entries}
+        for endpoint_id in before.keys() - current.keys():
             self._pool.drop(endpoint_id)
             self.log.change("endpoint_gone", endpoint=endpoint_id)
-        for endpoint_id, entry in now_there.items():
+        for endpoint_id, entry in current.items():
             if before.get(endpoint_id) != entry:
                 self.log.change(
                     "endpoint",
@@ -144,18 +144,18 @@
                     weights_version=entry.weights_version,
                     layers=entry.layers,
                 )
-        self._follow_agents()
+        self._update_agents()
 
     def on_declared(self, declared, *, written_at=UNKNOWN, known_until=UNKNOWN):
-        """Take declared weights.
+        """Apply declared weights.
 
         Parameters
         ----------
         declared : DeclaredWeights
         written_at : float, default=UNKNOWN
-            A moment on the contact clock before which they were not declared.
+            Time on the contact clock before which they were not declared.
         known_until : float, default=UNKNOWN
-            A moment on it until which all declarations were known.
+            Time on the contact clock until which all declarations were known.
         """
         before = self._fleet.declared.latest(declared.model)
         message = WeightsDeclared(
@@ -174,16 +174,16 @@
             age=age_of(written_at, contact_clock()),
             before=before,
         )
-        self.agents.tell_all()
+        self.agents.send_directives()
 
     def on_dated(self, model, moments):
-        """Take when versions were declared that were found without a moment.
+        """Apply declaration times of versions that were read without one.
 
         Parameters
         ----------
         model : str
         moments : tuple of (int, float)
-            Versions and moments on the contact clock before which they were not
+            Versions and the times on the contact clock before which they were not
             declared.
         """
         self._fleet.step(WeightsDated(model=model, moments=moments), now=monotonic())
@@ -192,24 +192,24 @@
             self.log.change(
                 "weights_dated", model=model, version=version, age=age_of(at, now)
             )
-        # Agents plan by the moment, and tell it to hosts that start later.
-        self.agents.tell_all()
+        # Agents schedule by these times and report them to hosts that start later.
+        self.agents.send_directives()
 
     def on_confirmed(self, at):
-        """Take that the platform answered; ``at`` is on the contact clock."""
-        self._note_contact(
+        """Record a response of the platform; ``at`` is on the contact clock."""
+        self._log_contact_change(
             self._contact.step(Confirmed(at=at), now=contact_clock()), "regained"
         )
 
     def on_contact_lost(self, reason):
-        """Take that the platform could not be read."""
-        self._note_contact(
-            self._contact.step(Lost(reason=reason), now=contact_clock()), "lost"
+        """Record that the platform could not be read."""
+        self._log_contact_change(
+            self._contact.step(ReadFailed(reason=reason), now=contact_clock()), "lost"
         )
 
     def directive_for(self, service):
-        """Return what the agents of a service are told, None if nothing."""
-        engine = self._engine_services().get(service)
+        """Return the directive for the agents of a service, None if there is none."""
+        engine = self._engine_by_service().get(service)
         if engine is None:
             return None
         catalog = self._handler.catalog
@@ -225,12 +225,12 @@
             failure_domain=self.settings.failure_domain,
         )
 
-    def _note_contact(self, outcomes, what):
+    def _log_contact_change(self, outcomes, event):
         for outcome in outcomes:
             reason = outcome.reason if isinstance(outcome, ContactLost) else ""
-            self.log.change(f"platform_{what}", reason=reason)
+            self.log.change(f"platform_{event}", reason=reason)
 
-    def _engine_services(self):
+    def _engine_by_service(self):
         catalog = self._handler.catalog
         if catalog is None:
             return {}
@@ -240,14 +240,14 @@
             if service.engine is not None and service.engine.layers
         }
 
-    def _follow_agents(self):
-        engines = self._engine_services()
+    def _update_agents(self):
+        engines = self._engine_by_service()
         service_by_address = {}
         for entry in self.entries:
-            # Where two entries have one address, the agent there is told what the
-            # first one's service needs.
+            # If two entries share an address, the agent there gets the directive for
+            # the service of the first one.
             service_by_address.setdefault(entry.address, entry.service)
-        self.agents.follow(
+        self.agents.set_endpoints(
             {
                 entry.address: service_by_address[entry.address]
                 for entry in self.entries
@@ -255,14 +255,15 @@
                 if self._handler.catalog is None or entry.service in engines
             }
         )
-        self.agents.tell_all()
+        self.agents.send_directives()
 
     def _peers(self, service):
-        """Return the endpoints of a service that agents are told of.
+        """Return the endpoints of a service that directives list, None to omit them.
 
-        Each entry host tells each agent. Were the list in all of these messages,
-        34 hosts would send 110 KB to each agent for one endpoint that came or went,
-        a quarter of a second of its link; so only hosts that read the platform do.
+        Every entry host sends directives to every agent. If all of them contained the
+        list, 34 hosts would send 110 KB to each agent whenever an endpoint is added
+        or removed, which takes its link a quarter of a second. So only hosts that
+        read the platform directly include the list.
         """
         if self._neighbours.reader() is not None:
             return None
--- a/hawthornspoke/relay/_timers.py
+++ b/hawthornspoke/relay/_timers.py
@@ -1,52 +1,53 @@
-"""Ends waits at moments of others, whatever the host's steady clock does."""
+"""Timeouts that include the time for which the host is suspended."""
 
 import asyncio
 
 from hawthornspoke.base import monotonic
 
-#: Seconds by which the clocks must have parted: less is the time between reading one
-#: and the other on a busy host.
-SUSPENDED_FOR = 0.02
+#: Minimum change in seconds of the offset between the clocks that is treated as a
+#: suspension. Smaller changes occur on a busy host between the readings of the two.
+MIN_CLOCK_SHIFT = 0.02
 
 
 class Timers:
-    """Timeouts on a clock that goes on while the host is suspended.
+    """Timeouts on a clock that includes the time for which the host is suspended.
 
-    The event loop's timers run on the steady clock, which stands still meanwhile. A
-    host that was suspended for 5 s ended its waits 5 s late: callers whose time was
-    up were kept, and requests began on old weights after their bound. So it looks
-    now and then whether the clocks have parted, and sets what waits anew.
+    The event loop's timers use the monotonic clock, which stops during a suspension.
+    After a suspension of 5 s all timeouts fired 5 s late: callers waited beyond their
+    deadlines, and requests started on old weights after their version bound. So the
+    offset between the clocks is checked regularly, and pending timeouts are
+    rescheduled when it has changed.
 
     Parameters
     ----------
     clock : callable
-        Goes on while the host is suspended.
+        Returns seconds; includes the time for which the host is suspended.
     """
 
-    __slots__ = ("clock", "_ahead", "_moment_by_timeout")
+    __slots__ = ("clock", "_clock_offset", "_deadline_by_timeout")
 
     def __init__(self, *, clock):
         self.clock = clock
-        self._ahead = clock() - monotonic()
-        self._moment_by_timeout = {}
+        self._clock_offset = clock() - monotonic()
+        self._deadline_by_timeout = {}
 
-    def until(self, moment):
-        """Return a context that raises TimeoutError at a moment.
+    def until(self, deadline):
+        """Return a context manager that raises TimeoutError at a deadline.
 
         Parameters
         ----------
-        moment : float or None
-            On the clock of the timers; None to wait as long as it takes.
+        deadline : float or None
+            On the clock of the timers; None for no timeout.
 
         Returns
         -------
         async context manager
-            ``expired()`` tells whether the moment has ended the wait.
+            ``expired()`` returns whether the timeout has fired.
         """
-        return _Wait(timers=self, moment=moment)
+        return _DeadlineContext(timers=self, deadline=deadline)
 
     async def run(self, ticks):
-        """Look at the clocks until cancelled; a look costs 0.7 us, timed alone.
+        """Check the clocks until cancelled; a check alone takes 0.7 us.
 
         Parameters
         ----------
@@ -54,41 +55,43 @@
         """
         while True:
             await ticks.next()
-            self._look()
+            self._check_clocks()
 
-    def _look(self):
-        ahead = self.clock() - monotonic()
-        if abs(ahead - self._ahead) < SUSPENDED_FOR:
+    def _check_clocks(self):
+        offset = self.clock() - monotonic()
+        if abs(offset - self._clock_offset) < MIN_CLOCK_SHIFT:
             return
-        self._ahead = ahead
-        for timeout, moment in self._moment_by_timeout.items():
-            # One that is over can't be set anew; its wait is about to end.
+        self._clock_offset = offset
+        for timeout, deadline in self._deadline_by_timeout.items():
+            # A timeout that has fired can't be rescheduled.
             if not timeout.expired():
-                timeout.reschedule(_loop_time(moment, self.clock))
+                timeout.reschedule(_loop_time(deadline, self.clock))
 
-    def _add(self, timeout, moment):
-        self._moment_by_timeout[timeout] = moment
+    def _add(self, timeout, deadline):
+        self._deadline_by_timeout[timeout] = deadline
 
     def _remove(self, timeout):
-        del self._moment_by_timeout[timeout]
+        del self._deadline_by_timeout[timeout]
 
 
-class _Wait:
-    """A wait that ends at a moment."""
+class _DeadlineContext:
+    """Context manager with a timeout at a deadline."""
 
-    __slots__ = ("_timers", "_moment", "_timeout")
+    __slots__ = ("_timers", "_deadline", "_timeout")
 
-    def __init__(self, *, timers, moment):
+    def __init__(self, *, timers, deadline):
         self._timers = timers
-        self._moment = moment
+        self._deadline = deadline
         self._timeout = None
 
     async def __aenter__(self):
-        if self._moment is None:
+        if self._deadline is None:
             return self
-        self._timeout = asyncio.timeout_at(_loop_time(self._moment, self._timers.clock))
+        self._timeout = asyncio.timeout_at(
+            _loop_time(self._deadline, self._timers.clock)
+        )
         await self._timeout.__aenter__()
-        self._timers._add(self._timeout, self._moment)
+        self._timers._add(self._timeout, self._deadline)
         return self
 
     async def __aexit__(self, *error):
@@ -98,9 +101,9 @@
         return await self._timeout.__aexit__(*error)
 
     def expired(self):
-        """Tell whether the moment has ended the wait."""
+        """Return whether the timeout has fired."""
         return self._timeout is not None and self._timeout.expired()
 
 
-def _loop_time(moment, clock):
-    return asyncio.get_running_loop().time() + moment - clock()
+def _loop_time(deadline, clock):
+    return asyncio.get_running_loop().time() + deadline - clock()
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -1,4 +1,4 @@
-"""One try at one endpoint: connect, send, read the head."""
+"""One attempt at one endpoint: connect, send, read the response head."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from hawthornspoke.httpio import BROKEN
 from hawthornspoke.placing import Finished, LoadSeen, Sent
 
-#: Statuses by which an endpoint may say that it has not run a request.
+#: Status of an endpoint that did not run a request meant for another endpoint.
 MISDIRECTED = 421
 
 UNREACHABLE = Failure(code="unreachable")
@@ -17,8 +17,8 @@
 WITHDRAWN = Failure(code="withdrawn")
 
 
-class Try:
-    """A request at one endpoint, from the connection to its end.
+class Attempt:
+    """An attempt to run a request at one endpoint, from connecting to completion.
 
     Parameters
     ----------
@@ -28,9 +28,9 @@
     dialect : Dialect
     timers : Timers
     on_broken : callable
-        Called with the try if the endpoint broke off its connection.
+        Called with the attempt if the endpoint closed the connection early.
     on_ended : callable
-        Called with the try when it is over.
+        Called with the attempt when it has ended.
     """
 
     __slots__ = (
@@ -63,12 +63,12 @@
         self._ended = False
 
     async def connect(self):
-        """Get a connection.
+        """Acquire a connection from the pool.
 
         Returns
         -------
         None or Failure
-            ``UNREACHABLE`` if no byte of the request has left.
+            ``UNREACHABLE`` if the connection failed; nothing was sent.
         """
         connection = await self._pool.acquire(
             self.place.endpoint_id, self.place.address, start=self.place.incarnation
@@ -91,16 +91,16 @@
         Returns
         -------
         None or Failure
-            ``CONNECTION_LOST`` if no byte of the request has left.
+            ``CONNECTION_LOST`` if the connection had ended; nothing was sent.
         """
         if self.connection.has_ended():
-            # It was closed after it was there, and this task goes on only now. Bytes
-            # written to it would count as sent.
+            # The connection was closed between its acquisition and this write. Bytes
+            # written to it would be counted as sent.
             self.abort()
             return CONNECTION_LOST
         self.sent_at = monotonic()
         self.exchange = self.connection.send(data, expected_id=expected_id)
-        self._tell(
+        self._notify_fleet(
             Sent(
                 endpoint_id=self.place.endpoint_id,
                 incarnation=self.place.incarnation,
@@ -109,88 +109,92 @@
         )
         return None
 
-    async def read_head(self, *, patience):
-        """Wait for the head of the answer.
+    async def read_head(self, *, response_timeout):
+        """Wait for the response head.
 
         Parameters
         ----------
-        patience : float
-            Seconds of silence after which the endpoint is given up.
+        response_timeout : float
+            Seconds without a response head after which the attempt is aborted.
 
         Returns
         -------
         Response or Failure
-            ``NOT_RUN`` is a promise; the other failures are none.
+            Only ``NOT_RUN`` guarantees that the endpoint did not run the request.
         """
-        # Silence is judged on the steady clock: a host that was suspended could hear
-        # nothing, and has to give an endpoint time to send again.
-        withdrawal = self._timers.until(self._withdrawn_at())
+        # The response timeout uses the monotonic clock: a suspended host receives
+        # nothing, so an endpoint needs the remaining time after the host resumes.
+        deadline = self._timers.until(self._withdrawal_time())
         try:
-            async with withdrawal, asyncio.timeout(patience):
+            async with deadline, asyncio.timeout(response_timeout):
                 head = await self.exchange.read_head()
         except TimeoutError:
-            if withdrawal.expired():
+            if deadline.expired():
                 return self._withdraw()
             self._end("silent")
             self.abort()
-            return SILENT.because(f"no answer in {patience:.3f} s")
+            return SILENT.because(f"no response head within {response_timeout:.3f} s")
         if isinstance(head, Failure):
             self.fail()
             return MAY_HAVE_RUN.because(f"{head.code}: {head.reason}")
         self.head = head
-        self._note_load(head)
+        self._record_load(head)
         if head.status == MISDIRECTED or head.get(self._dialect.not_run) is not None:
-            return await self._refused(head)
+            return await self._handle_refusal(head)
         return head
 
-    def _withdrawn_at(self):
-        """Return when the request must have begun, None if there is no such time."""
+    def _withdrawal_time(self):
+        """Return the time by which the request must have started, None if unlimited."""
         if self.place.begin_deadline is None:
             return None
-        # The place was looked at just before the send, on the steady clock.
+        # The deadline was computed on the monotonic clock just before sending.
         return self._timers.clock() + self.place.begin_deadline - monotonic()
 
     def _withdraw(self):
-        # That the request begins in time was expected when it was sent. An engine
-        # that a dozen entry hosts fill at once begins it a second later, on weights
-        # that are then too old; an engine drops what it has not begun when the
-        # connection closes. It is no fault of the engine's.
+        # The request was expected to start in time when it was sent. An engine that a
+        # dozen entry hosts fill at once starts it a second later, on weights that are
+        # too old by then. Closing the connection makes the engine drop a request that
+        # has not started. This doesn't count as a failure of the engine.
         self._end("left")
         self.abort()
         version = self.place.weights_version
-        return WITHDRAWN.because(f"not begun before version {version} is too old")
+        return WITHDRAWN.because(
+            f"not started before weights version {version} expired"
+        )
 
-    async def read_whole(self, *, patience):
-        """Read the body of an answer that is passed on as a whole."""
+    async def read_whole(self, *, response_timeout):
+        """Read the body of a response that is not streamed."""
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(response_timeout):
                 answer = await self.exchange.read_whole()
         except TimeoutError:
             self.fail()
-            return SILENT.because(f"no whole answer in {patience:.3f} s")
+            return SILENT.because(f"incomplete response after {response_timeout:.3f} s")
         if isinstance(answer, Failure):
             self.fail()
             return MAY_HAVE_RUN.because(f"{answer.code}: {answer.reason}")
         return answer
 
-    def done(self, *, well):
-        """The answer is complete; the connection can be used again."""
+    def done(self, *, is_success):
+        """End the attempt after a complete response; release the connection."""
         seconds = monotonic() - self.sent_at
-        self._end("done" if well else "failed", seconds=seconds if well else None)
-        self._put_back()
+        self._end(
+            "done" if is_success else "failed", seconds=seconds if is_success else None
+        )
+        self._release()
 
     def fail(self):
-        """The endpoint broke off or is silent."""
+        """End the attempt after a broken connection or a timeout."""
         self._end("failed")
         self.abort()
 
-    def leave(self):
-        """The caller is gone: the endpoint drops what it has of the request."""
+    def abandon(self):
+        """Close the connection, so that the endpoint drops an unfinished request."""
         self._end("left")
         self.abort()
 
     def withdraw(self, failure):
-        """Take the request back; whoever waits for its answer gets a failure.
+        """Cancel the request; a task waiting for the response gets the failure.
 
         Parameters
         ----------
@@ -201,40 +205,40 @@
         self.abort()
 
     def abort(self):
-        """Close the connection, if there still is one."""
+        """Close the connection if it is still held."""
         if self.connection is not None:
             self.connection.abort()
             self.connection = None
 
-    async def _refused(self, head):
-        # The body is read so that the connection can be used again: a full engine
-        # refuses many, and a new connection for each costs it more than a refusal.
+    async def _handle_refusal(self, head):
+        # The body is read so that the connection can be reused: a full engine refuses
+        # many requests, and a new connection costs it more than a refusal.
         moved = False
         if head.status == MISDIRECTED:
-            seen = head.get(self._dialect.endpoint_id)
-            moved = seen is not None and seen != self.place.endpoint_id
+            reported = head.get(self._dialect.endpoint_id)
+            moved = reported is not None and reported != self.place.endpoint_id
         body = await self.exchange.read_whole()
         self._end("moved" if moved else "refused")
         if isinstance(body, Failure) or moved:
             self.abort()
         else:
-            self._put_back()
+            self._release()
         return NOT_RUN.because(f"status {head.status}")
 
-    def _put_back(self):
+    def _release(self):
         place = self.place
         self._pool.put_back(place.endpoint_id, self.connection, start=place.incarnation)
         self.connection = None
 
-    def _note_load(self, head):
+    def _record_load(self, head):
         load = head.get(self._dialect.load, "")
         parts = load.split(",")
         if len(parts) == 3 and parts[0].isdigit() and parts[1].isdigit():
-            seen = int(parts[0]) + int(parts[1])
-            self._tell(
+            reported = int(parts[0]) + int(parts[1])
+            self._notify_fleet(
                 LoadSeen(
                     endpoint_id=self.place.endpoint_id,
-                    load=seen,
+                    load=reported,
                     incarnation=self.place.incarnation,
                 )
             )
@@ -247,7 +251,7 @@
         if outcome == "failed" and self.exchange.failure == BROKEN:
             self._on_broken(self)
         if outcome == "unreachable" or self.sent_at is not None:
-            self._tell(
+            self._notify_fleet(
                 Finished(
                     endpoint_id=self.place.endpoint_id,
                     outcome=outcome,
@@ -256,5 +260,5 @@
                 )
             )
 
-    def _tell(self, message):
+    def _notify_fleet(self, message):
         self._fleet.step(message, now=monotonic())
--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -1,4 +1,4 @@
-"""A scripted endpoint on loopback, and a relay's handler before it."""
+"""Test harness: scripted endpoints on loopback behind the handler of a relay."""
 
 import asyncio
 import contextlib
@@ -32,11 +32,12 @@
 ENGINE = engine_profile()
 
 
-class Endpoint:
+class ScriptedEndpoint:
     """Answers each request by the next step of a script.
 
-    A step is a coroutine function called with the endpoint, the raw request and
-    the stream writer; what it writes is what the relay gets.
+    A step is a coroutine function that is called with the endpoint, the raw request
+    and the stream writer, and writes the response. It returns False to abort the
+    connection.
     """
 
     def __init__(self, *steps):
@@ -73,7 +74,7 @@
 
 
 def field(head, name):
-    """Return a header field of a raw request, None if it has none."""
+    """Return the value of a header field of a raw message, None if it is missing."""
     for line in head.split("\r\n"):
         key, _, value = line.partition(":")
         if key.lower() == name.lower():
@@ -82,7 +83,7 @@
 
 
 def response(head, status=200, body=b"ok", extra=()):
-    """Return a whole sealed response to a raw request."""
+    """Return a complete sealed response to a raw request."""
     lines = [
         f"HTTP/1.1 {status} X",
         f"X-Request-Id: {field(head, 'X-Request-Id')}",
@@ -95,7 +96,7 @@
 
 
 def answer(status=200, body=b"ok", extra=()):
-    """A step: a whole answer."""
+    """Return a step that sends a complete response."""
 
     async def step(endpoint, head, writer):
         writer.write(response(head, status, body, extra))
@@ -103,13 +104,13 @@
     return step
 
 
-def shed():
-    """A step: the endpoint is full and says so."""
+def refuse_as_full():
+    """Return a step that refuses the request because the endpoint is full."""
     return answer(503, b"", ("X-Not-Run: 1",))
 
 
 def silent():
-    """A step: nothing is answered until the relay closes the connection."""
+    """Return a step that sends nothing until the relay closes the connection."""
 
     async def step(endpoint, head, writer):
         await writer.wait_closed()
@@ -118,8 +119,8 @@
     return step
 
 
-def reset():
-    """A step: the connection is reset without an answer."""
+def reset_connection():
+    """Return a step that resets the connection without a response."""
 
     async def step(endpoint, head, writer):
         return False
@@ -143,14 +144,14 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def events(ids, *, version="1", cut=b"", whole=True):
-    """A step: a stream of events, complete or cut off behind some bytes."""
+def events(ids, *, version="1", cut=b"", is_complete=True):
+    """Return a step that sends a stream of events, complete or truncated."""
 
     async def step(endpoint, head, writer):
         writer.write(stream_head(head, version))
         for number in ids:
             writer.write(stream_event(number))
-        if whole:
+        if is_complete:
             writer.write(b"0\r\n\r\n")
             return None
         if cut:
@@ -162,28 +163,28 @@
     return step
 
 
-def begins_late(wait, begun, *, pause=0.0):
-    """A step: a stream of two events that begins after some time.
+def delayed_stream(delay, start_times, *, pause=0.0):
+    """Return a step that sends a stream of two events after a delay.
 
-    Like an engine it drops a request whose connection is closed before it began.
+    Like an engine, it drops a request whose connection is closed before it starts.
 
     Parameters
     ----------
-    wait : float
+    delay : float
         Seconds until the first event.
-    begun : list
-        Gets the moment at which the stream began.
+    start_times : list
+        Receives the time at which the stream started.
     pause : float, default=0.0
         Seconds between the two events.
     """
 
     async def step(endpoint, head, writer):
         try:
-            async with asyncio.timeout(wait):
+            async with asyncio.timeout(delay):
                 await endpoint.reader.read(1)
             return False
         except TimeoutError:
-            begun.append(monotonic())
+            start_times.append(monotonic())
         writer.write(stream_head(head))
         writer.write(stream_event(1))
         await writer.drain()
@@ -194,7 +195,7 @@
 
 
 def lone_relay(*, source=None):
-    """Return a relay's process that listens on any ports of loopback."""
+    """Return a relay that listens on free loopback ports."""
     return Relay(
         settings=RelaySettings(
             node="n",
@@ -208,8 +209,8 @@
     )
 
 
-def lone_suspects(fleet):
-    """Return what an entry host without agents knows of poison requests."""
+def make_suspects(fleet):
+    """Return the Suspects of an entry host without agents."""
     return Suspects(fleet=fleet, log=EventLog(node="test"), metrics=Metrics())
 
 
@@ -221,11 +222,11 @@
 
 
 class StallingPool(ConnectionPool):
-    """Runs an action where a process may stand still: a connection is there.
+    """Connection pool that runs an action when a connection has been acquired.
 
-    What an action does happens between the choice of an endpoint and the send, and
-    the loop turns no more before the send. So the time that passes, the close of a
-    caller and news that came meanwhile are those of a process that was frozen.
+    The action runs between the selection of an endpoint and the send, and the event
+    loop doesn't run again before the send. So an action that sleeps, closes the
+    caller's socket or changes state simulates a process that was frozen there.
 
     Parameters
     ----------
@@ -240,7 +241,7 @@
         self.last = None
 
     async def acquire(self, key, address, **options):
-        """Return a connection; run the next action, None for none, before that."""
+        """Return a connection after running the next action, if it is not None."""
         connection = await super().acquire(key, address, **options)
         self.last = connection
         action = self.actions.pop(0) if self.actions else None
@@ -250,7 +251,7 @@
 
 
 class SuspendedClock:
-    """The clock that goes on while the host is suspended; the steady one doesn't."""
+    """Clock that includes simulated suspensions; the monotonic clock doesn't."""
 
     def __init__(self):
         self.suspended = 0.0
@@ -259,12 +260,12 @@
         return contact_clock() + self.suspended
 
     def suspend(self, seconds):
-        """Let a host be suspended for some time."""
+        """Simulate a suspension of the host."""
         self.suspended += seconds
 
 
 class RelayHarness:
-    """Endpoints, a relay's handler, and callers, on one event loop."""
+    """Endpoints, the handler of a relay, and callers, on one event loop."""
 
     def __init__(self, *endpoints, timeout=0.6, keys=None, confirmed=True, fleet=None):
         self.endpoints = endpoints
@@ -284,7 +285,7 @@
 
     async def __aenter__(self):
         self.addresses = [await endpoint.start() for endpoint in self.endpoints]
-        self.suspects = lone_suspects(self.fleet)
+        self.suspects = make_suspects(self.fleet)
         admission = Admission(
             dialect=self.dialect,
             fleet=self.fleet,
@@ -293,7 +294,7 @@
             clock=self.contact_clock,
         )
         self.timers = Timers(clock=self.contact_clock)
-        self.looking = asyncio.create_task(self.timers.run(Ticks()))
+        self.timer_task = asyncio.create_task(self.timers.run(Ticks()))
         forwarder = Forwarder(
             admission=admission,
             timers=self.timers,
@@ -313,30 +314,33 @@
             log=EventLog(node="test"),
             metrics=self.metrics,
         )
-        self.handler.use(self.make_catalog())
+        self.handler.set_catalog(self.make_catalog())
         self.fleet.step(
             CatalogChanged(service_by_name=self.handler.catalog.service_by_name),
             now=0.0,
         )
         self.fleet.step(EndpointsListed(entries=self.entries()), now=0.0)
-        self.broken = []
+        self.handler_errors = []
         self.server = HttpServer(
-            host="127.0.0.1", port=0, handler=self.handler, on_broken=self.broken.append
+            host="127.0.0.1",
+            port=0,
+            handler=self.handler,
+            on_broken=self.handler_errors.append,
         )
         await self.server.start()
         return self
 
     async def __aexit__(self, *exc):
-        self.looking.cancel()
+        self.timer_task.cancel()
         self.server.close()
         self.pool.close()
         for endpoint in self.endpoints:
             endpoint.close()
         await asyncio.sleep(0)
-        assert self.broken == []
+        assert self.handler_errors == []
 
     async def ask(self, prefix, *, extra=(), read_time=3.0):
-        """Make one request; return (status, head, body, whether it is whole)."""
+        """Make a request; return (status, head, body, whether it is complete)."""
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", self.server.bound_port
         )
@@ -348,12 +352,12 @@
         text = head.decode()
         status = int(text.split(" ")[1]) if text else 0
         if "chunked" in text:
-            whole = body.endswith(b"0\r\n\r\n")
-            return status, text, unchunk(body), whole
+            is_complete = body.endswith(b"0\r\n\r\n")
+            return status, text, unchunk(body), is_complete
         return status, text, body, bool(text)
 
     def call(self, prefix, *, extra=()):
-        """Make one request and return its socket, which can be closed at any time."""
+        """Send a request and return its socket, which can be closed at any time."""
         caller = socket.create_connection(("127.0.0.1", self.server.bound_port))
         caller.sendall(_request(prefix, extra))
         return caller
@@ -365,11 +369,11 @@
         ----------
         revision : int, default=1
         service : str, default="s"
-            That all routes lead to.
+            Service of all routes.
         keys : dict of str to str or None, default=None
-            Organisations by key, if others than the harness was made with.
+            Organisations by key; those of the harness by default.
         without : collection of str
-            Names of routes that are left out.
+            Names of routes to leave out.
         """
         keys = self.keys if keys is None else keys
         routes = tuple(
@@ -407,9 +411,9 @@
         Parameters
         ----------
         leaving : collection of int
-            Numbers of those that leave.
+            Indices of the endpoints marked as leaving.
         gone : collection of int
-            Numbers of those that it has no longer.
+            Indices of the endpoints removed from the list.
         """
         return tuple(
             EndpointEntry(
@@ -441,7 +445,7 @@
 
 
 def unchunk(body):
-    """Return the data of a chunked body, as far as it came."""
+    """Return the data of a chunked body, as far as it was received."""
     data = b""
     while body:
         size, _, rest = body.partition(b"\r\n")
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -1,15 +1,13 @@
-"""Nothing is sent on a decision that a wait has made old.
-
-Symptom: an entry host took a request 3 ms after it came and sent it to an endpoint
-6.6 s after the caller's deadline, when the caller had long left.
-Events: an endpoint is chosen; the process stands still for 9 s; it wakes, and all
-that is due runs in one turn of the loop: the task goes on before the timer of the
-deadline, the caller's close and the news of the platform are seen.
-Cause: what a request needs to be sent was looked at when its endpoint was chosen,
-and not once more when its bytes were written.
-
-The process stands still before the first send, before that of a retry and before that
-of the rest of a stream, each with all that can have changed meanwhile.
+"""The conditions for sending a request are rechecked right before the write.
+
+An entry host selected an endpoint for a request, stalled for 9 s, and sent the request
+6.6 s after the caller's deadline, when the caller had left. After a stall the event
+loop resumes the task before it processes the deadline timer, the caller's disconnect
+and updates from the platform. The conditions were only checked when the endpoint was
+selected.
+
+The process stalls before the first send, before a retry and before the resumption of
+a stream, each combined with every change that can happen during the stall.
 """
 
 import asyncio
@@ -22,67 +20,69 @@
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.placing import EndpointsListed, EngineReported, WeightsDeclared
 from hawthornspoke.relay.tests.endpoint import (
-    Endpoint,
     RelayHarness,
+    ScriptedEndpoint,
     answer,
     events,
     field,
-    reset,
-    shed,
+    refuse_as_full,
+    reset_connection,
 )
 
-#: Seconds that a caller gives; standing still for longer than that is too long.
-SHORT = 0.4
-STILL = 0.5
+#: Deadline of callers in seconds, and a longer stall.
+SHORT_TIMEOUT = 0.4
+STALL_TIME = 0.5
 
-#: Time enough for all that is not about time.
-LONG = 20.0
+#: Deadline in seconds of tests that don't depend on it.
+LONG_TIMEOUT = 20.0
 
 KEY = "X-Api-Key: k"
 KEYS = {"k": "org"}
 
 
-class Place:
-    """Where the process stands still: before which send.
+class StallPoint:
+    """The send before which the process stalls.
 
-    ``before`` is what the endpoint did that was asked earlier, if there is one.
+    ``before`` is the step of the endpoint that was tried earlier, if any.
     """
 
     def __init__(self, *, route, before=None):
         self.route = route
         self.before = before
 
-    async def play(self, act, *, timeout=LONG):
-        """Stand still there; return the answer and what the endpoint got."""
-        target = Endpoint(events([3]) if self.route == "stream" else answer())
+    async def stall(self, action, *, timeout=LONG_TIMEOUT):
+        """Stall there; return the response and the requests of the endpoint."""
+        target = ScriptedEndpoint(events([3]) if self.route == "stream" else answer())
         endpoints = [target]
         if self.before is not None:
-            endpoints.insert(0, Endpoint(self.before))
+            endpoints.insert(0, ScriptedEndpoint(self.before))
         async with RelayHarness(*endpoints, timeout=timeout, keys=KEYS) as harness:
             if self.before is not None:
                 harness.fleet.endpoint_by_id["e1"].own_running = 1
                 harness.pool.actions.append(None)
-            harness.pool.actions.append(lambda: act(harness))
+            harness.pool.actions.append(lambda: action(harness))
             milliseconds = f"X-Deadline-Ms: {timeout * 1000:.0f}"
-            seen = await harness.ask(self.route, extra=[KEY, milliseconds])
+            answer_seen = await harness.ask(self.route, extra=[KEY, milliseconds])
             await asyncio.sleep(0.05)
             assert harness.pool.actions == []
-            assert harness.broken == []
-        return seen, target.requests
+            assert harness.handler_errors == []
+        return answer_seen, target.requests
 
 
-def place(name):
-    """Return one of the places by its name."""
+def stall_point(name):
+    """Return a stall point by name."""
     return {
-        "first": Place(route="once"),
-        "retry": Place(route="again", before=shed()),
-        "retry of what may have run": Place(route="again", before=reset()),
-        "resume": Place(route="stream", before=events([1, 2], whole=False)),
+        "first": StallPoint(route="once"),
+        "retry": StallPoint(route="again", before=refuse_as_full()),
+        "retry of what may have run": StallPoint(
+            route="again", before=reset_connection()
+        ),
+        "resume": StallPoint(route="stream", before=events([1, 2], is_complete=False)),
     }[name]
 
 
-PLACES = ("first", "retry", "retry of what may have run", "resume")
-REFUSED_BY_PLACE = {
+STALL_POINTS = ("first", "retry", "retry of what may have run", "resume")
+EXPECTED_STATUSES = {
     "first": {503},
     "retry": {503},
     "retry of what may have run": {502, 504},
@@ -90,131 +90,138 @@
 }
 
 
-def check(name, act, *, timeout=LONG):
-    """Stand still at a place; nothing is sent, and the answer says what is true."""
+def check_not_sent(name, action, *, timeout=LONG_TIMEOUT):
+    """Stall; check that nothing is sent and that the response is accurate."""
 
     async def scenario():
-        (status, head, _, whole), requests = await place(name).play(
-            act, timeout=timeout
+        (status, head, _, is_complete), requests = await stall_point(name).stall(
+            action, timeout=timeout
         )
         assert requests == []
-        assert status in REFUSED_BY_PLACE[name]
+        assert status in EXPECTED_STATUSES[name]
         if status == 503:
             assert float(field(head, "Retry-After")) > 0
         if status == 200:
-            assert not whole
+            assert not is_complete
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_deadline_that_passed_while_the_process_stood_still(name):
-    """Symptom: an endpoint got a request after its caller's deadline."""
-    check(name, lambda harness: time.sleep(STILL), timeout=SHORT)
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_deadline_that_passed_while_the_process_stalled(name):
+    """Guards against a request that is sent after its caller's deadline."""
+    check_not_sent(name, lambda harness: time.sleep(STALL_TIME), timeout=SHORT_TIMEOUT)
 
 
-@pytest.mark.parametrize("name", PLACES)
+@pytest.mark.parametrize("name", STALL_POINTS)
 def test_deadline_that_passed_while_the_host_was_suspended(name):
-    """The same, and the steady clock did not count the time.
+    """The same for a suspension, during which the monotonic clock stops.
 
-    Cause: the deadline was on the clock that stands still with the host.
+    The deadline was measured on the monotonic clock.
     """
-    check(name, lambda harness: harness.contact_clock.suspend(STILL), timeout=SHORT)
+    check_not_sent(
+        name,
+        lambda harness: harness.contact_clock.suspend(STALL_TIME),
+        timeout=SHORT_TIMEOUT,
+    )
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_key_that_nobody_confirmed_while_the_host_was_suspended(name):
-    """Symptom: a request ran with a key 9 s after the platform's last word on it."""
-    check(name, lambda harness: harness.contact_clock.suspend(5.0))
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_key_not_confirmed_since_before_a_suspension(name):
+    """Guards against a request with a key last confirmed 9 s before."""
+    check_not_sent(name, lambda harness: harness.contact_clock.suspend(5.0))
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_key_that_was_taken_away_meanwhile(name):
-    """Symptom: a request ran with a key that its host knew to be revoked.
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_key_removed_before_send(name):
+    """Guards against a request with a key that its host knew to be revoked.
 
-    Events: the wait is that for a connection, or for the endpoint asked before; the
-    newer configuration comes in force meanwhile. Cause: the key was looked up once,
-    when the request came.
+    A newer configuration is activated while the request waits for a connection or for
+    the previous endpoint. The key was only looked up on arrival of the request.
     """
-    check(
+    check_not_sent(
         name,
-        lambda harness: harness.handler.use(
+        lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, keys={"other": "org"})
         ),
     )
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_key_that_passed_to_another_organisation(name):
-    """Symptom: a request ran in the name of an organisation that lost its key."""
-    check(
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_key_reassigned_to_another_organisation(name):
+    """Guards against a request of an organisation that lost its key."""
+    check_not_sent(
         name,
-        lambda harness: harness.handler.use(
+        lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, keys={"k": "someone"})
         ),
     )
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_route_that_was_taken_away_meanwhile(name):
-    """Symptom: a request ran on a route that is no longer there."""
-    check(
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_route_removed_before_send(name):
+    """Guards against a request on a removed route."""
+    check_not_sent(
         name,
-        lambda harness: harness.handler.use(
+        lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, without=("once", "again", "stream"))
         ),
     )
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_route_that_leads_to_another_service_now(name):
-    """Symptom: the service of before ran a request after the change was in force."""
-    check(
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_route_changed_to_another_service(name):
+    """Guards against a request to the old service of a changed route."""
+    check_not_sent(
         name,
-        lambda harness: harness.handler.use(
+        lambda harness: harness.handler.set_catalog(
             harness.make_catalog(revision=2, service="other")
         ),
     )
 
 
-def listed(harness, **changes):
-    """Take the platform's list with some endpoints changed."""
+def change_endpoints(harness, **changes):
+    """Apply a list from the platform with some endpoints changed."""
     message = EndpointsListed(entries=harness.entries(**changes))
     harness.fleet.step(message, now=monotonic())
 
 
 def last(harness):
-    """Return the number of the endpoint that would be sent to."""
+    """Return the index of the endpoint that would receive the request."""
     return len(harness.endpoints) - 1
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_endpoint_that_leaves_meanwhile(name):
-    """Symptom: an endpoint that leaves got a request seconds after that was known."""
-    check(name, lambda harness: listed(harness, leaving=[last(harness)]))
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_endpoint_that_started_leaving(name):
+    """Guards against a request to an endpoint known to be leaving."""
+    check_not_sent(
+        name, lambda harness: change_endpoints(harness, leaving=[last(harness)])
+    )
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_endpoint_that_is_gone_meanwhile(name):
-    """Symptom: a request was sent to an endpoint that the list no longer has."""
-    check(name, lambda harness: listed(harness, gone=[last(harness)]))
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_endpoint_that_was_removed(name):
+    """Guards against a request to an endpoint that is no longer listed."""
+    check_not_sent(
+        name, lambda harness: change_endpoints(harness, gone=[last(harness)])
+    )
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_weights_that_became_too_old_meanwhile(name):
-    """Symptom: a request began on weights 6 s after their bound."""
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_weights_that_expired_before_send(name):
+    """Guards against a request that started on weights 6 s after their bound."""
 
     def declare(harness):
         declared = DeclaredWeights(model="m", version=2)
         message = WeightsDeclared(declared=declared, at=contact_clock() - 20)
         harness.fleet.step(message, now=monotonic())
 
-    check(name, declare)
+    check_not_sent(name, declare)
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_engine_that_takes_up_other_weights_meanwhile(name):
-    """Symptom: a request waited at an engine that had been told to load."""
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_engine_that_started_loading_weights(name):
+    """Guards against a request queued at an engine that is loading weights."""
 
     def report(harness):
         number = last(harness)
@@ -228,24 +235,24 @@
         )
         harness.fleet.step(message, now=monotonic())
 
-    check(name, report)
+    check_not_sent(name, report)
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_caller_that_left_while_the_process_stood_still(name):
-    """Symptom: endpoints worked seconds later for callers that had long left.
+@pytest.mark.parametrize("name", STALL_POINTS)
+def test_caller_that_disconnected_while_the_process_stalled(name):
+    """Guards against requests sent for callers that have disconnected.
 
-    Events: the caller closes while the process stands still; the close waits in the
-    socket when the task goes on. Cause: a close was only noticed by the loop.
+    The caller closes its socket during the stall, and the task resumes before the event
+    loop reads the close. Only the event loop detected a close.
     """
 
     async def scenario():
-        where = place(name)
-        target = Endpoint()
+        where = stall_point(name)
+        target = ScriptedEndpoint()
         endpoints = [target]
         if where.before is not None:
-            endpoints.insert(0, Endpoint(where.before))
-        async with RelayHarness(*endpoints, timeout=LONG, keys=KEYS) as harness:
+            endpoints.insert(0, ScriptedEndpoint(where.before))
+        async with RelayHarness(*endpoints, timeout=LONG_TIMEOUT, keys=KEYS) as harness:
             if where.before is not None:
                 harness.fleet.endpoint_by_id["e1"].own_running = 1
                 harness.pool.actions.append(None)
@@ -259,13 +266,13 @@
     asyncio.run(scenario())
 
 
-def test_caller_that_left_before_its_request_was_looked_at():
-    """The same, and the process stood still between reading and handling."""
+def test_caller_that_disconnected_before_its_request_was_handled():
+    """The same with a stall between reading and handling the request."""
 
     async def scenario():
-        target = Endpoint()
-        async with RelayHarness(target, timeout=LONG) as harness:
-            # A connection is there already, so that the send needs no further turn.
+        target = ScriptedEndpoint()
+        async with RelayHarness(target, timeout=LONG_TIMEOUT) as harness:
+            # A pooled connection exists, so the send needs no further loop iteration.
             assert (await harness.ask("once"))[0] == 200
             caller = harness.call("once")
 
@@ -281,14 +288,14 @@
 
 
 def test_request_read_before_the_host_was_suspended():
-    """The same, and the host was suspended meanwhile: only one clock tells."""
+    """The same with a suspension, which only the boot-time clock shows."""
 
     async def scenario():
-        target = Endpoint()
-        async with RelayHarness(target, timeout=SHORT) as harness:
+        target = ScriptedEndpoint()
+        async with RelayHarness(target, timeout=SHORT_TIMEOUT) as harness:
 
             async def late(request, reply):
-                harness.contact_clock.suspend(STILL)
+                harness.contact_clock.suspend(STALL_TIME)
                 await harness.handler(request, reply)
 
             harness.server.handler = late
@@ -299,14 +306,14 @@
     asyncio.run(scenario())
 
 
-def test_another_endpoint_is_asked_where_only_the_endpoint_changed():
-    """A request that only lost its endpoint still runs, once."""
+def test_another_endpoint_is_tried_if_only_the_endpoint_changed():
+    """A request whose endpoint became unusable runs once, at another endpoint."""
 
     async def scenario():
-        first, second = Endpoint(), Endpoint()
+        first, second = ScriptedEndpoint(), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            harness.pool.actions.append(lambda: listed(harness, leaving=[0]))
+            harness.pool.actions.append(lambda: change_endpoints(harness, leaving=[0]))
             status, _, _, _ = await harness.ask("once")
             assert status == 200
             assert (first.requests, len(second.requests)) == ([], 1)
@@ -314,16 +321,16 @@
     asyncio.run(scenario())
 
 
-def test_endpoint_that_closed_the_connection_meanwhile():
-    """Symptom: a request that was never sent was answered as one that may have run.
+def test_endpoint_that_closed_the_connection():
+    """Guards against a request that was never sent but reported as maybe run.
 
-    Events: a connection is made; the process stands still; the endpoint closes it, and
-    the loop has taken note before the task goes on. Cause: the bytes were written to
-    a connection that is no more, and counted as sent.
+    The endpoint closes a new connection during a stall, and the event loop processes
+    the close before the task resumes. The bytes were written to the closed connection
+    and counted as sent.
     """
 
     async def scenario():
-        first, second = Endpoint(), Endpoint()
+        first, second = ScriptedEndpoint(), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
 
@@ -339,13 +346,12 @@
     asyncio.run(scenario())
 
 
-def test_endpoint_that_closed_the_connection_unseen():
-    """The same, and the loop has yet to see it, as with callers.
+def test_endpoint_that_closed_the_connection_unnoticed():
+    """The same, with a close that the event loop has not processed yet.
 
-    Events: a connection is kept; the process stands still; the endpoint closes it for
-    its idleness; on waking the task goes on before the loop reads the end of it.
-    Cause: the caller's socket is looked at directly before the write, the endpoint's
-    is not.
+    The endpoint closes an idle pooled connection during a stall, and the task resumes
+    before the event loop reads the close. Only the caller's socket was checked directly
+    before the write, not the endpoint's.
     """
 
     async def scenario():
@@ -355,7 +361,7 @@
             kept.append(writer.get_extra_info("socket"))
             await answer()(endpoint, head, writer)
 
-        first, second = Endpoint(keeps), Endpoint()
+        first, second = ScriptedEndpoint(keeps), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             assert (await harness.ask("once"))[0] == 200
@@ -367,15 +373,15 @@
     asyncio.run(scenario())
 
 
-def test_time_that_an_endpoint_is_given_counts_the_suspension():
-    """Symptom: endpoints were told that callers wait for seconds longer than they do.
+def test_deadline_sent_to_the_endpoint_includes_the_suspension():
+    """Guards against deadlines sent to endpoints that are seconds too late.
 
-    Events: the host is suspended for half of a caller's time. Cause: what is left was
-    counted on the clock that stands still with the host.
+    The host is suspended during part of the caller's time. The remaining time was
+    measured on the monotonic clock, which stops then.
     """
 
     async def scenario():
-        target = Endpoint()
+        target = ScriptedEndpoint()
         async with RelayHarness(target, timeout=2.0) as harness:
             harness.pool.actions.append(lambda: harness.contact_clock.suspend(1.5))
             assert (await harness.ask("once"))[0] == 200
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -1,4 +1,4 @@
-"""Messages of agents with anything in them, at an entry host."""
+"""Handling of arbitrary frames from agents by an entry host."""
 
 from hypothesis import given, settings
 
@@ -7,20 +7,20 @@
 from hawthornspoke.protocol import EngineState, Frame
 from hawthornspoke.protocol.tests.structs import structs
 from hawthornspoke.relay._agents import AgentLinks
-from hawthornspoke.relay.tests.endpoint import ENGINE, lone_suspects
+from hawthornspoke.relay.tests.endpoint import ENGINE, make_suspects
 
 ADDRESSES = ("10.0.0.1:80", "10.0.0.2:80")
 
 
-class Link:
-    """Takes frames."""
+class StubLink:
+    """Connection that accepts all frames."""
 
     def send(self, frame):
         return True
 
 
-def links():
-    """Return an entry host's links and its fleet of two engines."""
+def make_links():
+    """Return the AgentLinks of an entry host and its fleet of two engines."""
     fleet = Fleet(failure_domain="a")
     entries = tuple(
         EndpointEntry(
@@ -39,48 +39,48 @@
     fleet.step(
         EndpointsListed(entries=entries, contact_regained_at=float("-inf")), now=0.0
     )
-    made = AgentLinks(
+    agent_links = AgentLinks(
         port=7700,
         failure_domain="a",
         fleet=fleet,
         log=None,
         directive_for=lambda address: None,
         on_entry_hosts=lambda agent, addresses: None,
-        suspects=lone_suspects(fleet),
+        suspects=make_suspects(fleet),
     )
-    return made, fleet
+    return agent_links, fleet
 
 
 @settings(max_examples=200, deadline=None)
 @given(structs(Frame))
-def test_odd_word_of_one_agent_leaves_the_other_engine(frame):
-    made, fleet = links()
-    made._take(ADDRESSES[0], Link(), frame)
+def test_invalid_frame_of_one_agent_does_not_affect_the_other_engine(frame):
+    agent_links, fleet = make_links()
+    agent_links._on_frame(ADDRESSES[0], StubLink(), frame)
     ask = Ask(service="s", prompt_tokens=10, tried=(ADDRESSES[0],))
     (answer,) = fleet.step(ask, now=0.1)
     assert isinstance(answer, Place)
     assert answer.endpoint_id == ADDRESSES[1]
 
 
-def test_pace_that_is_no_number_counts_as_usual():
-    made, fleet = links()
+def test_invalid_pace_is_treated_as_normal():
+    agent_links, fleet = make_links()
     for pace in (float("nan"), float("inf"), -1.0):
         state = EngineState(running=0, waiting=0, pace=pace, weights_version=1)
-        made._take(ADDRESSES[0], Link(), Frame(engine_state=state))
+        agent_links._on_frame(ADDRESSES[0], StubLink(), Frame(engine_state=state))
         assert fleet.endpoint_by_id[ADDRESSES[0]].pace == 1.0
 
 
-def test_agent_that_is_gone_tells_no_number_of_entry_hosts():
-    """Requests were refused a retry though the budget of all hosts had room.
+def test_lost_agent_does_not_count_entry_hosts():
+    """Guards against retries that are refused although the common budget allows them.
 
-    Events: agents see twelve entry hosts; three of these leave, and one engine with
-    its agent is gone for good; the other agents tell nine. Cause: what an agent told
-    last is kept when its connection ends, and the most that any told counts.
+    Agents see twelve entry hosts; three of these leave, and one agent is lost for
+    good while the others report nine. The number reported by the lost agent was kept,
+    and the maximum over all agents counts.
     """
-    made, _ = links()
+    agent_links, _ = make_links()
     for address, seen in zip(ADDRESSES, (12, 9), strict=True):
         state = EngineState(endpoint_address=address, entry_hosts=seen)
-        made._take(address, Link(), Frame(engine_state=state))
-    assert made.entry_hosts() == 12
-    made._forget(ADDRESSES[0])
-    assert made.entry_hosts() == 9
+        agent_links._on_frame(address, StubLink(), Frame(engine_state=state))
+    assert agent_links.entry_hosts() == 12
+    agent_links._remove(ADDRESSES[0])
+    assert agent_links.entry_hosts() == 9
--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -1,4 +1,4 @@
-"""A relay before scripted endpoints: what callers and endpoints see of failures."""
+"""Forwarding to scripted endpoints, and the handling of their failures."""
 
 import asyncio
 
@@ -6,36 +6,36 @@
 
 from hawthornspoke.base import monotonic
 from hawthornspoke.relay.tests.endpoint import (
-    Endpoint,
     RelayHarness,
+    ScriptedEndpoint,
     answer,
     events,
     field,
-    reset,
+    refuse_as_full,
+    reset_connection,
     response,
-    shed,
     silent,
 )
 
 
-def play(scenario):
-    """Run a scenario on an event loop of its own."""
+def run_scenario(scenario):
+    """Run a scenario on a new event loop."""
     asyncio.run(scenario())
 
 
-def ids_of(body):
+def event_ids(body):
     """Return the ids of the events in a body."""
     return [int(part[4:].split(b"\n")[0]) for part in body.split(b"\n\n") if part]
 
 
-def test_request_is_passed_on_unchanged():
+def test_request_is_forwarded_unchanged():
     async def scenario():
-        endpoint = Endpoint(answer(body=b"hello"))
+        endpoint = ScriptedEndpoint(answer(body=b"hello"))
         async with RelayHarness(endpoint) as harness:
-            status, head, body, whole = await harness.ask(
+            status, head, body, is_complete = await harness.ask(
                 "once", extra=["X-Mine: 7", "X-Organisation: liar"]
             )
-            assert (status, body, whole) == (200, b"hello", True)
+            assert (status, body, is_complete) == (200, b"hello", True)
             assert field(head, "X-Seal") == "s"
             raw, sent = endpoint.requests[0]
             assert raw.startswith("POST /once/x?q=1 HTTP/1.1\r\n")
@@ -45,54 +45,58 @@
             assert field(raw, "X-Expect-Endpoint") == "e0"
             assert int(field(raw, "X-Deadline-Ms")) <= 600
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_silent_endpoint_is_no_promise_at_the_time_limit():
-    """A request that may run was answered with "not run".
+def test_request_without_a_response_may_have_run():
+    """Guards against a 503 for an at-most-once request that may still run.
 
-    Symptom: 503 for a request at most once, and an endpoint ran it later.
-    Events: the request is sent; the endpoint says nothing; the route's time ends.
-    Cause: "may have run" was noted only with an answer or a broken connection.
+    The endpoint doesn't respond before the deadline. "May have run" was only recorded
+    on a response or a broken connection.
     """
 
     async def scenario():
-        endpoint = Endpoint(silent())
+        endpoint = ScriptedEndpoint(silent())
         async with RelayHarness(endpoint) as harness:
             status, head, _, _ = await harness.ask("once")
             assert status == 504
             assert field(head, "Retry-After") is None
             assert len(endpoint.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_reset_endpoint_is_no_promise_either():
+def test_request_with_a_reset_connection_may_have_run():
     async def scenario():
-        endpoint, other = Endpoint(reset()), Endpoint(reset())
+        endpoint, other = (
+            ScriptedEndpoint(reset_connection()),
+            ScriptedEndpoint(reset_connection()),
+        )
         async with RelayHarness(endpoint, other) as harness:
             status, _, _, _ = await harness.ask("once")
             assert status == 502
             assert len(endpoint.requests) + len(other.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_endpoint_that_sheds_gives_a_truthful_refusal():
+def test_refusal_by_a_full_endpoint_is_returned_with_retry_after():
     async def scenario():
-        endpoint = Endpoint(shed())
+        endpoint = ScriptedEndpoint(refuse_as_full())
         async with RelayHarness(endpoint) as harness:
             status, head, _, _ = await harness.ask("once")
             assert status == 503
             assert float(field(head, "Retry-After")) > 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("step", [shed(), reset(), answer(status=500)])
+@pytest.mark.parametrize(
+    "step", [refuse_as_full(), reset_connection(), answer(status=500)]
+)
 def test_repeatable_request_goes_to_another_endpoint(step):
     async def scenario():
-        first, second = Endpoint(step, step), Endpoint(step, step)
+        first, second = ScriptedEndpoint(step, step), ScriptedEndpoint(step, step)
         first.steps, second.steps = [step], [answer(body=b"good")]
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
@@ -100,105 +104,106 @@
             assert (status, body) == (200, b"good")
             assert len(first.requests) == len(second.requests) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_unreachable_endpoint_costs_no_run():
-    """An endpoint that is gone made a request fail that was never sent.
+def test_unreachable_endpoint_does_not_count_as_a_run():
+    """Guards against a 502 for an at-most-once request that was never sent.
 
-    Symptom: 502 for a request at most once. Events: the endpoint dies; its entry
-    is still listed; the connection is refused. Cause: nothing was sent, so another
-    endpoint may be tried.
+    An endpoint has ended but is still listed, and refuses the connection. Nothing was
+    sent, so another endpoint may be tried.
     """
 
     async def scenario():
-        dead, alive = Endpoint(), Endpoint(answer())
+        dead, alive = ScriptedEndpoint(), ScriptedEndpoint(answer())
         async with RelayHarness(dead, alive) as harness:
             dead.close()
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             status, _, _, _ = await harness.ask("once")
             assert status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_stream_goes_on_at_another_endpoint_after_its_last_event():
-    """A stream was joined from two runs.
+def test_stream_resumes_at_another_endpoint_after_its_last_event():
+    """Guards against duplicate or missing events in a resumed stream.
 
-    Symptom: an event came twice, or was missing. Events: an endpoint dies within
-    an event. Cause: bytes, not events, were passed on, and the second run began
-    elsewhere than after the last whole event.
+    The first endpoint fails in the middle of an event. If bytes rather than complete
+    events are forwarded, the second endpoint doesn't resume at the event boundary.
     """
 
     async def scenario():
-        first = Endpoint(events([1, 2, 3], whole=False, cut=b"id: 4\nda"))
-        second = Endpoint(events([4, 5]))
+        first = ScriptedEndpoint(events([1, 2, 3], is_complete=False, cut=b"id: 4\nda"))
+        second = ScriptedEndpoint(events([4, 5]))
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            status, _, body, whole = await harness.ask("stream")
-            assert (status, whole) == (200, True)
-            assert ids_of(body) == [1, 2, 3, 4, 5]
+            status, _, body, is_complete = await harness.ask("stream")
+            assert (status, is_complete) == (200, True)
+            assert event_ids(body) == [1, 2, 3, 4, 5]
             raw, _ = second.requests[0]
             assert field(raw, "Last-Event-Id") == "3"
             assert field(raw, "X-Expect-Version") == "1"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_request_is_not_sent_again_when_its_caller_is_about_to_leave():
-    """Engines read prompts for callers that had left.
+def test_request_is_not_retried_if_its_caller_is_about_to_give_up():
+    """Guards against engines that process prompts for callers that have left.
 
-    Events: an engine is silent; the request is sent to a second one just before the
-    caller's patience ends; a full link delays it by more. Cause: only the route's
-    limit was looked at.
+    The first engine fails shortly before the caller gives up, and a saturated link
+    delays the retry beyond that. Only the route's timeout was checked, not the time
+    that the caller waits for an event.
     """
 
     async def scenario():
-        first, second = Endpoint(reset()), Endpoint(events([1]))
+        first, second = (
+            ScriptedEndpoint(reset_connection()),
+            ScriptedEndpoint(events([1])),
+        )
         async with RelayHarness(first, second, timeout=0.6) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             status, _, _, _ = await harness.ask("stream")
             assert status == 502
             assert second.requests == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_stream_is_not_joined_from_two_versions():
-    """Weights of two versions made one answer.
+def test_stream_does_not_mix_two_weights_versions():
+    """Guards against a response produced by two versions of the weights.
 
-    Events: an endpoint dies in the middle; another, which has newer weights, goes
-    on. Cause: the version was not asked for.
+    An endpoint fails in mid-stream, and one with newer weights resumes the stream. The
+    weights version was not requested.
     """
 
     async def scenario():
-        first = Endpoint(events([1, 2], whole=False))
-        second = Endpoint(events([3], version="2"))
+        first = ScriptedEndpoint(events([1, 2], is_complete=False))
+        second = ScriptedEndpoint(events([3], version="2"))
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            status, _, body, whole = await harness.ask("stream")
-            assert (status, whole) == (200, False)
-            assert ids_of(body) == [1, 2]
+            status, _, body, is_complete = await harness.ask("stream")
+            assert (status, is_complete) == (200, False)
+            assert event_ids(body) == [1, 2]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_stream_with_a_missing_event_does_not_look_complete():
+def test_stream_with_a_missing_event_is_incomplete():
     async def scenario():
-        only = Endpoint(events([1, 2, 4]))
+        only = ScriptedEndpoint(events([1, 2, 4]))
         async with RelayHarness(only, timeout=2.0) as harness:
-            status, _, body, whole = await harness.ask("stream")
-            assert (status, whole) == (200, False)
-            assert ids_of(body) == [1, 2]
+            status, _, body, is_complete = await harness.ask("stream")
+            assert (status, is_complete) == (200, False)
+            assert event_ids(body) == [1, 2]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_second_answer_reaches_no_later_request():
-    """A caller got the answer to another request.
+def test_duplicate_response_is_not_read_by_the_next_request():
+    """Guards against a caller that receives the response to another request.
 
-    Events: an endpoint answers twice on a kept connection; the next request on it
-    reads the second answer. Cause: answers were matched by order, not by id.
+    An endpoint responds twice on a kept-alive connection, and the next request reads
+    the second response. Responses were matched by order, not by id.
     """
 
     async def twice(endpoint, head, writer):
@@ -208,40 +213,40 @@
         writer.write(response(head, body=b"again"))
 
     async def scenario():
-        endpoint = Endpoint(twice, answer(body=b"second"))
+        endpoint = ScriptedEndpoint(twice, answer(body=b"second"))
         async with RelayHarness(endpoint) as harness:
             assert (await harness.ask("once"))[2] == b"first"
             await asyncio.sleep(0.1)
             assert (await harness.ask("once", extra=["X-N: 2"]))[2] == b"second"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_late_answer_with_another_id_is_passed_over():
+def test_late_response_with_another_id_is_skipped():
     async def late(endpoint, head, writer):
         writer.write(response(head.replace("r1", "r0"), body=b"old"))
         writer.write(response(head, body=b"new"))
 
     async def scenario():
-        async with RelayHarness(Endpoint(late)) as harness:
+        async with RelayHarness(ScriptedEndpoint(late)) as harness:
             assert (await harness.ask("once"))[2] == b"new"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_success_without_a_seal_is_none():
+def test_success_without_a_seal_is_a_failure():
     async def unsealed(endpoint, head, writer):
-        whole = response(head, body=b"rubbish")
-        writer.write(whole.replace(b"X-Seal: s\r\n", b""))
+        is_complete = response(head, body=b"rubbish")
+        writer.write(is_complete.replace(b"X-Seal: s\r\n", b""))
 
     async def scenario():
-        async with RelayHarness(Endpoint(unsealed)) as harness:
+        async with RelayHarness(ScriptedEndpoint(unsealed)) as harness:
             assert (await harness.ask("once"))[0] == 502
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_unframed_answer_that_is_reset_is_not_whole():
+def test_response_without_a_length_that_is_reset_is_incomplete():
     async def unframed(endpoint, head, writer):
         text = f"HTTP/1.1 200 X\r\nX-Request-Id: {field(head, 'X-Request-Id')}\r\n"
         writer.write(text.encode() + b"X-Seal: s\r\n\r\npart")
@@ -251,17 +256,17 @@
         return False
 
     async def scenario():
-        async with RelayHarness(Endpoint(unframed)) as harness:
+        async with RelayHarness(ScriptedEndpoint(unframed)) as harness:
             assert (await harness.ask("once"))[0] == 502
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_endpoint_is_told_at_once_when_the_caller_leaves():
-    """An endpoint worked on for a caller that was gone.
+def test_endpoint_connection_is_closed_when_the_caller_disconnects():
+    """Guards against an endpoint that keeps running a request of a lost caller.
 
-    Events: a caller sends a request and closes its connection. Cause: nobody read
-    from the caller while the endpoint was waited for.
+    The caller closes its connection after sending a request. The caller's socket was
+    not read while waiting for the endpoint.
     """
 
     async def scenario():
@@ -275,7 +280,7 @@
         async def read_to_end(endpoint, head, writer):
             return await wait(endpoint, head, writer)
 
-        async with RelayHarness(Endpoint(read_to_end), timeout=5.0) as harness:
+        async with RelayHarness(ScriptedEndpoint(read_to_end), timeout=5.0) as harness:
             _, writer = await asyncio.open_connection(
                 "127.0.0.1", harness.server.bound_port
             )
@@ -288,12 +293,12 @@
             await asyncio.sleep(0.1)
             assert harness.fleet.endpoint_by_id["e0"].own_running == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_revoked_or_unknown_key_is_refused():
     async def scenario():
-        endpoint = Endpoint(answer())
+        endpoint = ScriptedEndpoint(answer())
         async with RelayHarness(endpoint, keys={"k1": "org"}) as harness:
             assert (await harness.ask("once", extra=["X-Api-Key: k2"]))[0] == 401
             status, _, _, _ = await harness.ask("once", extra=["X-Api-Key: k1"])
@@ -302,19 +307,19 @@
             assert field(raw, "X-Api-Key") is None
             assert field(raw, "X-Organisation") == "org"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_keys_are_not_trusted_without_the_platforms_word():
-    """A key that had been revoked still worked.
+def test_keys_are_not_trusted_without_a_confirmation():
+    """Guards against requests with a revoked key.
 
-    Symptom: requests with it ran more than five seconds after the operators were
-    told that it was dead. Events: the entry host is cut off from the platform, the
-    key is revoked, its owner goes on. Cause: the host trusted what it last knew.
+    An entry host that is cut off from the platform doesn't see a revocation, and kept
+    trusting the key for more than five seconds after operators were told that it is
+    revoked.
     """
 
     async def scenario():
-        endpoint = Endpoint(answer())
+        endpoint = ScriptedEndpoint(answer())
         async with RelayHarness(
             endpoint, keys={"k1": "org"}, confirmed=False
         ) as harness:
@@ -323,23 +328,21 @@
             assert field(head, "Retry-After") is not None
             assert endpoint.requests == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_host_that_hears_nothing_does_not_say_that_there_is_no_such_thing():
-    """A key that had been accepted 3.96 s before was refused for good, with 401.
+def test_host_with_an_outdated_configuration_refuses_temporarily():
+    """Guards against permanent refusals by a host with an outdated configuration.
 
-    Symptom: 401 from hosts of one failure domain, whose readiness failed in the same
-    seconds; their callers don't come back after it.
-    Events: a configuration with a new key is accepted; the hosts' link is full and
-    they don't read it in time; a caller uses the key.
-    Cause: the age of the platform's word was looked at for keys that are known, not
-    for those that are missing, nor for routes.
-    Evidence: the revision and the age of the word on the refusals' log lines.
+    A key that the platform had accepted 3.96 s before was refused with 401 by hosts
+    of one failure domain, after which callers don't retry. The hosts' link was
+    saturated, so they had not read the configuration yet and were not ready, as
+    shown by the revision and confirmation age in the log of the refusals. That age
+    was checked for known keys only, not for missing keys or routes.
     """
 
     async def scenario():
-        async with RelayHarness(Endpoint(), keys={"k1": "org"}) as harness:
+        async with RelayHarness(ScriptedEndpoint(), keys={"k1": "org"}) as harness:
             for prefix, key, known in (("once", "new", 401), ("new", "k1", 404)):
                 extra = [f"X-Api-Key: {key}"]
                 harness.contact.confirmed_at = monotonic() - 2.5
@@ -349,15 +352,15 @@
                 harness.contact.confirmed_at = monotonic() - 1.5
                 assert (await harness.ask(prefix, extra=extra))[0] == known
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unknown_route_is_not_found():
     async def scenario():
-        async with RelayHarness(Endpoint()) as harness:
+        async with RelayHarness(ScriptedEndpoint()) as harness:
             assert (await harness.ask("nowhere"))[0] == 404
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -372,13 +375,10 @@
     ],
 )
 def test_ambiguous_requests_are_refused(head):
-    """A request was hidden inside another one.
-
-    Cause: two lengths are read differently by different programs.
-    """
+    """Guards against request smuggling: parsers resolve two lengths differently."""
 
     async def scenario():
-        endpoint = Endpoint()
+        endpoint = ScriptedEndpoint()
         async with RelayHarness(endpoint) as harness:
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", harness.server.bound_port
@@ -389,4 +389,4 @@
             assert raw.startswith(b"HTTP/1.1 400 ")
             assert endpoint.requests == []
 
-    play(scenario)
+    run_scenario(scenario)
--- a/hawthornspoke/relay/tests/test_incarnations.py
+++ b/hawthornspoke/relay/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Requests to an endpoint that starts again under its id."""
+"""Requests to an endpoint that restarts under the same id."""
 
 import asyncio
 
@@ -8,29 +8,29 @@
 from hawthornspoke.protocol import EngineState, Frame
 from hawthornspoke.relay._agents import AgentLinks
 from hawthornspoke.relay.tests.endpoint import (
-    Endpoint,
     RelayHarness,
+    ScriptedEndpoint,
     answer,
-    lone_suspects,
-    shed,
+    make_suspects,
+    refuse_as_full,
 )
 
 FIRST = Incarnation(started_ms=1_000_000)
 SECOND = Incarnation(started_ms=1_060_000)
 
 
-def breaks_off(broken):
-    """A step: nothing, until an event is set; then the connection is reset."""
+def reset_when(should_reset):
+    """Return a step that resets the connection once an event is set."""
 
     async def step(endpoint, head, writer):
-        await broken.wait()
+        await should_reset.wait()
         return False
 
     return step
 
 
-def listed(harness, address, incarnation):
-    """Let the platform tell the only endpoint's start."""
+def list_endpoint(harness, address, incarnation):
+    """List the only endpoint with an incarnation."""
     entry = EndpointEntry(
         endpoint_id="e0",
         service="s",
@@ -44,64 +44,65 @@
     harness.fleet.step(EndpointsListed(entries=(entry,)), now=monotonic())
 
 
-def believed(harness):
-    """Return what is believed of the endpoint."""
+def tracked_endpoint(harness):
+    """Return the state of the endpoint in the fleet."""
     return harness.fleet.endpoint_by_id["e0"]
 
 
-def test_request_of_the_earlier_start_ends_after_the_next_one_has_begun():
-    """A new start was avoided, and given more requests than it has slots.
+def test_failure_of_an_earlier_incarnation_does_not_count_for_the_next():
+    """Guards against attributing a failed request to a later incarnation.
 
-    Events: a request runs at an endpoint that loses power; it starts again, the list
-    tells so, and another request runs there; then the first request's connection
-    breaks. Cause: its end was counted for the endpoint, whichever start it was.
+    A request runs at an endpoint that loses power. The endpoint restarts, is listed
+    with its new incarnation and gets another request; then the connection of the
+    first one breaks. Its failure was counted for the endpoint whatever its
+    incarnation: the new one was avoided, and received more requests than it has slots.
     """
 
     async def scenario():
-        broken, answered = asyncio.Event(), asyncio.Event()
+        should_reset, released = asyncio.Event(), asyncio.Event()
 
-        async def answers_later(endpoint, head, writer):
-            await answered.wait()
+        async def answer_when_released(endpoint, head, writer):
+            await released.wait()
             await answer()(endpoint, head, writer)
 
-        endpoint = Endpoint(breaks_off(broken), answers_later)
+        endpoint = ScriptedEndpoint(reset_when(should_reset), answer_when_released)
         async with RelayHarness(endpoint, timeout=2.0) as harness:
-            address = believed(harness).entry.address
-            listed(harness, address, FIRST)
+            address = tracked_endpoint(harness).entry.address
+            list_endpoint(harness, address, FIRST)
             first = asyncio.create_task(harness.ask("once"))
-            await _until(lambda: len(endpoint.requests) == 1)
-            listed(harness, address, SECOND)
+            await _wait_until(lambda: len(endpoint.requests) == 1)
+            list_endpoint(harness, address, SECOND)
             second = asyncio.create_task(harness.ask("once"))
-            await _until(lambda: len(endpoint.requests) == 2)
-            broken.set()
+            await _wait_until(lambda: len(endpoint.requests) == 2)
+            should_reset.set()
             status, _, _, _ = await first
             assert status == 502
-            assert believed(harness).own_running == 1
-            assert believed(harness).failure_rate == 0.0
-            answered.set()
+            assert tracked_endpoint(harness).own_running == 1
+            assert tracked_endpoint(harness).failure_rate == 0.0
+            released.set()
             status, _, _, _ = await second
             assert status == 200
-            assert believed(harness).own_running == 0
+            assert tracked_endpoint(harness).own_running == 0
 
     asyncio.run(scenario())
 
 
-def test_connection_to_the_earlier_start_carries_nothing_to_the_next():
-    """A first request to an endpoint that was back got 502.
+def test_connection_to_an_earlier_incarnation_is_not_reused():
+    """Guards against a 502 for the first request to a restarted endpoint.
 
-    Events: a connection is idle when the endpoint loses power; it starts again under
-    its id. Cause: the connection was kept by the id.
+    A pooled connection is idle when the endpoint loses power and restarts under the
+    same id. Connections were pooled by the id alone.
     """
 
     async def scenario():
-        endpoint = Endpoint(answer(), answer(), answer(), shed())
+        endpoint = ScriptedEndpoint(answer(), answer(), answer(), refuse_as_full())
         async with RelayHarness(endpoint) as harness:
-            address = believed(harness).entry.address
-            listed(harness, address, FIRST)
+            address = tracked_endpoint(harness).entry.address
+            list_endpoint(harness, address, FIRST)
             for _ in range(2):
                 assert (await harness.ask("once"))[0] == 200
             assert harness.pool.opened == 1
-            listed(harness, address, SECOND)
+            list_endpoint(harness, address, SECOND)
             assert (await harness.ask("once"))[0] == 200
             assert harness.pool.opened == 2
             assert (await harness.ask("once"))[0] == 503
@@ -110,8 +111,8 @@
     asyncio.run(scenario())
 
 
-def test_agents_word_carries_the_start_to_the_fleet():
-    """A restart that only the agent had seen was noticed by no entry host."""
+def test_incarnation_reported_by_an_agent_reaches_the_fleet():
+    """Guards against entry hosts that miss a restart seen only by the agent."""
     fleet = Fleet(failure_domain="a")
     entry = EndpointEntry(
         endpoint_id="e0",
@@ -129,15 +130,15 @@
         log=None,
         directive_for=None,
         on_entry_hosts=None,
-        suspects=lone_suspects(fleet),
+        suspects=make_suspects(fleet),
     )
     state = EngineState(running=2, waiting=1, started_ms=SECOND.started_ms)
-    links._take(entry.address, None, Frame(engine_state=state))
+    links._on_frame(entry.address, None, Frame(engine_state=state))
     assert fleet.endpoint_by_id["e0"].incarnation == SECOND
     assert fleet.endpoint_by_id["e0"].load == 3
 
 
-async def _until(condition):
+async def _wait_until(condition):
     async with asyncio.timeout(2.0):
         while not condition():
             await asyncio.sleep(0.01)
--- a/hawthornspoke/relay/tests/test_telling_agents.py
+++ b/hawthornspoke/relay/tests/test_telling_agents.py
@@ -1,4 +1,4 @@
-"""What it costs to tell all agents, and that each hears what matters to it."""
+"""Sending directives to agents: cost, and which agents receive which changes."""
 
 import asyncio
 from types import SimpleNamespace
@@ -12,30 +12,30 @@
 ENDPOINTS = 60
 
 
-class Link:
-    """Takes frames, as an open connection does."""
+class RecordingLink:
+    """Open connection that records the directives sent on it."""
 
     def __init__(self):
-        self.heard = []
+        self.received = []
 
     def send(self, frame):
-        self.heard.append(frame.directive)
+        self.received.append(frame.directive)
         return True
 
     def send_encoded(self, data):
-        self.heard.append(decode(Frame, data[4:]).directive)
+        self.received.append(decode(Frame, data[4:]).directive)
         return True
 
 
-def listed(*, version=1, leaving=False, service="llm", count=ENDPOINTS):
-    """Return the platform's list; only its first endpoint differs."""
+def list_entries(*, version=1, leaving=False, service="llm", count=ENDPOINTS):
+    """Return the platform's list of endpoints; options apply to the first one."""
     entries = [entry(f"e{number}") for number in range(count)]
     first = entry("e0", weights_version=version, leaving=leaving, service=service)
     return [first, *entries[1:]]
 
 
 def connected_sink():
-    """Return the sink of an entry host that reads the platform, and its links."""
+    """Return the sink of a host that reads the platform, and its links to agents."""
     sink = lone_relay().sink
     catalog = SimpleNamespace(
         revision=1,
@@ -46,98 +46,96 @@
         },
     )
     sink._handler._admission.catalog = catalog
-    links = {f"e{number}:1": Link() for number in range(ENDPOINTS)}
+    links = {f"e{number}:1": RecordingLink() for number in range(ENDPOINTS)}
     task = SimpleNamespace(cancel=lambda: None)
     sink.agents._task_by_address.update(dict.fromkeys(links, task))
     sink.agents._link_by_address.update(links)
-    sink.on_entries(listed())
+    sink.on_entries(list_entries())
     return sink, links
 
 
 def count_peers(monkeypatch):
-    """Return a list that grows by each endpoint that is made into a message."""
-    made = []
+    """Return a list that grows with each endpoint encoded into a directive."""
+    constructed = []
     real = PeerEndpoint.__init__
 
     def counting(self, *args, **kwargs):
-        made.append(1)
+        constructed.append(1)
         real(self, *args, **kwargs)
 
     monkeypatch.setattr(PeerEndpoint, "__init__", counting)
-    return made
+    return constructed
 
 
-def test_change_of_one_endpoint_costs_in_step_with_their_number(monkeypatch):
-    """An entry host that reads the platform stands still as a version spreads.
+def test_cost_of_one_changed_endpoint_is_linear(monkeypatch):
+    """Guards against directives that are built per agent instead of per service.
 
-    Symptom: 1.2 s in which it serves nothing for each change of the list, at 960
-    endpoints; 5.5 ms at 60. Sequence: an engine takes up weights and its entry
-    changes; what all agents are told is made for each agent, with a part for each
-    endpoint, and thrown away, since no agent acts on this change. Cause: it was made
-    per agent, though it is the same for all of a service. Figure: 3600 parts at 60
-    endpoints before, 60 after.
+    Each change of the list blocked an entry host for 1.2 s at 960 endpoints, and for
+    5.5 ms at 60, while a version was being loaded. A directive with a part for each
+    endpoint was built for each agent and then discarded, since no agent acts on a
+    loaded version. At 60 endpoints that were 3600 parts; now they are 60.
     """
     sink, links = connected_sink()
     for link in links.values():
-        link.heard.clear()
-    made = count_peers(monkeypatch)
-    sink.on_entries(listed(version=2))
-    assert all(link.heard == [] for link in links.values())
-    assert len(made) <= ENDPOINTS
+        link.received.clear()
+    constructed = count_peers(monkeypatch)
+    sink.on_entries(list_entries(version=2))
+    assert all(link.received == [] for link in links.values())
+    assert len(constructed) <= ENDPOINTS
 
 
-def test_each_agent_hears_who_leaves():
+def test_each_agent_is_sent_leaving_endpoints():
     sink, links = connected_sink()
-    assert all(len(link.heard) == 1 for link in links.values())
-    sink.on_entries(listed(leaving=True))
+    assert all(len(link.received) == 1 for link in links.values())
+    sink.on_entries(list_entries(leaving=True))
     for link in links.values():
-        assert [peer.leaving for peer in link.heard[-1].peers][:2] == [True, False]
-    sink.on_entries(listed())
-    assert all(len(link.heard) == 3 for link in links.values())
-    assert not links["e5:1"].heard[-1].peers[0].leaving
+        assert [peer.leaving for peer in link.received[-1].peers][:2] == [True, False]
+    sink.on_entries(list_entries())
+    assert all(len(link.received) == 3 for link in links.values())
+    assert not links["e5:1"].received[-1].peers[0].leaving
 
 
-def test_agents_of_two_services_hear_of_their_own():
+def test_agents_are_sent_endpoints_of_their_service_only():
     sink, links = connected_sink()
-    sink.on_entries(listed(service="other"))
-    addresses = [peer.address for peer in links["e0:1"].heard[-1].peers]
+    sink.on_entries(list_entries(service="other"))
+    addresses = [peer.address for peer in links["e0:1"].received[-1].peers]
     assert addresses == ["e0:1"]
-    assert len(links["e1:1"].heard[-1].peers) == ENDPOINTS - 1
+    assert len(links["e1:1"].received[-1].peers) == ENDPOINTS - 1
 
 
-def test_agent_that_connects_late_hears_it_too():
+def test_agent_that_connects_later_is_sent_the_directive():
     sink, links = connected_sink()
-    late = Link()
-    sink.agents._told_by_address.pop("e7:1")
-    sink.agents._tell("e7:1", late)
-    assert len(late.heard[0].peers) == ENDPOINTS
+    late = RecordingLink()
+    sink.agents._sent_by_address.pop("e7:1")
+    sink.agents._send_directive("e7:1", late)
+    assert len(late.received[0].peers) == ENDPOINTS
 
 
-def test_agent_whose_endpoint_left_the_list_hears_nothing():
+def test_agent_of_a_removed_endpoint_is_sent_nothing():
     sink, links = connected_sink()
-    sink.on_entries(listed(count=ENDPOINTS - 1))
-    assert len(links[f"e{ENDPOINTS - 1}:1"].heard) == 1
+    sink.on_entries(list_entries(count=ENDPOINTS - 1))
+    assert len(links[f"e{ENDPOINTS - 1}:1"].received) == 1
 
 
-def test_agents_hear_once_whether_their_load_is_wanted():
-    """Agents are told what changes, and one that connects again is told anew."""
+def test_agents_are_sent_changes_of_load_reporting_only():
+    """Only changes are sent to agents."""
     sink, links = connected_sink()
     follows = {address: [] for address in links}
     for address, link in links.items():
         link.send = lambda frame, at=address: follows[at].append(frame.follows)
-    sink.agents.hear_often(frozenset({"e0:1", "e1:1"}))
+    sink.agents.set_followed(frozenset({"e0:1", "e1:1"}))
     assert follows["e0:1"] == []
     assert follows["e2:1"] == [False]
-    sink.agents.hear_often(frozenset({"e1:1", "e2:1"}))
+    sink.agents.set_followed(frozenset({"e1:1", "e2:1"}))
     assert follows["e0:1"] == [False]
     assert follows["e1:1"] == []
     assert follows["e2:1"] == [False, True]
-    sink.agents.hear_often(frozenset({"e1:1", "e2:1"}))
+    sink.agents.set_followed(frozenset({"e1:1", "e2:1"}))
     assert follows["e0:1"] == [False]
 
 
-def test_agents_get_the_failure_domain_before_the_configuration_is_read():
-    """Guards against a host without a configuration that cannot find neighbours."""
+def test_agents_are_sent_the_failure_domain_before_the_configuration():
+    """Guards against a host without a configuration that can't find neighbours."""
 
     async def scenario():
         domains = []
