--- a/hawthornspoke/base/__init__.py
+++ b/hawthornspoke/base/__init__.py
@@ -1,4 +1,4 @@
-"""Building blocks without policy: failures, registries, validation, machines."""
+"""Policy-free building blocks: failures, registries, validation, state machines."""
 
 from hawthornspoke.base._clock import contact_clock, monotonic, wall
 from hawthornspoke.base._digest import digest_of, rendezvous_order
--- a/hawthornspoke/base/_clock.py
+++ b/hawthornspoke/base/_clock.py
@@ -1,4 +1,4 @@
-"""The clocks of a process, in one place so that a test can see every use."""
+"""Clocks of a process, kept in one module so that a test can check every use."""
 
 import time
 
@@ -16,15 +16,17 @@
 
 
 def contact_clock():
-    """Return seconds on a clock that goes on while the host is suspended.
+    """Return seconds on a clock that includes the time a host is suspended.
 
-    A suspended host wakes with the belief of a moment ago, however long that was.
+    A resumed host still holds the state from before the suspension, however long it
+    lasted, so the age of that state can't be measured on the monotonic clock.
 
     Returns
     -------
     float
-        For the age of what was heard, and for deadlines of others, who don't wait
-        longer for a host that was suspended. Event loops' timers are not on it.
+        Used for the age of received information and for deadlines set by other
+        processes, which don't extend them for a suspended host. Event loop timers
+        don't run on this clock.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -35,7 +37,7 @@
     Returns
     -------
     float
-        Only for people to read, in the history of revisions. Nothing is decided
-        by it, since no host's wall clock is trusted by another.
+        Only for display, in the revision history. No decision depends on it, since
+        hosts don't trust each other's wall clocks.
     """
     return time.time()
--- a/hawthornspoke/base/_digest.py
+++ b/hawthornspoke/base/_digest.py
@@ -1,4 +1,4 @@
-"""Content digests, and the order of hosts for a key."""
+"""Content digests and rendezvous hashing."""
 
 import hashlib
 
@@ -6,12 +6,12 @@
 
 
 def digest_of(data):
-    """Return the SHA-256 of some bytes.
+    """Return the SHA-256 digest of some bytes.
 
     Parameters
     ----------
     data : bytes
-        What is to be named by its content.
+        Content to identify.
 
     Returns
     -------
@@ -22,19 +22,21 @@
 
 
 def rendezvous_order(*, key, nodes):
-    """Order nodes for a key, the same on every host that knows the same nodes.
+    """Order nodes for a key by rendezvous hashing.
+
+    The order is the same on every host that knows the same nodes.
 
     Parameters
     ----------
     key : str
-        What the nodes compete for, for example a chunk of weights.
+        Identifies the item to place, for example a chunk of weights.
     nodes : iterable of str
         Names of the candidates.
 
     Returns
     -------
     list of str
-        The nodes, the owner first. Taking one node away moves only its own keys.
+        The nodes, the owner first. Removing a node moves only its own keys.
 
     References
     ----------
--- a/hawthornspoke/base/_failure.py
+++ b/hawthornspoke/base/_failure.py
@@ -1,20 +1,20 @@
-"""Errors as values: sentinels with a reason."""
+"""Errors as return values: sentinels with a reason."""
 
 
 class Failure:
     """A failed outcome, compared by its code.
 
-    Modules define one sentinel per kind of failure and hand out copies that say
-    more with :meth:`because`.
+    Modules define one sentinel per kind of failure and return copies with a specific
+    reason from :meth:`because`.
 
     Parameters
     ----------
     code : str
         Stable name of the kind of failure, in snake case.
     reason : str, default=""
-        What happened, for a person to read.
+        Human-readable description of what happened.
     retry_after : float or None, default=None
-        Seconds after which trying again makes sense, where that is known.
+        Seconds after which a retry makes sense, if known.
 
     Examples
     --------
@@ -31,14 +31,14 @@
         self.retry_after = retry_after
 
     def because(self, reason, *, retry_after=None):
-        """Return the same kind of failure with a reason of its own.
+        """Return a copy of this failure with a specific reason.
 
         Parameters
         ----------
         reason : str
-            What happened this time.
+            Description of this occurrence.
         retry_after : float or None, default=None
-            Seconds, if known.
+            Seconds after which a retry makes sense, if known.
 
         Returns
         -------
@@ -62,12 +62,12 @@
 
 
 def is_failure(outcome):
-    """Tell a failure from a result.
+    """Return whether an outcome is a failure rather than a result.
 
     Parameters
     ----------
     outcome : object
-        What a function returned.
+        Return value of a function.
 
     Returns
     -------
--- a/hawthornspoke/base/_machine.py
+++ b/hawthornspoke/base/_machine.py
@@ -1,4 +1,4 @@
-"""Pure state machines: the shape all decisions share."""
+"""Pure state machines, the common form of all decision logic."""
 
 from hawthornspoke.base._registry import Registry
 from hawthornspoke.base._validation import check_params
@@ -7,24 +7,24 @@
 
 
 class Machine:
-    """Base of the pure decisions.
+    """Base class of pure state machines.
 
-    A machine has no socket, thread or clock. It is fed messages together with
-    the time and answers with outcomes, so a failure replays exactly from a
-    trace of messages. Subclasses list their parameters in ``PARAMS``, store
-    them in a keyword-only constructor, and build their state in ``_reset``.
+    A machine has no socket, thread or clock. It takes messages together with the
+    time and returns outcomes, so a failure can be replayed exactly from a trace of
+    messages. Subclasses list their parameters in ``PARAMS``, store them in a
+    keyword-only constructor, and build their state in ``_reset``.
 
     Notes
     -----
-    Handlers are found by the message's class name in snake case:
-    ``SetLive`` goes to ``on_set_live``.
+    The handler is ``on_`` and the message's class name in snake case: ``SetLive``
+    is handled by ``on_set_live``.
     """
 
     __slots__ = ()
     PARAMS = {}
 
     def step(self, message, *, now):
-        """Take one message.
+        """Process one message.
 
         Parameters
         ----------
@@ -36,18 +36,18 @@
         Returns
         -------
         list
-            Outcomes, in order.
+            Outcomes in order.
         """
         handler = getattr(self, "on_" + _snake(type(message).__name__))
         return handler(message, now=now) or []
 
     def check(self):
-        """Check the parameters.
+        """Validate the parameters.
 
         Raises
         ------
         ValueError
-            If one is out of its bounds.
+            If a parameter is out of bounds.
         """
         check_params(self, self.PARAMS)
 
@@ -61,12 +61,12 @@
         return {name: getattr(self, name) for name in self.PARAMS}
 
     def dump(self, *, now):
-        """Return the state as plain data that JSON can carry.
+        """Return the state as JSON-serializable data.
 
         Parameters
         ----------
         now : float
-            Seconds on the monotonic clock; deadlines are shown relative to it.
+            Seconds on the monotonic clock; deadlines are reported relative to it.
 
         Returns
         -------
@@ -79,7 +79,7 @@
 
 
 def _snake(name):
-    """Return a class name in snake case, remembered: it is on every step."""
+    """Return a class name in snake case, cached since every step needs it."""
     known = _SNAKE_BY_NAME.get(name)
     if known is None:
         parts = ["_" + char.lower() if char.isupper() else char for char in name]
--- a/hawthornspoke/base/_partition.py
+++ b/hawthornspoke/base/_partition.py
@@ -1,14 +1,14 @@
-"""A cut in the network that a test can make inside a process."""
+"""Network partitions that tests simulate inside a process."""
 
 
 class Partition:
-    """Addresses that this process may not send to, by prefix.
+    """Address prefixes that this process may not send to.
 
     Notes
     -----
-    Only for tests, and only where the settings allow it: on loopback there is
-    no switch to pull. Each of the cut processes gets the others' addresses, so
-    that nothing passes either way.
+    Only for tests, and only where the settings allow it: the loopback network has no
+    link to take down. Each of the separated processes gets the others' addresses, so
+    that both directions are blocked.
     """
 
     __slots__ = ("prefixes",)
@@ -17,17 +17,17 @@
         self.prefixes = ()
 
     def set(self, prefixes):
-        """Cut this process off from some addresses.
+        """Set the address prefixes to block.
 
         Parameters
         ----------
         prefixes : iterable of str
-            Empty to heal.
+            Empty to end the partition.
         """
         self.prefixes = tuple(prefixes)
 
     def blocks(self, address):
-        """Tell whether an address is cut off.
+        """Return whether an address is blocked.
 
         Parameters
         ----------
--- a/hawthornspoke/base/_registry.py
+++ b/hawthornspoke/base/_registry.py
@@ -1,13 +1,13 @@
-"""Registries that decorators fill."""
+"""Registries filled by decorators."""
 
 
 class Registry:
-    """Named implementations of one behaviour.
+    """Named implementations of one interface.
 
     Parameters
     ----------
     kind : str
-        What is registered, used in error messages.
+        Kind of the registered items, used in error messages.
 
     Examples
     --------
@@ -30,7 +30,7 @@
         Parameters
         ----------
         name : str
-            The name by which settings and declarations choose it.
+            Name used in settings and declarations.
 
         Returns
         -------
@@ -39,7 +39,7 @@
         Raises
         ------
         ValueError
-            If the name is taken: two plugins with one name are a broken invariant.
+            If the name is already registered; plugin names have to be unique.
         """
 
         def decorate(item):
@@ -51,7 +51,7 @@
         return decorate
 
     def names(self):
-        """Return the registered names, sorted.
+        """Return the registered names in sorted order.
 
         Returns
         -------
@@ -73,7 +73,7 @@
         Raises
         ------
         KeyError
-            If nothing has that name; names come from checked settings.
+            If the name is not registered; callers pass names from validated settings.
         """
         return self._by_name[name]
 
--- a/hawthornspoke/base/_sockets.py
+++ b/hawthornspoke/base/_sockets.py
@@ -1,12 +1,12 @@
-"""A look at a connection without reading from it."""
+"""Checks whether a connection was closed, without consuming data."""
 
 import errno
 import select
 import socket
 
-#: Errors of a look that say nothing of the other side: there is nothing to read, or
-#: the system has no such look.
-NO_WORD = frozenset(
+#: Errors from peeking that don't tell whether the peer closed the connection: no data
+#: is available, or the system doesn't support the call.
+INCONCLUSIVE_ERRNOS = frozenset(
     (
         errno.EACCES,
         errno.EAGAIN,
@@ -20,17 +20,17 @@
 
 
 def has_hung_up(connection):
-    """Tell whether the other side of a connection has closed it.
+    """Return whether the peer has closed a connection.
 
     Parameters
     ----------
     connection : object
-        A socket, or what an event loop shows of one: its ``fileno`` is used.
+        A socket or an event loop's ``TransportSocket``; only its ``fileno`` is used.
 
     Returns
     -------
     bool
-        False also while bytes wait to be read.
+        False also while unread data is available.
     """
     try:
         poller = select.poll()
@@ -39,16 +39,16 @@
             return False
         return _peek(connection.fileno()) == b""
     except OSError as error:
-        return error.errno not in NO_WORD
+        return error.errno not in INCONCLUSIVE_ERRNOS
     except ValueError:
         return True
 
 
 def _peek(descriptor):
-    # A socket of our own on the same descriptor: one that has a timeout waits for
-    # it whatever flags it is given, and an event loop's has no recv at all.
-    view = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
+    # Uses a temporary socket on the same descriptor: recv on a socket with a timeout
+    # waits for data despite MSG_DONTWAIT, and an event loop's socket has no recv.
+    duplicate = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
     try:
-        return view.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        return duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     finally:
-        view.detach()
+        duplicate.detach()
--- a/hawthornspoke/base/_standstill.py
+++ b/hawthornspoke/base/_standstill.py
@@ -1,73 +1,79 @@
-"""From when what an event loop reads may be: it may have waited unread."""
+"""Detection of process stalls, to bound the arrival time of received messages."""
 
 from hawthornspoke.base._clock import contact_clock
 
-#: Seconds between two notes that the loop runs, made each tick, from which the process
-#: counts as having stood still. A busy loop is 0.1 s late; what that adds to an age is
-#: within the margins of bounds.
-LONGEST_PAUSE = 0.3
+#: Seconds between two heartbeats of the event loop, made each tick, from which the
+#: process counts as stalled. A busy loop is up to 0.1 s late; the error that this adds
+#: to an age is within the margins of the bounds.
+STALL_THRESHOLD = 0.3
 
-#: Seconds after waking in which what is read may have waited: the loop takes several
-#: turns to read what came meanwhile.
-CATCHING_UP = 0.5
+#: Seconds after a stall during which received data may have been buffered: the loop
+#: needs several iterations to read what arrived during the stall.
+CATCH_UP_TIME = 0.5
 
 
 class Standstill:
-    """Notices when this process stood still.
+    """Detects stalls of this process.
 
-    A message tells how long ago something was, and waits in the system's buffer while
-    its reader stands still. Counted from when it is read, all that it tells of is
-    younger than it is by that time. One would notice by requests that are sent to
-    old weights beyond their bound, 1.0 s after a process had stood still for 1.0 s.
+    Messages carry the age of the information in them, and stay in the socket buffer
+    while their reader is stalled. An age that is counted from the time of reading is
+    too low by the time spent in the buffer. Without a correction, requests go to
+    outdated weights 1.0 s beyond their bound after a process was stalled for 1.0 s.
 
     Parameters
     ----------
     on_woke : callable
-        Called with the seconds for which the process stood still.
+        Called with the duration of the stall in seconds.
     clock : callable, default=contact_clock
-        Goes on while the host is suspended.
+        Includes the time the host is suspended.
     """
 
-    __slots__ = ("_on_woke", "_clock", "_noted_at", "_stood_since", "_woke_at")
+    __slots__ = (
+        "_on_woke",
+        "_clock",
+        "_last_heartbeat",
+        "_stalled_since",
+        "_resumed_at",
+    )
 
     def __init__(self, *, on_woke, clock=contact_clock):
         self._on_woke = on_woke
         self._clock = clock
-        self._noted_at = clock()
-        self._stood_since = None
-        self._woke_at = float("-inf")
+        self._last_heartbeat = clock()
+        self._stalled_since = None
+        self._resumed_at = float("-inf")
 
     async def run(self, ticks):
-        """Note that the loop runs, until cancelled.
+        """Record a heartbeat on each tick, until cancelled.
 
         Parameters
         ----------
         ticks : Ticks
         """
         while True:
-            self.note()
+            self.record_heartbeat()
             await ticks.next()
 
-    def note(self):
-        """Note that the loop runs now."""
+    def record_heartbeat(self):
+        """Record that the event loop runs now."""
         now = self._clock()
-        if now >= self._noted_at + LONGEST_PAUSE:
-            self._stood_since, self._woke_at = self._noted_at, now
-            self._on_woke(round(now - self._noted_at, 3))
-        self._noted_at = now
+        if now >= self._last_heartbeat + STALL_THRESHOLD:
+            self._stalled_since, self._resumed_at = self._last_heartbeat, now
+            self._on_woke(round(now - self._last_heartbeat, 3))
+        self._last_heartbeat = now
 
     def arrived_after(self):
-        """Return a moment after which what is read now has arrived.
+        """Return a lower bound of the arrival time of data that is read now.
 
         Returns
         -------
         float
-            This one, unless the process has just stood still.
+            The current time, unless the process was stalled just before.
         """
         now = self._clock()
-        if now >= self._noted_at + LONGEST_PAUSE:
-            # On waking the loop reads before its timers tell that it is late.
-            return self._noted_at
-        if now < self._woke_at + CATCHING_UP:
-            return self._stood_since
+        if now >= self._last_heartbeat + STALL_THRESHOLD:
+            # After a stall the loop reads from sockets before its timers run.
+            return self._last_heartbeat
+        if now < self._resumed_at + CATCH_UP_TIME:
+            return self._stalled_since
         return now
--- a/hawthornspoke/base/_ticks.py
+++ b/hawthornspoke/base/_ticks.py
@@ -1,38 +1,39 @@
-"""One timer for all that a process does a few times a second."""
+"""A shared timer for the periodic tasks of a process."""
 
 import asyncio
 
-#: Seconds between two ticks. The shortest that anything here needs: a request has to be
-#: withdrawn 0.4 s before its bound, and loads that entry hosts are told are as old.
-TICK_EVERY = 0.1
+#: Seconds between two ticks, the shortest period that any task needs: a request has to
+#: be withdrawn 0.4 s before its bound, and load reports to entry hosts may be one tick
+#: old.
+TICK_INTERVAL = 0.1
 
 
 class Ticks:
-    """Wakes all that waits for the next tick together.
+    """Wakes all tasks that wait for the next tick at once.
 
-    Each wake of an event loop costs as much as reading a small message. With a timer
-    for each of its periodic tasks an agent with nothing to do woke 88 times a second,
-    as counted in a play; tasks that wait for the same tick wake it once.
+    Each wakeup of an event loop costs as much as reading a small message. With one
+    timer per periodic task, an idle agent woke up 88 times a second in a measurement;
+    tasks that wait for the same tick share one wakeup.
 
     Parameters
     ----------
-    every : float, default=TICK_EVERY
+    every : float, default=TICK_INTERVAL
         Seconds between two ticks.
     """
 
     __slots__ = ("every", "_next")
 
-    def __init__(self, *, every=TICK_EVERY):
+    def __init__(self, *, every=TICK_INTERVAL):
         self.every = every
         self._next = None
 
     async def next(self, count=1):
-        """Wait for the next tick, or for a later one.
+        """Wait for a number of ticks.
 
         Parameters
         ----------
         count : int, default=1
-            Ticks to wait for.
+            Number of ticks to wait for.
         """
         for _ in range(count):
             if self._next is None:
--- a/hawthornspoke/base/_validation.py
+++ b/hawthornspoke/base/_validation.py
@@ -1,8 +1,8 @@
-"""The one helper that checks constructor parameters."""
+"""Validation of constructor parameters."""
 
 
 class Bounds:
-    """Type and range of one parameter.
+    """Accepted type and range of one parameter.
 
     Parameters
     ----------
@@ -11,7 +11,7 @@
     low, high : number or None, default=None
         Inclusive limits; None leaves that side open.
     choices : collection or None, default=None
-        The accepted values, if they are few.
+        Accepted values, if they can be enumerated.
     optional : bool, default=False
         Whether None is accepted.
     """
@@ -26,7 +26,7 @@
         self.optional = optional
 
     def complaint(self, value):
-        """Say what is wrong with a value.
+        """Return an error message for a value that is not accepted.
 
         Parameters
         ----------
@@ -50,7 +50,7 @@
         return None
 
     def describe(self):
-        """Return the accepted values in words.
+        """Return a description of the accepted values.
 
         Returns
         -------
@@ -68,15 +68,15 @@
 
     def _has_kind(self, value):
         kinds = self.kind if isinstance(self.kind, tuple) else (self.kind,)
-        # bool is an int to Python, but "true" where a count belongs is a slip
-        # of the operator that would otherwise pass silently as 1.
+        # bool is a subclass of int, so a mistaken "true" in place of a count would
+        # otherwise be accepted as 1.
         if isinstance(value, bool):
             return bool in kinds
         return isinstance(value, kinds)
 
 
 def check_params(owner, bounds_by_name):
-    """Check an object's stored parameters.
+    """Validate the parameters that an object has stored.
 
     Parameters
     ----------
@@ -87,7 +87,7 @@
     Raises
     ------
     ValueError
-        Naming the class, the parameter, what is accepted and what was given.
+        Names the class, the parameter, the accepted values and the given value.
     """
     for name, bounds in bounds_by_name.items():
         complaint = bounds.complaint(getattr(owner, name))
--- a/hawthornspoke/base/tests/test_sockets.py
+++ b/hawthornspoke/base/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""A look at a connection that nobody has read from since the other side closed."""
+"""Detection of a close by the peer that has not been read yet."""
 
 import asyncio
 import errno
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def pair():
-    """Return both ends of a connection, a close of which arrives soon."""
+    """Return both ends of a loopback connection."""
     listener = socket.create_server(("127.0.0.1", 0))
     near = socket.create_connection(listener.getsockname())
     far, _ = listener.accept()
@@ -23,8 +23,8 @@
         item.close()
 
 
-def arrives():
-    """Give what was sent on loopback time to arrive."""
+def wait_for_delivery():
+    """Wait until data sent on loopback has arrived."""
     time.sleep(0.02)
 
 
@@ -36,7 +36,7 @@
 def test_closed_connection(pair):
     near, far = pair
     far.close()
-    arrives()
+    wait_for_delivery()
     assert has_hung_up(near)
 
 
@@ -44,25 +44,25 @@
     near, far = pair
     far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     far.close()
-    arrives()
+    wait_for_delivery()
     assert has_hung_up(near)
 
 
-def test_connection_that_was_closed_here(pair):
+def test_connection_closed_locally(pair):
     near, _ = pair
     near.close()
     assert has_hung_up(near)
 
 
-def test_bytes_that_wait_stay_there(pair):
+def test_unread_data_is_not_consumed(pair):
     near, far = pair
     far.sendall(b"hi")
-    arrives()
+    wait_for_delivery()
     assert not has_hung_up(near)
     assert near.recv(10) == b"hi"
 
 
-def test_socket_with_a_timeout_is_not_waited_for(pair):
+def test_does_not_block_on_a_socket_with_a_timeout(pair):
     near, _ = pair
     near.settimeout(5.0)
     before = time.monotonic()
@@ -70,19 +70,19 @@
     assert time.monotonic() < before + 1.0
 
 
-def test_what_an_event_loop_shows_of_a_socket(pair):
-    """Its close is seen before the loop has read it, and it stays open here."""
+def test_socket_of_an_event_loop_transport(pair):
+    """A close is detected before the loop reads it; the transport stays open."""
     near, far = pair
 
     async def scenario():
         transport, _ = await asyncio.get_running_loop().create_connection(
             asyncio.Protocol, sock=near
         )
-        shown = transport.get_extra_info("socket")
-        assert not has_hung_up(shown)
+        transport_socket = transport.get_extra_info("socket")
+        assert not has_hung_up(transport_socket)
         far.close()
-        arrives()
-        assert has_hung_up(shown)
+        wait_for_delivery()
+        assert has_hung_up(transport_socket)
         assert not transport.is_closing()
         transport.close()
 
@@ -90,8 +90,8 @@
 
 
 @pytest.mark.parametrize("number", [errno.ENOSYS, errno.EPERM, errno.EINVAL])
-def test_system_without_such_a_look(pair, monkeypatch, number):
-    """Symptom: a host refuses all callers as gone. It only can't tell."""
+def test_system_that_does_not_support_the_check(pair, monkeypatch, number):
+    """An unsupported call must not make a host refuse all callers as disconnected."""
 
     class NoPoll:
         def register(self, connection, events):
--- a/hawthornspoke/base/tests/test_standstill.py
+++ b/hawthornspoke/base/tests/test_standstill.py
@@ -1,14 +1,14 @@
-"""What is read after a process stood still had arrived before."""
+"""Arrival time of messages that are read after a stall of the process."""
 
 import pytest
 
 from hawthornspoke.base import Standstill
-from hawthornspoke.base._standstill import CATCHING_UP, LONGEST_PAUSE
-from hawthornspoke.base._ticks import TICK_EVERY
+from hawthornspoke.base._standstill import CATCH_UP_TIME, STALL_THRESHOLD
+from hawthornspoke.base._ticks import TICK_INTERVAL
 
 
 class Clock:
-    """A clock that is set by hand."""
+    """A clock that tests advance."""
 
     def __init__(self):
         self.now = 10.0
@@ -23,44 +23,44 @@
 
 
 @pytest.fixture
-def woke():
+def stalls():
     return []
 
 
 @pytest.fixture
-def standstill(clock, woke):
-    made = Standstill(on_woke=woke.append, clock=clock)
-    made.note()
-    return made
+def detector(clock, stalls):
+    instance = Standstill(on_woke=stalls.append, clock=clock)
+    instance.record_heartbeat()
+    return instance
 
 
-def test_loop_that_runs_reads_what_has_just_come(standstill, clock):
+def test_running_loop_reads_data_that_has_just_arrived(detector, clock):
     for _ in range(20):
-        clock.now += TICK_EVERY
-        assert standstill.arrived_after() == clock.now
-        standstill.note()
+        clock.now += TICK_INTERVAL
+        assert detector.arrived_after() == clock.now
+        detector.record_heartbeat()
 
 
-def test_what_is_read_first_on_waking_came_after_the_last_note(standstill, clock):
+def test_first_read_after_a_stall_is_dated_to_the_last_heartbeat(detector, clock):
     clock.now += 4.0
-    assert standstill.arrived_after() == 10.0
+    assert detector.arrived_after() == 10.0
 
 
-def test_what_is_read_in_the_next_turns_may_have_waited_too(standstill, clock, woke):
+def test_reads_shortly_after_a_stall_may_have_been_buffered(detector, clock, stalls):
     clock.now += 4.0
-    standstill.note()
-    assert woke == [4.0]
-    clock.now += CATCHING_UP / 2
-    standstill.note()
-    assert standstill.arrived_after() == 10.0
-    clock.now += CATCHING_UP / 2
-    standstill.note()
-    assert standstill.arrived_after() == clock.now
-
-
-def test_busy_loop_has_not_stood_still(standstill, clock, woke):
-    clock.now += LONGEST_PAUSE * 0.9
-    assert standstill.arrived_after() == clock.now
-    standstill.note()
-    assert standstill.arrived_after() == clock.now
-    assert not woke
+    detector.record_heartbeat()
+    assert stalls == [4.0]
+    clock.now += CATCH_UP_TIME / 2
+    detector.record_heartbeat()
+    assert detector.arrived_after() == 10.0
+    clock.now += CATCH_UP_TIME / 2
+    detector.record_heartbeat()
+    assert detector.arrived_after() == clock.now
+
+
+def test_busy_loop_is_not_stalled(detector, clock, stalls):
+    clock.now += STALL_THRESHOLD * 0.9
+    assert detector.arrived_after() == clock.now
+    detector.record_heartbeat()
+    assert detector.arrived_after() == clock.now
+    assert not stalls
--- a/hawthornspoke/base/tests/test_ticks.py
+++ b/hawthornspoke/base/tests/test_ticks.py
@@ -1,49 +1,46 @@
-"""Periodic tasks of one process that wake it together."""
+"""Periodic tasks of one process that share a timer."""
 
 import asyncio
 
 from hawthornspoke.base import Ticks
 
 
-def test_tasks_that_wait_for_a_tick_wake_together():
-    """An agent with nothing to do woke 88 times a second.
-
-    Cause: each of its periodic tasks had a timer of its own.
-    """
+def test_tasks_that_wait_for_a_tick_share_one_wakeup():
+    """With one timer per periodic task, an idle agent woke up 88 times a second."""
 
     async def scenario():
         ticks = Ticks(every=0.02)
         loop = asyncio.get_running_loop()
         timers = []
-        real = loop.call_later
+        original_call_later = loop.call_later
 
-        def counting(delay, *args, **kwargs):
+        def counting_call_later(delay, *args, **kwargs):
             timers.append(delay)
-            return real(delay, *args, **kwargs)
+            return original_call_later(delay, *args, **kwargs)
 
-        loop.call_later = counting
-        done = []
+        loop.call_later = counting_call_later
+        wakeups = []
 
-        async def work(name):
+        async def periodic_task(name):
             for _ in range(3):
                 await ticks.next()
-                done.append(name)
+                wakeups.append(name)
 
-        await asyncio.gather(*(work(name) for name in "abc"))
-        assert sorted(done[:3]) == sorted(done[3:6]) == ["a", "b", "c"]
+        await asyncio.gather(*(periodic_task(name) for name in "abc"))
+        assert sorted(wakeups[:3]) == sorted(wakeups[3:6]) == ["a", "b", "c"]
         assert len(timers) == 3
 
     asyncio.run(scenario())
 
 
-def test_task_that_is_cancelled_takes_no_tick_from_the_others():
+def test_cancelled_task_does_not_affect_other_waiters():
     async def scenario():
         ticks = Ticks(every=0.02)
-        leaving = asyncio.create_task(ticks.next())
-        staying = asyncio.create_task(ticks.next(2))
+        cancelled = asyncio.create_task(ticks.next())
+        other = asyncio.create_task(ticks.next(2))
         await asyncio.sleep(0)
-        leaving.cancel()
+        cancelled.cancel()
         async with asyncio.timeout(1.0):
-            await staying
+            await other
 
     asyncio.run(scenario())
