--- a/hawthornspoke/catalog/__init__.py
+++ b/hawthornspoke/catalog/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration and endpoints as the product sees them, whatever the platform."""
+"""Platform-independent model of the configuration and the endpoints."""
 
 from hawthornspoke.catalog._declared import (
     FIRST_VERSION,
--- a/hawthornspoke/catalog/_declared.py
+++ b/hawthornspoke/catalog/_declared.py
@@ -1,54 +1,54 @@
-"""Which versions of a model may answer."""
+"""Declared weight versions and the time until which older ones may answer."""
 
-#: Declarations of one model that are remembered; older ones bind no longer than
-#: the newest of them does.
-KEPT = 4
+#: Declarations kept per model. Older ones have no effect once the newest is mandatory.
+MAX_DECLARATIONS = 4
 
-#: Version of weights before any is declared.
+#: Version of the weights before any is declared.
 FIRST_VERSION = 1
 
-#: The moment of a declaration of which nothing is known but that it was made.
+#: Time of a declaration whose time is not known.
 UNKNOWN = float("-inf")
 
-#: Seconds before a bound from which older weights come second to newer ones, and from
-#: which none are taken up that end then. A request that is sent begins later: 0.84 s
-#: were seen, 0.18 s of them on a link full of pieces and the rest in the engine.
+#: Seconds before the bound from which newer weights are preferred to older ones, and
+#: from which weights that expire at that bound are no longer loaded. A request begins
+#: later than it is sent: up to 0.84 s were measured, 0.18 s of them on a link saturated
+#: with pieces and the rest in the engine.
 SEND_MARGIN = 0.95
 
 
-class _Declared:
+class _Declaration:
     """A declared version.
 
-    ``since`` is a moment before which it was not declared, by the platform's word or
-    that of agents; ``made_by`` is a moment at which it was, as somebody had heard of
-    it. ``is_told`` is whether the platform told it, or agents only.
+    ``not_before`` is a lower bound of the time of the declaration, from the platform
+    or from agents; ``not_after`` is an upper bound, the time of the first report of
+    it. ``is_from_platform`` is False if only agents reported it.
     """
 
-    __slots__ = ("version", "since", "made_by", "is_told")
+    __slots__ = ("version", "not_before", "not_after", "is_from_platform")
 
-    def __init__(self, *, version, is_told):
+    def __init__(self, *, version, is_from_platform):
         self.version = version
-        self.since = UNKNOWN
-        self.made_by = float("inf")
-        self.is_told = is_told
+        self.not_before = UNKNOWN
+        self.not_after = float("inf")
+        self.is_from_platform = is_from_platform
 
-    def date(self, at):
-        # Of true moments the latest tells most, whoever told it: a host that the
-        # platform did not answer for a while knows only an early one. One behind the
-        # first word of the version is false: its sender stood still in between, or
-        # took the platform to have been away for all.
-        if at <= self.made_by:
-            self.since = max(self.since, at)
+    def raise_lower_bound(self, at):
+        # The latest lower bound is the tightest, whatever its source: a host that the
+        # platform did not answer for a while knows only an early one. A lower bound
+        # after the first report of the version is wrong: its sender was stalled in
+        # between, or assumed that the platform was unreachable for every host.
+        if at <= self.not_after:
+            self.not_before = max(self.not_before, at)
 
 
 class DeclaredVersions:
-    """Declared versions by model, and the earliest moment of each declaration.
+    """Declared versions by model, with the earliest possible time of each declaration.
 
-    A version binds a fixed time after its declaration was accepted. A process that
-    counts from the moment at which it learns of one grants itself the time that the
-    news took, and all of it anew when it starts again. So each declaration has a
-    moment before which it can't have been made, and one whose moment is unknown
-    binds at once.
+    A declared version becomes mandatory a fixed time after its declaration was
+    accepted. A process that counted from when it learned of the declaration would
+    extend the bound by the propagation delay, and by the whole bound after a restart.
+    So each declaration has a lower bound of its time, and one whose time is unknown is
+    mandatory at once.
     """
 
     __slots__ = ("_declared_by_model",)
@@ -57,148 +57,165 @@
         self._declared_by_model = {}
 
     def add(self, declared, *, at, known_until=UNKNOWN, heard_by=float("inf")):
-        """Take a declaration; one that is known or older changes nothing but its time.
+        """Add a declaration from the platform.
 
-        A process that was away may have missed a version in between, and what is
-        older than that one is too old sooner than the newest declaration tells: a
-        host that started 1 s after the second of two sent requests to weights that
-        both had replaced, 3.6 s beyond their bound. So the version before it is
-        taken to have been declared as well, at the earliest possible moment.
+        A known version only has its time updated; an older one is ignored.
+
+        A process that was disconnected may have missed a version in between, and the
+        versions older than the missed one expire sooner than the newest declaration
+        implies: a host that started 1 s after the second of two declarations sent
+        requests to weights that both had replaced, 3.6 s beyond their bound. So the
+        previous version is assumed to have been declared as well, at the earliest
+        possible time.
 
         Parameters
         ----------
         declared : DeclaredWeights
         at : float
-            A moment before which it was not declared, ``UNKNOWN`` if there is none.
+            Lower bound of the time of the declaration, ``UNKNOWN`` if there is none.
         known_until : float, default=UNKNOWN
-            A moment until which all declarations were known.
+            Time until which all declarations were known.
         heard_by : float, default=inf
-            A moment at which this word of it was here.
+            Time at which this report had been received.
 
         Returns
         -------
         bool
-            Whether it was new.
+            Whether the declaration was new.
         """
-        known = self._declared_by_model.setdefault(declared.model, [])
-        last = max((item.version for item in known if item.is_told), default=0)
+        declarations = self._declared_by_model.setdefault(declared.model, [])
+        last = max(
+            (item.version for item in declarations if item.is_from_platform), default=0
+        )
         if declared.version < max(last, FIRST_VERSION):
             return False
-        item = _find(known, declared.version)
-        is_new = item is None or not item.is_told
+        item = _find(declarations, declared.version)
+        is_new = item is None or not item.is_from_platform
         if item is None:
-            before = max((other.version for other in known), default=FIRST_VERSION - 1)
-            if before < declared.version - 1:
-                missed = _Declared(version=declared.version - 1, is_told=True)
-                missed.date(min(at, known_until))
-                known.append(missed)
-            item = _Declared(version=declared.version, is_told=True)
-            known.append(item)
-            known.sort(key=lambda other: other.version)
-            del known[:-KEPT]
-        item.is_told = True
-        item.date(at)
-        item.made_by = min(item.made_by, heard_by)
+            previous = max(
+                (other.version for other in declarations), default=FIRST_VERSION - 1
+            )
+            if previous < declared.version - 1:
+                missed = _Declaration(
+                    version=declared.version - 1, is_from_platform=True
+                )
+                missed.raise_lower_bound(min(at, known_until))
+                declarations.append(missed)
+            item = _Declaration(version=declared.version, is_from_platform=True)
+            declarations.append(item)
+            declarations.sort(key=lambda other: other.version)
+            del declarations[:-MAX_DECLARATIONS]
+        item.is_from_platform = True
+        item.raise_lower_bound(at)
+        item.not_after = min(item.not_after, heard_by)
         return is_new
 
     def hear(self, model, version, *, at, heard_by=float("inf")):
-        """Take an agent's word of a moment before which a version was not declared.
+        """Add an agent's lower bound of the time at which a version was declared.
 
-        Each agent's word is such a moment, so the latest tells most: that of a host
-        which was cut off for long is true as well, and of no use.
+        Every agent reports a valid lower bound, so the latest is the tightest; that of
+        a host that was partitioned for long is valid too, but of no use.
 
-        A version that the platform has not told yet binds as well. A host that is
-        turned away would otherwise send to old weights until it returns, and then
-        date the version from its return, in a test 8.5 s too late.
+        A version that the platform has not reported yet is mandatory as well. A host
+        that the platform refuses would otherwise send to outdated weights until it is
+        served again, and then date the version from that time, 8.5 s too late in a
+        test.
 
         Parameters
         ----------
         model : str
         version : int
         at : float
+            Lower bound of the time of the declaration.
         heard_by : float, default=inf
-            A moment at which this word was here.
+            Time at which this report had been received.
         """
-        known = self._declared_by_model.setdefault(model, [])
-        item = _find(known, version)
+        declarations = self._declared_by_model.setdefault(model, [])
+        item = _find(declarations, version)
         if item is None:
-            if known and version < known[-1].version:
+            if declarations and version < declarations[-1].version:
                 return
-            item = _Declared(version=version, is_told=False)
-            known.append(item)
-            del known[:-KEPT]
-        item.date(at)
-        item.made_by = min(item.made_by, heard_by)
+            item = _Declaration(version=version, is_from_platform=False)
+            declarations.append(item)
+            del declarations[:-MAX_DECLARATIONS]
+        item.raise_lower_bound(at)
+        item.not_after = min(item.not_after, heard_by)
 
     def dated(self, model, *, youngest):
-        """Return the versions that were declared after a moment.
+        """Return the versions that were declared after a given time.
 
         Parameters
         ----------
         model : str
         youngest : float
+            Earliest time of the returned declarations.
 
         Returns
         -------
         list of (int, float)
-            Version and moment; those of unknown age are left out.
+            Version and lower bound of its time; versions of unknown time are omitted.
         """
         return [
-            (item.version, item.since)
+            (item.version, item.not_before)
             for item in self._declared_by_model.get(model, ())
-            if item.since >= youngest and item.since != UNKNOWN
+            if item.not_before >= youngest and item.not_before != UNKNOWN
         ]
 
     def latest(self, model):
-        """Return the newest version that the platform told, None if there is none."""
-        newest = self._newest_told(model)
+        """Return the newest version reported by the platform, None if there is none."""
+        newest = self._newest_from_platform(model)
         return None if newest is None else newest.version
 
     def since(self, model):
-        """Return the moment of that version's declaration, ``UNKNOWN`` if it is."""
-        newest = self._newest_told(model)
-        return UNKNOWN if newest is None else newest.since
+        """Return the declaration time of that version, or ``UNKNOWN``."""
+        newest = self._newest_from_platform(model)
+        return UNKNOWN if newest is None else newest.not_before
 
     def too_old_at(self, model, version, *, bound):
-        """Return from when a version may no longer begin to answer.
+        """Return the time from which a version may no longer begin to answer.
 
         Parameters
         ----------
         model : str
         version : int
         bound : float
+            Seconds from the declaration of a newer version.
 
         Returns
         -------
         float or None
-            None if no newer one is declared.
+            None if no newer version is declared.
         """
-        newer = [
-            item.since + bound
+        deadlines = [
+            item.not_before + bound
             for item in self._declared_by_model.get(model, ())
             if item.version > version
         ]
-        return min(newer, default=None)
+        return min(deadlines, default=None)
 
-    def _newest_told(self, model):
-        told = [item for item in self._declared_by_model.get(model, ()) if item.is_told]
-        return told[-1] if told else None
+    def _newest_from_platform(self, model):
+        reported = [
+            item
+            for item in self._declared_by_model.get(model, ())
+            if item.is_from_platform
+        ]
+        return reported[-1] if reported else None
 
     def dump(self, *, now):
         """Return the state as plain data."""
         return {
             model: [
-                {"version": item.version, "age": age_of(item.since, now)}
-                for item in known
+                {"version": item.version, "age": age_of(item.not_before, now)}
+                for item in declarations
             ]
-            for model, known in self._declared_by_model.items()
+            for model, declarations in self._declared_by_model.items()
         }
 
 
-def _find(known, version):
-    return next((item for item in known if item.version == version), None)
+def _find(declarations, version):
+    return next((item for item in declarations if item.version == version), None)
 
 
-def age_of(moment, now):
+def age_of(declared_at, now):
     """Return the age of a declaration in seconds, None if it is unknown."""
-    return None if moment == UNKNOWN else round(now - moment, 3)
+    return None if declared_at == UNKNOWN else round(now - declared_at, 3)
--- a/hawthornspoke/catalog/_incarnation.py
+++ b/hawthornspoke/catalog/_incarnation.py
@@ -1,52 +1,52 @@
-"""Which start of an endpoint a word is about."""
+"""Incarnations of endpoints: which start a report refers to."""
 
 from dataclasses import dataclass
 
-#: The first number that doesn't fit the messages between hosts.
-TOO_LARGE = 2**63
+#: Smallest value that doesn't fit an i64 field of the messages between hosts.
+STARTED_MS_LIMIT = 2**63
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Incarnation:
-    """One start of an endpoint; its id may be that of an earlier one.
+    """One start of an endpoint, whose id may be that of an earlier incarnation.
 
-    Two of them can be told apart, but not put in order: the clock that told the
-    time of the later start may have been put back in between.
+    Incarnations can be distinguished but not ordered, since the wall clock may have
+    been set back between two starts.
 
     Parameters
     ----------
     started_ms : int or None, default=None
-        Unix milliseconds of the start, None if nobody told.
+        Start time in Unix milliseconds, None if unknown.
     """
 
     started_ms: int | None = None
 
     @classmethod
     def told(cls, value):
-        """Return the start that a message tells.
+        """Return the incarnation given by a field of a message.
 
         Parameters
         ----------
         value : object
-            Unix milliseconds. Anything but a whole number is an unknown start: an
-            endpoint of which only this is wrong can be used all the same.
+            Unix milliseconds. Anything but an integer in range gives an unknown
+            incarnation, as an endpoint whose other fields are valid can still be used.
 
         Returns
         -------
         Incarnation
         """
         is_number = isinstance(value, int) and not isinstance(value, bool)
-        if not is_number or not 0 <= value < TOO_LARGE:
+        if not is_number or not 0 <= value < STARTED_MS_LIMIT:
             return UNKNOWN_START
         return cls(started_ms=value)
 
     @property
     def is_known(self):
-        """Whether anybody told it."""
+        """Whether the start time is known."""
         return self.started_ms is not None
 
     def differs_from(self, other):
-        """Tell whether two words are about different starts for sure.
+        """Return whether two incarnations are known to be different.
 
         Parameters
         ----------
@@ -55,10 +55,10 @@
         Returns
         -------
         bool
-            False if one of them is unknown: then nothing tells of another start.
+            False if either is unknown.
         """
         return self.is_known and other.is_known and self != other
 
 
-#: Nobody told which start it is.
+#: The incarnation of an endpoint whose start time is not known.
 UNKNOWN_START = Incarnation()
--- a/hawthornspoke/catalog/_table.py
+++ b/hawthornspoke/catalog/_table.py
@@ -1,4 +1,4 @@
-"""Finding a request's route."""
+"""Route lookup."""
 
 import xxhash
 
@@ -6,7 +6,7 @@
 
 
 class RouteTable:
-    """Routes by host, the longest prefix first.
+    """Finds routes by host and longest path prefix.
 
     Parameters
     ----------
@@ -27,9 +27,9 @@
         Parameters
         ----------
         host : str
-            The request's Host field.
+            Value of the Host header.
         target : str
-            Path and query as they stand on the request line.
+            Request target: path and query as on the request line.
 
         Returns
         -------
@@ -40,8 +40,8 @@
             return None
         path = target.partition("?")[0]
         end = len(path)
-        # Prefixes end in a slash, so only as many as the path has are looked up;
-        # a walk over all routes would grow with a configuration of hundreds.
+        # Prefixes end in a slash, so there is one lookup per slash in the path. A scan
+        # of all routes would take time linear in their number, which can be hundreds.
         while (end := path.rfind("/", 0, end)) >= 0:
             route = by_prefix.get(path[: end + 1])
             if route is not None:
@@ -50,17 +50,18 @@
 
 
 def choose_share(route, key):
-    """Choose the service that serves a request.
+    """Choose the service for a request by weighted hashing.
 
     Parameters
     ----------
     route : Route
     key : str
-        The request's id: one request always gets the same service.
+        Request id; the same id always maps to the same service.
 
     Returns
     -------
     str
+        Name of the service.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
--- a/hawthornspoke/catalog/_types.py
+++ b/hawthornspoke/catalog/_types.py
@@ -1,40 +1,40 @@
-"""What is declared and what is there, as an adapter hands it to the product."""
+"""Configuration and endpoint types that platform adapters produce."""
 
 from dataclasses import dataclass, field
 
 from hawthornspoke.catalog._incarnation import UNKNOWN_START, Incarnation
 
-#: Kinds of repetition that a route allows.
+#: Kinds of routes, by whether and how a request may be repeated.
 IDEMPOTENT = "idempotent"
 AT_MOST_ONCE = "at_most_once"
 STREAM = "stream"
 
 
-#: Seconds that callers of streams wait for an event at the least.
-LEAST_EVENT_PATIENCE = 2.0
+#: Minimum time, in seconds, that callers wait for the next event of a stream.
+MIN_EVENT_TIMEOUT = 2.0
 
 
-def event_patience(*, objective, pause):
-    """Return how long callers of a stream wait for an event before they leave.
+def event_patience(*, objective, max_event_interval):
+    """Return the time that callers of a stream wait for an event before they give up.
 
     Parameters
     ----------
     objective : float
-        Seconds until the first event with which a stream is on time.
-    pause : float
-        Seconds between two events with which it still is.
+        Target time to the first event, in seconds.
+    max_event_interval : float
+        Target time between two events, in seconds.
 
     Returns
     -------
     float
         Seconds.
     """
-    return max(LEAST_EVENT_PATIENCE, 4 * objective, 8 * pause)
+    return max(MIN_EVENT_TIMEOUT, 4 * objective, 8 * max_event_interval)
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Share:
-    """One part of a route's traffic.
+    """A service's share of a route's traffic.
 
     Parameters
     ----------
@@ -49,32 +49,32 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Route:
-    """How requests of one host and path prefix are served.
+    """Routing rule for one host and path prefix.
 
     Parameters
     ----------
     name : str
     host : str
-        Lower case, without a port.
+        Lower case, without port.
     prefix : str
-        Begins and ends with a slash.
+        Path prefix; begins and ends with a slash.
     kind : str
         ``IDEMPOTENT``, ``AT_MOST_ONCE`` or ``STREAM``.
     shares : tuple of Share
     timeout : float
-        Seconds that a caller may be kept waiting.
+        Maximum duration of a request in seconds.
     objective : float
-        Seconds within which an answer (a stream's first event) is on time.
+        Latency target in seconds, for the response or the first event of a stream.
     attempts : int
-        Endpoints that one request may be sent to.
+        Maximum number of endpoints that one request is sent to.
     priority : int
-        0 goes first.
+        0 is the highest.
     public : bool
-        Whether no key is needed.
+        Whether requests need no API key.
     resumable : bool
-        Whether a stream may go on at another endpoint after its last event.
+        Whether a stream may continue at another endpoint after its last event.
     event_patience : float or None
-        Seconds that callers wait for a stream's next event before they leave.
+        Seconds that callers wait for the next event of a stream before they give up.
     """
 
     name: str
@@ -92,34 +92,38 @@
 
     @property
     def repeatable(self):
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind == IDEMPOTENT or (self.kind == STREAM and self.resumable)
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EngineProfile:
-    """Speed and weights of the engines of one service.
+    """Performance and weight layout of the engines of one service.
 
     Parameters
     ----------
     model : str
     slots : int
-        Requests that an engine runs at once.
+        Maximum number of requests that an engine runs concurrently.
     step : float
-        Seconds for one token of every running request.
+        Base duration, in seconds, of a decode step, which produces one token for each
+        running request.
     step_per_request : float
-        Seconds that each running request adds to a step.
+        Seconds that each running request adds to a decode step.
     steps_per_pass : int
-        Steps between two points at which waiting prompts are read.
+        Decode steps between two prefills of waiting prompts.
     read_rate : float
-        Prompt tokens a second.
+        Prefill rate in prompt tokens per second.
     usual_prompt, usual_answer : float
-        Mean number of tokens.
+        Mean number of tokens of a prompt and of an answer.
     layers : int
+        Number of layers of the model.
     pieces : int
+        Number of pieces of the weights.
     piece_bytes : int
+        Size of a piece.
     load_time : float
-        Seconds that an engine needs to take up all layers of staged weights.
+        Seconds that an engine needs to load all layers of staged weights.
     """
 
     model: str
@@ -138,36 +142,38 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Service:
-    """A set of endpoints that answer alike.
+    """A set of interchangeable endpoints.
 
     Parameters
     ----------
     name : str
-    most_connections : int or None
-        That one endpoint accepts from all callers together.
+    max_connections : int or None
+        Maximum number of connections that one endpoint accepts in total.
     engine : EngineProfile or None
-        None for a plain service.
+        None for a service without inference engines.
     origin : str or None
         ``IP:PORT`` if this service is the origin of weights.
     """
 
     name: str
-    most_connections: int | None = None
+    max_connections: int | None = None
     engine: EngineProfile | None = None
     origin: str | None = None
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class CallerLimits:
-    """What callers may send, and how long they may take.
+    """Size and time limits for callers.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
+        Maximum size of a request's headers and body.
     header_time : float
-        Seconds from a request's first byte to the end of its headers.
+        Maximum time, in seconds, from the first byte of a request to the end of its
+        headers.
     idle_time : float
-        Seconds that a connection may be open without a request.
+        Maximum time, in seconds, that a connection may be open without a request.
     """
 
     header_bytes: int = 16384
@@ -178,13 +184,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Organisation:
-    """Whose requests these are.
+    """The owner of API keys.
 
     Parameters
     ----------
     name : str
     priority : int or None
-        Goes before the route's priority, if there is one.
+        Overrides the priority of the route, unless None.
     """
 
     name: str
@@ -193,7 +199,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Catalog:
-    """One accepted configuration, whole.
+    """A complete accepted configuration.
 
     Parameters
     ----------
@@ -201,7 +207,7 @@
     routes : tuple of Route
     service_by_name : dict of str to Service
     organisation_by_key : dict of str to Organisation
-        Empty if requests need no key.
+        Organisations by API key; empty if requests need no key.
     limits : CallerLimits
     """
 
@@ -214,25 +220,26 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EndpointEntry:
-    """An endpoint as the platform's list tells it, some time after the fact.
+    """An endpoint as listed by the platform, with some delay.
 
     Parameters
     ----------
     endpoint_id : str
-        The endpoint may start again under it.
+        Stays the same when the endpoint restarts.
     service : str
     address : str
         ``IP:PORT``.
     failure_domain : str
     slots : int
     leaving : bool
-        It still serves what it has, and takes nothing new soon.
+        Whether the endpoint is draining: it finishes its requests and will accept no
+        new ones.
     weights_version : int or None
-        Of the weights it holds, None if none.
+        Version of the loaded weights, None if there are none.
     layers : tuple of (int, int) or None
-        First layer held, and the one after the last.
+        Half-open range of the loaded layers.
     incarnation : Incarnation
-        The start that all of this is about.
+        The incarnation that this entry describes.
     """
 
     endpoint_id: str
@@ -247,13 +254,13 @@
 
     @property
     def ip(self):
-        """The address without its port."""
+        """The address without the port."""
         return self.address.rpartition(":")[0]
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class DeclaredWeights:
-    """The version of a model's weights that is to be in place.
+    """The version of a model's weights that is to be deployed.
 
     Parameters
     ----------
--- a/hawthornspoke/catalog/tests/profiles.py
+++ b/hawthornspoke/catalog/tests/profiles.py
@@ -4,12 +4,12 @@
 
 
 def engine_profile(**changes):
-    """Return the profile of a small engine, with changes.
+    """Return the profile of a small engine.
 
     Parameters
     ----------
     **changes
-        Fields of EngineProfile that matter to the test.
+        Fields of EngineProfile that override the defaults.
 
     Returns
     -------
--- a/hawthornspoke/catalog/tests/test_table.py
+++ b/hawthornspoke/catalog/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Finding routes, and shares of a split route."""
+"""Route lookup and traffic shares of a split route."""
 
 from collections import Counter
 
@@ -6,7 +6,7 @@
 
 
 def route(name, host, prefix, *shares):
-    """Return a route to one service, or to several."""
+    """Return a route to one or several services."""
     return Route(
         name=name,
         host=host,
@@ -30,8 +30,8 @@
     )
 
     def find(host, target):
-        found = table.find(host=host, target=target)
-        return found and found.name
+        result = table.find(host=host, target=target)
+        return result and result.name
 
     assert find("a.example", "/x/y/z/1?q=/x/") == "long"
     assert find("A.example:8080", "/x/z") == "short"
@@ -40,12 +40,12 @@
     assert find("", "*") is None
 
 
-def test_root_prefix_matches_all():
+def test_root_prefix_matches_every_path():
     table = RouteTable(routes=[route("root", "a.example", "/")])
     assert table.find(host="a.example", target="/anything").name == "root"
 
 
-def test_shares_are_met_and_one_request_keeps_its_service():
+def test_traffic_follows_shares_and_a_request_keeps_its_service():
     split = route(
         "r",
         "a.example",
@@ -54,6 +54,6 @@
         Share(service="new", weight=20),
     )
     keys = [f"id-{number}" for number in range(2000)]
-    count = Counter(choose_share(split, key) for key in keys)
-    assert 300 < count["new"] < 500
+    count_by_service = Counter(choose_share(split, key) for key in keys)
+    assert 300 < count_by_service["new"] < 500
     assert all(choose_share(split, key) == choose_share(split, key) for key in keys)
