--- a/hawthornspoke/revision/__init__.py
+++ b/hawthornspoke/revision/__init__.py
@@ -1,4 +1,4 @@
-"""Which configuration is in force on a node: only ever upwards."""
+"""Selection of the active configuration revision of a node, which never decreases."""
 
 from hawthornspoke.revision._holder import (
     DocumentRead,
--- a/hawthornspoke/revision/_holder.py
+++ b/hawthornspoke/revision/_holder.py
@@ -1,4 +1,4 @@
-"""The revision a node acts on."""
+"""State machine that selects the active configuration revision of a node."""
 
 from dataclasses import dataclass
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Heard:
-    """A peer's message named a revision and its document.
+    """A message from a peer carried a revision and the digest of its document.
 
     Parameters
     ----------
     revision : int
     digest : str
-        Of the document; empty if the peer did not say.
+        Digest of the document; empty if the peer did not send it.
     source : str
-        The peer's node name, from which the document may be had.
+        Node name of the peer, from which the document can be fetched.
     """
 
     revision: int
@@ -25,15 +25,15 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class TableRead:
-    """The table's row was read.
+    """The configuration row of the table was read.
 
     Parameters
     ----------
     revision : int
-        0 if nothing was ever accepted.
+        0 if no revision was ever accepted.
     digest : str
     contact_asked_at : float, default=-inf
-        When it was asked for, on the clock that goes on while the host is suspended.
+        Time of the read request, on the clock that includes suspend time.
     """
 
     revision: int
@@ -43,13 +43,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class DocumentRead:
-    """A document arrived, already checked against its digest.
+    """A fetch ended; the document was already verified against its digest.
 
     Parameters
     ----------
     digest : str
     document : dict or None
-        None if it could not be had this time.
+        None if the fetch failed.
     """
 
     digest: str
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class FetchDocument:
-    """Get a document, from a peer if one is named, else from the object store."""
+    """Fetch a document from the peer ``source`` or, if empty, from the object store."""
 
     revision: int
     digest: str
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class InForce:
-    """From now on the node acts on this document."""
+    """A document became the active configuration of the node."""
 
     revision: int
     digest: str
@@ -76,31 +76,30 @@
 
 @MACHINES.register("revision_holder")
 class RevisionHolder(Machine):
-    """Holds the highest revision whose document has arrived.
+    """Holds the highest revision whose document has been received.
 
     Parameters
     ----------
     start_grace : float, default=3.0
-        Seconds after the first message for which a node that has not read the
-        table waits for peers before it trusts them alone.
+        Seconds after the first message during which a node that has not read the table
+        waits for more peers before it relies on peers alone.
 
     Notes
     -----
-    What would go wrong: a restarted node whose first source is a peer that was
-    cut off and is behind would answer by a configuration that callers have
-    already seen replaced. So a lower revision is never taken, whatever its
-    source, and :meth:`confirmed` stays false until the table was read or the
-    grace has passed, in which the best of all peers has been heard.
-
-    A node that is cut off goes on by what it holds. But what it doesn't find there
-    may have been added since, so :meth:`may_deny` asks for the age of the table's
-    word each time.
-
-    The highest revision *heard* rides on every message the node sends, even
-    before its document is here: a peer then learns of it from any message.
-    This is the "causal" middle level of the related paper: after a node has
-    seen revision R, whoever it talks to acts on R or later as soon as the
-    document can be had.
+    A restarted node may first hear from a peer that was partitioned and holds an
+    outdated configuration; using it would serve callers a configuration that they have
+    already seen replaced. So a lower revision is never accepted, whatever its source,
+    and :meth:`confirmed` stays false until the table was read or the grace period has
+    passed, in which the most recent of all peers has been heard.
+
+    A partitioned node continues with the configuration that it holds. Entries missing
+    from it may have been added since, so :meth:`may_deny` checks the time of the last
+    table read on each call.
+
+    Every message that the node sends carries the highest revision *heard*, even before
+    its document is received, so that peers learn of it from any message. This is the
+    "causal" middle level of the related paper: after a node has seen revision R, every
+    node that it sends to uses R or later as soon as the document can be fetched.
 
     References
     ----------
@@ -135,7 +134,7 @@
         self._grace_deadline = None
 
     def on_heard(self, message, *, now):
-        """Take a revision named by a peer.
+        """Process a revision sent by a peer.
 
         Parameters
         ----------
@@ -146,14 +145,14 @@
         -------
         list of FetchDocument
         """
-        self._start_clock(now)
+        self._start_grace_period(now)
         if message.revision < self.revision:
             self.refused_lower += 1
             return []
         return self._consider(message.revision, message.digest, message.source)
 
     def on_table_read(self, message, *, now):
-        """Take the row of the table.
+        """Process the row read from the table.
 
         Parameters
         ----------
@@ -164,17 +163,17 @@
         -------
         list of FetchDocument
         """
-        self._start_clock(now)
+        self._start_grace_period(now)
         self._confirmed = True
         if message.revision < self.revision:
-            # A table restored from an old backup must not turn the fleet back.
+            # A table restored from an old backup must not revert the fleet.
             self.refused_lower += 1
             return []
         self._confirmed_at = max(self._confirmed_at, message.contact_asked_at)
         return self._consider(message.revision, message.digest, "")
 
     def on_document_read(self, message, *, now):
-        """Put a document in force if it is the newest known.
+        """Activate a document if it belongs to the newest known revision.
 
         Parameters
         ----------
@@ -197,7 +196,7 @@
         ]
 
     def wanted(self):
-        """Return the document that is known of and not here, if any.
+        """Return the fetch for the newest known document, if it is missing.
 
         Returns
         -------
@@ -210,7 +209,7 @@
         )
 
     def confirmed(self, *, now):
-        """Tell whether the node may act on what it holds.
+        """Return whether the node may use the configuration that it holds.
 
         Parameters
         ----------
@@ -226,20 +225,21 @@
         return self._confirmed or grace_passed
 
     def may_deny(self, *, binds_after, contact_now):
-        """Tell whether what the document lacks may be refused for good.
+        """Return whether requests for missing entries may be rejected permanently.
 
         Parameters
         ----------
         binds_after : float
-            Seconds within which an accepted revision has to be in force.
+            Seconds within which an accepted revision has to be active.
         contact_now : float
-            On the clock that goes on while the host is suspended.
+            Current time, on the clock that includes suspend time.
 
         Returns
         -------
         bool
-            False if the table was not read for so long that a revision may have been
-            accepted and be due, or one was heard of whose document is not here.
+            False if the last table read is so old that a revision may have been
+            accepted and be due since, or if the document of a newer known revision is
+            missing.
         """
         is_newest = self.document is not None and self.revision == self.heard_revision
         return is_newest and contact_now < self._confirmed_at + binds_after
@@ -264,7 +264,7 @@
             "refused_lower": self.refused_lower,
         }
 
-    def _start_clock(self, now):
+    def _start_grace_period(self, now):
         if self._grace_deadline is None:
             self._grace_deadline = now + self.start_grace
 
--- a/hawthornspoke/revision/tests/test_never_lower.py
+++ b/hawthornspoke/revision/tests/test_never_lower.py
@@ -1,4 +1,4 @@
-"""Random messages to the revision holder: it never goes down."""
+"""Property test: the revision never decreases under random messages."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -22,8 +22,8 @@
 
 @RUNS
 @given(st.lists(MESSAGES, max_size=40))
-def test_revision_and_document_go_up_together(messages):
-    """Symptom: a configuration reverts, or a revision is held with another's text."""
+def test_revision_and_document_increase_together(messages):
+    """Guards against a reverted configuration or a mismatched revision and document."""
     holder = RevisionHolder()
     highest = 0
     for number, message in enumerate(messages):
