--- a/hawthornspoke/events/__init__.py
+++ b/hawthornspoke/events/__init__.py
@@ -1,6 +1,6 @@
-"""Structured logs: one JSON object a line, bounded, never blocking."""
+"""Structured logging: JSON lines with a rate limit, written without blocking."""
 
 from hawthornspoke.events._events import BoundedSink, EventLog
-from hawthornspoke.events._reading import Reading
+from hawthornspoke.events._reading import EventReader
 
-__all__ = ["BoundedSink", "EventLog", "Reading"]
+__all__ = ["BoundedSink", "EventLog", "EventReader"]
--- a/hawthornspoke/events/_events.py
+++ b/hawthornspoke/events/_events.py
@@ -1,4 +1,4 @@
-"""Structured log lines, bounded in number and never waited for."""
+"""Rate-limited, non-blocking structured logging."""
 
 import collections
 import json
@@ -8,36 +8,37 @@
 
 from loguru import logger
 
-#: Lines that wait for a slow reader of standard output; the rest is counted.
-LINES_KEPT = 2000
+#: Lines queued for a slow reader of standard output; further lines are dropped and
+#: counted.
+MAX_QUEUED_LINES = 2000
 
-#: Lines a second for ordinary decisions. At 1,400 requests a second over some
-#: dozen entry hosts a host decides about 100 requests a second; twice that is
-#: room for a burst, and 200 lines of 300 bytes are 60 KB/s.
-ORDINARY_LINES_PER_SECOND = 200.0
+#: Rate limit for routine decisions, in lines per second. At 1,400 requests per second
+#: over about a dozen entry hosts, a host decides about 100 requests per second; twice
+#: that allows for bursts, and 200 lines of 300 bytes are 60 KB/s.
+INFO_LINES_PER_SECOND = 200.0
 
-#: Lines a second for failures and changes of state, which are dropped last.
-URGENT_LINES_PER_SECOND = 400.0
+#: Rate limit for failures and state changes, which are dropped last.
+WARNING_LINES_PER_SECOND = 400.0
 
-#: Seconds between two lines that tell how many were left out.
-DROP_REPORT_EVERY = 5.0
+#: Minimum seconds between two reports of the number of suppressed lines.
+DROP_REPORT_INTERVAL = 5.0
 
-ORDINARY = "INFO"
-URGENT = "WARNING"
+INFO = "INFO"
+WARNING = "WARNING"
 
 
-class _Bucket:
-    __slots__ = ("rate", "tokens", "filled_at")
+class _TokenBucket:
+    __slots__ = ("rate", "tokens", "refilled_at")
 
     def __init__(self, *, rate):
         self.rate = rate
         self.tokens = rate
-        self.filled_at = 0.0
+        self.refilled_at = 0.0
 
-    def take(self, now):
-        gained = (now - self.filled_at) * self.rate
-        self.tokens = min(self.rate, self.tokens + max(0.0, gained))
-        self.filled_at = now
+    def try_acquire(self, now):
+        refill = (now - self.refilled_at) * self.rate
+        self.tokens = min(self.rate, self.tokens + max(0.0, refill))
+        self.refilled_at = now
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -45,10 +46,10 @@
 
 
 class BoundedSink:
-    """Hands lines to a thread that writes them.
+    """Passes lines to a writer thread through a bounded queue.
 
-    A reader that stops reading would block a direct write to the pipe, and with
-    it every request of the process. Here it only fills the bounded queue.
+    If the reader of the pipe stops reading, a direct write would block, and with it
+    every request of the process. Here only the queue fills up.
 
     Parameters
     ----------
@@ -66,20 +67,20 @@
         self._thread.start()
 
     def __call__(self, message):
-        """Take one line."""
-        if len(self._lines) >= LINES_KEPT:
+        """Queue one line, or drop it if the queue is full."""
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         self._lines.append(str(message))
         self._ready.set()
 
     def flush(self, deadline):
-        """Wait until the lines are written, but not past a deadline.
+        """Wait until the queued lines are written, at most until a deadline.
 
         Parameters
         ----------
         deadline : float
-            On the monotonic clock.
+            Time on the monotonic clock.
         """
         while self._lines and time.monotonic() < deadline:
             time.sleep(0.005)
@@ -93,17 +94,17 @@
                     self._stream.write(self._lines.popleft())
                     self._stream.flush()
                 except (OSError, ValueError):
-                    # Nobody can be told that standard output is gone.
+                    # Standard output is closed, so the error can't be reported.
                     return
 
 
 class EventLog:
-    """Writes one JSON object a line.
+    """Writes events as JSON lines.
 
     Parameters
     ----------
     node : str
-        Name of the host, on every line.
+        Name of the host, included in every line.
     clock : callable, default=time.monotonic
     stream : file object or None, default=None
         Standard output if None.
@@ -111,7 +112,7 @@
 
     __slots__ = (
         "node",
-        "left_out",
+        "suppressed",
         "_clock",
         "_sink",
         "_bucket_by_level",
@@ -120,38 +121,38 @@
 
     def __init__(self, *, node, clock=time.monotonic, stream=None):
         self.node = node
-        self.left_out = 0
+        self.suppressed = 0
         self._clock = clock
         self._sink = BoundedSink(stream=stream or sys.stdout)
         self._bucket_by_level = {
-            ORDINARY: _Bucket(rate=ORDINARY_LINES_PER_SECOND),
-            URGENT: _Bucket(rate=URGENT_LINES_PER_SECOND),
+            INFO: _TokenBucket(rate=INFO_LINES_PER_SECOND),
+            WARNING: _TokenBucket(rate=WARNING_LINES_PER_SECOND),
         }
         self._report_deadline = 0.0
         logger.remove()
         logger.add(self._sink, format="{message}", level="DEBUG", catch=True)
 
     def decision(self, event, **fields):
-        """Log an ordinary decision; it may be left out under a flood."""
-        self._log(ORDINARY, event, fields)
+        """Log a routine decision; it may be suppressed by the rate limit."""
+        self._log(INFO, event, fields)
 
     def change(self, event, **fields):
-        """Log a failure, or a change of what the process believes."""
-        self._log(URGENT, event, fields)
+        """Log a failure or a state change."""
+        self._log(WARNING, event, fields)
 
     def flush(self, deadline):
-        """Wait for the writer, not past a deadline on the monotonic clock."""
+        """Wait for the writer thread, at most until a deadline (monotonic clock)."""
         self._sink.flush(deadline)
 
     def _log(self, level, event, fields):
         now = self._clock()
-        if not self._bucket_by_level[level].take(now):
-            self.left_out += 1
+        if not self._bucket_by_level[level].try_acquire(now):
+            self.suppressed += 1
             return
-        if self.left_out and now >= self._report_deadline:
-            self._report_deadline = now + DROP_REPORT_EVERY
-            self._write(URGENT, "lines_left_out", {"count": self.left_out})
-            self.left_out = 0
+        if self.suppressed and now >= self._report_deadline:
+            self._report_deadline = now + DROP_REPORT_INTERVAL
+            self._write(WARNING, "lines_left_out", {"count": self.suppressed})
+            self.suppressed = 0
         self._write(level, event, fields)
 
     def _write(self, level, event, fields):
--- a/hawthornspoke/events/_reading.py
+++ b/hawthornspoke/events/_reading.py
@@ -1,44 +1,44 @@
-"""Reading the lines that processes have written, collected from all hosts."""
+"""Reading of event logs collected from all hosts."""
 
 import json
 from pathlib import Path
 
 
-class Reading:
-    """Events from log files, and how many lines were none.
+class EventReader:
+    """Reads events from log files and counts the lines that are not events.
 
     Parameters
     ----------
-    places : iterable of Path
+    paths : iterable of Path
         Files, or folders of files.
 
     Attributes
     ----------
     events : list of dict
-        In order of time; each has ``t`` and ``event``.
+        Events in order of time; each has ``t`` and ``event``.
     foreign : int
-        Lines of other programs, without an object.
+        Number of lines of other programs, without a JSON object.
     torn : int
-        Lines whose object can't be read, or lacks time or name.
+        Number of lines whose object can't be parsed or lacks a time or a name.
 
     Raises
     ------
     FileNotFoundError
-        Names the place that is not there.
+        If a path does not exist.
     """
 
     __slots__ = ("events", "foreign", "torn")
 
-    def __init__(self, *, places):
+    def __init__(self, *, paths):
         self.events = []
         self.foreign = 0
         self.torn = 0
-        for path in _files(places):
+        for path in _files(paths):
             for line in path.read_text(errors="replace").splitlines():
-                self._take(line)
+                self._add_line(line)
         self.events.sort(key=lambda event: event["t"])
 
-    def _take(self, line):
+    def _add_line(self, line):
         start = line.find("{")
         if start < 0:
             self.foreign += bool(line.strip())
@@ -54,16 +54,16 @@
             self.torn += 1
 
 
-def _files(places):
-    for place in map(Path, places):
-        if not place.exists():
-            raise FileNotFoundError(f"{place}: no such file or folder")
-        paths = sorted(place.rglob("*")) if place.is_dir() else [place]
-        yield from (path for path in paths if path.is_file())
+def _files(paths):
+    for root in map(Path, paths):
+        if not root.exists():
+            raise FileNotFoundError(f"{root}: no such file or folder")
+        candidates = sorted(root.rglob("*")) if root.is_dir() else [root]
+        yield from (path for path in candidates if path.is_file())
 
 
 def _is_event(event):
     if not isinstance(event, dict) or not isinstance(event.get("event"), str):
         return False
-    moment = event.get("t")
-    return isinstance(moment, int | float) and not isinstance(moment, bool)
+    timestamp = event.get("t")
+    return isinstance(timestamp, int | float) and not isinstance(timestamp, bool)
--- a/hawthornspoke/events/tests/test_event_log.py
+++ b/hawthornspoke/events/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""Logs: bounded under a flood, never blocking, JSON a line."""
+"""Event logs are JSON lines, rate-limited and never blocking."""
 
 import io
 import json
@@ -7,7 +7,7 @@
 import time
 
 from hawthornspoke.events import EventLog
-from hawthornspoke.events._events import LINES_KEPT
+from hawthornspoke.events._events import MAX_QUEUED_LINES
 
 
 def lines_of(stream):
@@ -26,8 +26,8 @@
     assert line["load"] == 3
 
 
-def test_flood_is_cut_failures_last_and_counted():
-    """A flood of requests filled the disk of the log's reader."""
+def test_rate_limit_counts_suppressed_lines_and_keeps_failures():
+    """Without a limit, a flood of requests filled the disk of the log collector."""
     now = [0.0]
     stream = io.StringIO()
     log = EventLog(node="n1", stream=stream, clock=lambda: now[0])
@@ -41,28 +41,27 @@
     lines = lines_of(stream)
     assert 100 <= sum(line.get("outcome") == "answered" for line in lines) <= 200
     assert any(line.get("outcome") == "refused_503" for line in lines)
-    left_out = [line for line in lines if line["event"] == "lines_left_out"]
-    assert left_out and left_out[0]["count"] >= 800
+    reports = [line for line in lines if line["event"] == "lines_left_out"]
+    assert reports and reports[0]["count"] >= 800
 
 
-def test_reader_that_stops_reading_blocks_nobody():
-    """Requests stood still because nobody read the log.
+def test_stopped_reader_does_not_block_logging():
+    """Requests stalled because standard output, a pipe, was full and not read.
 
-    Events: standard output is a pipe; its reader stops; the pipe is full. Cause:
-    lines were written where they were made.
+    The fault was to write lines from the thread that logs them.
     """
-    reading, writing = os.pipe()
-    stream = os.fdopen(writing, "w")
+    read_end, write_end = os.pipe()
+    stream = os.fdopen(write_end, "w")
     now = [0.0]
     log = EventLog(node="n1", stream=stream, clock=lambda: now[0])
-    ended = threading.Event()
+    finished = threading.Event()
 
     def flood():
-        for _ in range(LINES_KEPT * 3):
+        for _ in range(MAX_QUEUED_LINES * 3):
             now[0] += 0.01
             log.decision("request", filler="x" * 200)
-        ended.set()
+        finished.set()
 
     threading.Thread(target=flood, daemon=True).start()
-    assert ended.wait(10)
-    os.close(reading)
+    assert finished.wait(10)
+    os.close(read_end)
--- a/hawthornspoke/explain/__init__.py
+++ b/hawthornspoke/explain/__init__.py
@@ -1,4 +1,4 @@
-"""Walks collected logs from a request's id to its cause."""
+"""Explains the outcome of a request from collected logs."""
 
 from hawthornspoke.explain._explain import explain_request
 
--- a/hawthornspoke/explain/_explain.py
+++ b/hawthornspoke/explain/_explain.py
@@ -1,70 +1,75 @@
-"""From a request's id to its cause, over the collected logs of all hosts."""
+"""Timeline of one request from the collected logs of all hosts."""
 
-from hawthornspoke.events import Reading
+from hawthornspoke.events import EventReader
 
-#: Seconds around a request within which changes of state may have caused its end.
-AROUND = 5.0
+#: Seconds before and after a request in which state changes may be related to it.
+CONTEXT_SECONDS = 5.0
 
-#: Events that tell of one request.
-OF_REQUESTS = ("placed", "declined", "try_failed", "request")
+#: Events that refer to a single request.
+REQUEST_EVENTS = ("placed", "declined", "try_failed", "request")
 
-#: Fields that are shown first, or not at all.
-LEFT_OUT = ("t", "node", "event", "request")
+#: Fields that are printed separately or not at all.
+OMITTED_FIELDS = ("t", "node", "event", "request")
 
 
-def explain_request(request_id, places):
-    """Return the lines of a request and the changes of state around it.
+def explain_request(request_id, paths):
+    """Return the events of a request and the state changes around it.
 
     Parameters
     ----------
     request_id : str
-    places : iterable of Path
+    paths : iterable of Path
         Files, or folders of files.
 
     Returns
     -------
     list of str
-        In order of time; empty if no line names the request. Changes of state are
-        those of the hosts and endpoints that the request met.
+        Formatted events in order of time; empty if no event names the request. State
+        changes are limited to the hosts and endpoints involved in the request.
     """
-    events = Reading(places=places).events
-    own = [event for event in events if event.get("request") == request_id]
-    if not own:
+    events = EventReader(paths=paths).events
+    request_events = [event for event in events if event.get("request") == request_id]
+    if not request_events:
         return []
-    first, last = own[0]["t"] - AROUND, own[-1]["t"] + AROUND
-    met = _met(own)
-    shown = [
+    first, last = (
+        request_events[0]["t"] - CONTEXT_SECONDS,
+        request_events[-1]["t"] + CONTEXT_SECONDS,
+    )
+    involved = _involved_names(request_events)
+    selected = [
         event
         for event in events
         if first <= event["t"] <= last
-        and (event.get("request") == request_id or _concerns(event, met))
+        and (event.get("request") == request_id or _involves(event, involved))
     ]
-    start = own[0]["t"]
-    return [_line(event, start, request_id) for event in shown]
+    start_time = request_events[0]["t"]
+    return [_format_line(event, start_time, request_id) for event in selected]
 
 
-def _met(own):
-    met = set()
-    for event in own:
-        met.add(event.get("node"))
-        met.add(event.get("endpoint"))
-        met.update(event.get("endpoints") or ())
-    met.discard(None)
-    return met
+def _involved_names(request_events):
+    involved = set()
+    for event in request_events:
+        involved.add(event.get("node"))
+        involved.add(event.get("endpoint"))
+        involved.update(event.get("endpoints") or ())
+    involved.discard(None)
+    return involved
 
 
-def _concerns(event, met):
-    if event["event"] in OF_REQUESTS or event["event"] == "counters":
+def _involves(event, involved):
+    if event["event"] in REQUEST_EVENTS or event["event"] == "counters":
         return False
-    return event.get("endpoint") in met or event.get("node") in met
+    return event.get("endpoint") in involved or event.get("node") in involved
 
 
-def _line(event, start, request_id):
-    mark = "*" if event.get("request") == request_id else " "
+def _format_line(event, start_time, request_id):
+    marker = "*" if event.get("request") == request_id else " "
     fields = " ".join(
         f"{name}={value}"
         for name, value in event.items()
-        if name not in LEFT_OUT and value not in (None, "", [])
+        if name not in OMITTED_FIELDS and value not in (None, "", [])
+    )
+    offset = event["t"] - start_time
+    return (
+        f"{marker} {offset:+8.3f} s {event.get('node', '')} {event['event']} {fields}"
     )
-    when = event["t"] - start
-    return f"{mark} {when:+8.3f} s {event.get('node', '')} {event['event']} {fields}"
--- a/hawthornspoke/explain/tests/test_explain.py
+++ b/hawthornspoke/explain/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""One request's timeline from the logs of several hosts."""
+"""Timeline of one request from the logs of several hosts."""
 
 import json
 
@@ -6,12 +6,12 @@
 
 
 def write(path, *events):
-    """Write events as log lines, with another program's line between them."""
+    """Write events as log lines, with unrelated and invalid lines around them."""
     lines = [json.dumps(event) for event in events]
     path.write_text("not ours\n" + "\n".join(lines) + "\n{broken\n")
 
 
-def test_timeline_has_the_request_and_what_changed_around_it(tmp_path):
+def test_timeline_has_the_request_and_related_state_changes(tmp_path):
     write(
         tmp_path / "entry.log",
         {"t": 10.0, "node": "e1", "event": "placed", "request": "r1", "endpoint": "i1"},
@@ -42,6 +42,6 @@
     assert "outcome=cut" in lines[-1]
 
 
-def test_unknown_request_gives_nothing(tmp_path):
+def test_unknown_request_returns_no_lines(tmp_path):
     write(tmp_path / "a.log", {"t": 1.0, "node": "n", "event": "started"})
     assert explain_request("r9", [tmp_path]) == []
--- a/hawthornspoke/metrics/__init__.py
+++ b/hawthornspoke/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters, histograms and gauges of one process."""
+"""Counters and latency histograms of one process."""
 
 from hawthornspoke.metrics._metrics import Metrics
 
--- a/hawthornspoke/metrics/_metrics.py
+++ b/hawthornspoke/metrics/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters first; times in HdrHistograms."""
+"""Counters, and durations recorded in HdrHistograms."""
 
 import threading
 
@@ -11,7 +11,7 @@
 
 
 class Metrics:
-    """Named counters and time histograms, shown as Prometheus text.
+    """Named counters and duration histograms, exported as Prometheus text.
 
     Examples
     --------
@@ -42,7 +42,7 @@
             self._counters[key] = self._counters.get(key, 0) + amount
 
     def value(self, name, **labels):
-        """Return a counter's value, 0 if it was never counted.
+        """Return the value of a counter, 0 if it was never incremented.
 
         Parameters
         ----------
@@ -56,28 +56,28 @@
         return self._counters.get((name, tuple(sorted(labels.items()))), 0)
 
     def observe(self, name, seconds, **labels):
-        """Record a time.
+        """Record a duration.
 
         Parameters
         ----------
         name : str
-            Ends in ``_seconds``.
+            Name of the histogram, ends in ``_seconds``.
         seconds : float
         **labels : str
         """
         key = (name, tuple(sorted(labels.items())))
         microseconds = int(seconds * 1_000_000)
-        clipped = min(max(microseconds, LOWEST_MICROSECONDS), HIGHEST_MICROSECONDS)
+        clamped = min(max(microseconds, LOWEST_MICROSECONDS), HIGHEST_MICROSECONDS)
         with self._lock:
             histogram = self._histograms.get(key)
             if histogram is None:
                 histogram = self._histograms[key] = HdrHistogram(
                     LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS
                 )
-            histogram.record_value(clipped)
+            histogram.record_value(clamped)
 
     def quantile(self, name, percent, **labels):
-        """Return a quantile of recorded times.
+        """Return a percentile of the recorded durations.
 
         Parameters
         ----------
@@ -105,9 +105,9 @@
         lines = []
         with self._lock:
             for (name, labels), value in sorted(self._counters.items()):
-                lines.append(f"hawthornspoke_{name}{_labels(labels)} {value}")
+                lines.append(f"hawthornspoke_{name}{_render_labels(labels)} {value}")
             for (name, labels), histogram in sorted(self._histograms.items()):
-                lines += _summary(name, labels, histogram)
+                lines += _render_summary(name, labels, histogram)
         return "\n".join(lines) + "\n"
 
     def dump(self):
@@ -119,24 +119,26 @@
         """
         with self._lock:
             return {
-                name + _labels(labels): value
+                name + _render_labels(labels): value
                 for (name, labels), value in sorted(self._counters.items())
             }
 
 
-def _summary(name, labels, histogram):
+def _render_summary(name, labels, histogram):
     lines = []
     for percent in QUANTILES:
         quantile = (("quantile", f"{percent / 100:g}"),)
         value = histogram.get_value_at_percentile(percent) / 1_000_000
-        lines.append(f"hawthornspoke_{name}{_labels(labels + quantile)} {value:.6f}")
+        lines.append(
+            f"hawthornspoke_{name}{_render_labels(labels + quantile)} {value:.6f}"
+        )
     count = histogram.get_total_count()
-    lines.append(f"hawthornspoke_{name}_count{_labels(labels)} {count}")
+    lines.append(f"hawthornspoke_{name}_count{_render_labels(labels)} {count}")
     return lines
 
 
-def _labels(labels):
+def _render_labels(labels):
     if not labels:
         return ""
-    inside = ",".join(f'{name}="{value}"' for name, value in labels)
-    return "{" + inside + "}"
+    pairs = ",".join(f'{name}="{value}"' for name, value in labels)
+    return "{" + pairs + "}"
--- a/hawthornspoke/report/__init__.py
+++ b/hawthornspoke/report/__init__.py
@@ -1,9 +1,14 @@
-"""What a fleet did over time, from the collected logs of all hosts."""
+"""Reports on a fleet's activity over time, from the collected logs of all hosts."""
 
 from hawthornspoke.report._build import BoundUnknown, build_report
 from hawthornspoke.report._plot import NoPlots, plot_report
 from hawthornspoke.report._text import as_json, as_text
-from hawthornspoke.report._types import EngineCounts, Report, RequestCounts, Spread
+from hawthornspoke.report._types import (
+    EngineCounts,
+    Report,
+    RequestCounts,
+    VersionRollout,
+)
 
 __all__ = [
     "BoundUnknown",
@@ -11,7 +16,7 @@
     "NoPlots",
     "Report",
     "RequestCounts",
-    "Spread",
+    "VersionRollout",
     "as_json",
     "as_text",
     "build_report",
--- a/hawthornspoke/report/_build.py
+++ b/hawthornspoke/report/_build.py
@@ -1,38 +1,39 @@
-"""Builds a report from events."""
+"""Aggregation of logged events into a report."""
 
 import re
 
-from hawthornspoke.events import Reading
+from hawthornspoke.events import EventReader
 from hawthornspoke.report._types import (
     UNKNOWN_DOMAIN,
     EngineCounts,
     Report,
     RequestCounts,
-    Spread,
+    VersionRollout,
 )
 
-#: Seconds without a line of its agent after which an engine counts as silent: agents
-#: write one every two seconds.
-SILENT_AFTER = 5.0
+#: Seconds without an event from its agent after which an engine counts as silent;
+#: agents log one every two seconds.
+SILENCE_TIMEOUT = 5.0
 
-#: Name of the counter of calls to the platform, in lines of all counters.
-CALLS = re.compile(r'platform_calls_total\{call="([^"]*)"\}')
+#: Name of the counter of platform calls, in the ``counters`` event.
+PLATFORM_CALLS_PATTERN = re.compile(r'platform_calls_total\{call="([^"]*)"\}')
 
 
 class BoundUnknown(ValueError):
-    """No line tells how long older weights may begin to answer."""
+    """The time for which older weights may begin to answer is not in the logs."""
 
 
-def build_report(places, *, version_bound=None):
-    """Return what the logs tell of a fleet.
+def build_report(paths, *, version_bound=None):
+    """Build a report from log files.
 
     Parameters
     ----------
-    places : iterable of Path
+    paths : iterable of Path
         Files, or folders of files.
     version_bound : float or None, default=None
-        Seconds after its declaration from which only a version or a newer one may
-        begin to answer; None for what entry hosts told at their start.
+        Seconds after the declaration of a version from which no older version may
+        begin to answer; None to use the value that entry hosts logged when they
+        started.
 
     Returns
     -------
@@ -41,22 +42,22 @@
     Raises
     ------
     FileNotFoundError
-        Names the place that is not there.
+        If a path does not exist.
     BoundUnknown
-        If neither the caller nor a line tells the bound.
+        If the bound is neither given nor logged.
     """
-    reading = Reading(places=places)
-    events = reading.events
+    reader = EventReader(paths=paths)
+    events = reader.events
     if version_bound is None:
-        version_bound = _told_bound(events)
+        version_bound = _logged_version_bound(events)
     started_at = events[0]["t"] if events else 0.0
-    domain_by_node = _domains(events)
-    spreads = _spreads(events)
-    last = _last_by_node(events)
+    domain_by_node = _domain_by_node(events)
+    spreads = _rollouts(events)
+    last = _last_summaries(events)
     return Report(
         started_at=started_at,
-        requests_by_second=_requests(events, started_at, domain_by_node),
-        engines_by_second=_engines(
+        requests_by_second=_count_requests(events, started_at, domain_by_node),
+        engines_by_second=_count_engines(
             events,
             started_at=started_at,
             domain_by_node=domain_by_node,
@@ -71,25 +72,25 @@
             for event in events
             if event["event"] == "lines_left_out"
         ),
-        foreign=reading.foreign,
-        torn=reading.torn,
+        foreign=reader.foreign,
+        torn=reader.torn,
     )
 
 
-def _told_bound(events):
-    """Return the bound that entry hosts told last."""
-    told = [
+def _logged_version_bound(events):
+    """Return the bound that an entry host logged last."""
+    values = [
         event["version_bound"]
         for event in events
         if event["event"] == "started" and _number(event, "version_bound") > 0
     ]
-    if not told:
-        raise BoundUnknown("no line 'started' tells version_bound: give it")
-    return told[-1]
+    if not values:
+        raise BoundUnknown("no 'started' event has version_bound; set it explicitly")
+    return values[-1]
 
 
-def _domains(events):
-    """Return the failure domain of each host that has told it."""
+def _domain_by_node(events):
+    """Return the failure domain of each host that has logged it."""
     return {
         event.get("node"): event["failure_domain"]
         for event in events
@@ -97,25 +98,28 @@
     }
 
 
-def _last_by_node(events):
-    """Return the last summaries of each start of each host, by event."""
+def _last_summaries(events):
+    """Return the last summary of each start of each host, by event name."""
     last_by_key = {"engine": {}, "counters": {}}
     starts_by_node = {}
     for event in events:
         node = event.get("node")
         if event["event"] == "started":
-            # Counters begin anew with each start.
+            # Counters start from zero with each start of the process.
             starts_by_node[node] = starts_by_node.get(node, 0) + 1
         elif event["event"] in last_by_key:
             last_by_key[event["event"]][node, starts_by_node.get(node)] = event
-    return {name: list(found.values()) for name, found in last_by_key.items()}
+    return {
+        name: list(event_by_start.values())
+        for name, event_by_start in last_by_key.items()
+    }
 
 
 def _platform_calls(counters):
     calls_by_kind = {}
     for event in counters:
         for name in event:
-            match = CALLS.fullmatch(name)
+            match = PLATFORM_CALLS_PATTERN.fullmatch(name)
             if match:
                 kind = match.group(1)
                 count = calls_by_kind.get(kind, 0) + _number(event, name)
@@ -123,7 +127,7 @@
     return dict(sorted(calls_by_kind.items()))
 
 
-def _requests(events, started_at, domain_by_node):
+def _count_requests(events, started_at, domain_by_node):
     counts_by_second = {}
     for event in events:
         if event["event"] != "request":
@@ -143,10 +147,10 @@
         else:
             counts.late += 1
     elif outcome == "refused_503":
-        # Reasons carry what was seen, such as a time; their first word is the kind.
+        # A reason may be followed by details, such as a time; only its kind is counted.
         reason = re.split(r"[:;]", str(event.get("reason") or "unknown"))[0]
-        counted = counts.refused_by_reason.get(reason, 0)
-        counts.refused_by_reason[reason] = counted + 1
+        previous = counts.refused_by_reason.get(reason, 0)
+        counts.refused_by_reason[reason] = previous + 1
         counts.refused_again += bool(event.get("returned"))
     elif outcome == "caller_left":
         counts.left += 1
@@ -154,8 +158,8 @@
         counts.failed += 1
 
 
-def _spreads(events):
-    spread_by_version = {}
+def _rollouts(events):
+    rollout_by_version = {}
     for event in events:
         name, version = event["event"], _version_of(event)
         if version is None:
@@ -163,21 +167,23 @@
         if name == "weights":
             age = event.get("age")
             at = event["t"] - (age if isinstance(age, int | float) else 0.0)
-            known = spread_by_version.get(version)
-            if known is None:
-                spread_by_version[version] = Spread(version=version, declared_at=at)
+            existing = rollout_by_version.get(version)
+            if existing is None:
+                rollout_by_version[version] = VersionRollout(
+                    version=version, declared_at=at
+                )
             elif isinstance(age, int | float):
-                known.declared_at = min(known.declared_at, at)
-        spread = spread_by_version.get(version)
-        if spread is None:
+                existing.declared_at = min(existing.declared_at, at)
+        rollout = rollout_by_version.get(version)
+        if rollout is None:
             continue
         if name == "pieces_whole":
-            spread.whole_at.append(event["t"])
+            rollout.whole_at.append(event["t"])
         elif name == "transfer_dropped":
-            spread.dropped += 1
+            rollout.dropped += 1
         elif name == "install_ended" and event.get("failure") in (None, "None"):
-            spread.in_use_at.append(event["t"])
-    return [spread_by_version[version] for version in sorted(spread_by_version)]
+            rollout.in_use_at.append(event["t"])
+    return [rollout_by_version[version] for version in sorted(rollout_by_version)]
 
 
 def _version_of(event):
@@ -189,7 +195,7 @@
     return version if is_number else None
 
 
-def _engines(events, *, started_at, domain_by_node, spreads, version_bound):
+def _count_engines(events, *, started_at, domain_by_node, spreads, version_bound):
     slots_by_address = {
         event.get("address"): _number(event, "slots")
         for event in events
@@ -202,8 +208,8 @@
     counts_by_second = {}
     for node, lines in lines_by_node.items():
         domain = domain_by_node.get(node, UNKNOWN_DOMAIN)
-        for line, following in zip(lines, [*lines[1:], None], strict=True):
-            until = following["t"] if following else line["t"] + SILENT_AFTER
+        for line, next_line in zip(lines, [*lines[1:], None], strict=True):
+            until = next_line["t"] if next_line else line["t"] + SILENCE_TIMEOUT
             for second in _seconds(line["t"] - started_at, until - started_at):
                 counts_by_domain = counts_by_second.setdefault(second, {})
                 counts = counts_by_domain.setdefault(domain, EngineCounts())
@@ -212,34 +218,34 @@
                     counts,
                     line,
                     moment,
-                    floor=_floor(spreads, version_bound, moment),
+                    min_version=_min_version(spreads, version_bound, moment),
                     slots=slots_by_address.get(line.get("engine"), 0),
                 )
     return dict(sorted(counts_by_second.items()))
 
 
 def _seconds(begin, end):
-    """Return the whole seconds within a time, at least the one it begins in."""
+    """Return the seconds of an interval, at least the one in which it begins."""
     return range(int(begin), max(int(begin) + 1, int(end)))
 
 
-def _floor(spreads, version_bound, moment):
-    """Return the oldest version that may begin to answer at a moment."""
-    bound = [
+def _min_version(spreads, version_bound, moment):
+    """Return the oldest version that may begin to answer at a given time."""
+    mandatory = [
         item.version for item in spreads if item.declared_at + version_bound <= moment
     ]
-    return max(bound, default=None)
+    return max(mandatory, default=None)
 
 
-def _count_engine(counts, line, moment, *, floor, slots):
+def _count_engine(counts, line, moment, *, min_version, slots):
     version = line.get("version")
-    if moment >= line["t"] + SILENT_AFTER:
+    if moment >= line["t"] + SILENCE_TIMEOUT:
         counts.silent += 1
     elif line.get("loading"):
         counts.loading += 1
-    elif version is None or not _is_whole(line):
+    elif version is None or not _has_all_layers(line):
         counts.empty += 1
-    elif floor is not None and version < floor:
+    elif min_version is not None and version < min_version:
         counts.outdated += 1
     else:
         counts.serving += 1
@@ -247,7 +253,7 @@
         counts.slots += slots
 
 
-def _is_whole(line):
+def _has_all_layers(line):
     layers = line.get("layers")
     return isinstance(layers, list) and len(layers) == 2 and layers[0] == 0
 
--- a/hawthornspoke/report/_text.py
+++ b/hawthornspoke/report/_text.py
@@ -38,7 +38,7 @@
 
 
 def as_text(report):
-    """Return a report for people, a line for each second and failure domain.
+    """Return a report as text, with a row for each second and failure domain.
 
     Parameters
     ----------
@@ -48,37 +48,37 @@
     -------
     str
     """
-    lines = _rows(report)
-    lines += _reasons(report)
-    lines += _spreads(report)
+    lines = _format_table(report)
+    lines += _format_refusals(report)
+    lines += _format_rollouts(report)
     lines.append(f"read from the origin of weights: {report.origin_bytes} bytes")
     calls = report.platform_calls_by_kind
-    told = ", ".join(f"{kind} {count}" for kind, count in calls.items())
-    lines.append(f"calls to the platform: {told or 'none told'}")
+    summary = ", ".join(f"{kind} {count}" for kind, count in calls.items())
+    lines.append(f"calls to the platform: {summary or 'none logged'}")
     lines.append(
-        f"left out: {report.torn} lines that can't be read, {report.foreign} of other "
-        f"programs; {report.lines_left_out} were never written, under a flood"
+        f"skipped lines: {report.torn} unreadable, {report.foreign} of other programs; "
+        f"{report.lines_left_out} were not written due to rate limits"
     )
     return "\n".join(lines)
 
 
-def _rows(report):
+def _format_table(report):
     table = [HEADINGS]
     seconds = sorted({*report.requests_by_second, *report.engines_by_second})
     for second in seconds:
         requests = report.requests_by_second.get(second, {})
         engines = report.engines_by_second.get(second, {})
         for domain in sorted({*requests, *engines}):
-            row = _row(second, domain, requests.get(domain), engines.get(domain))
+            row = _table_row(second, domain, requests.get(domain), engines.get(domain))
             table.append(row)
-    widths = [max(len(row[place]) for row in table) for place in range(len(HEADINGS))]
+    widths = [max(len(row[column]) for row in table) for column in range(len(HEADINGS))]
     return [
         "  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True))
         for row in table
     ]
 
 
-def _row(second, domain, requests, engines):
+def _table_row(second, domain, requests, engines):
     row = [str(second), domain]
     if requests is None:
         row += [""] * 7
@@ -106,7 +106,7 @@
     return (*row, *map(str, counts))
 
 
-def _reasons(report):
+def _format_refusals(report):
     count_by_reason = {}
     for counts_by_domain in report.requests_by_second.values():
         for counts in counts_by_domain.values():
@@ -116,21 +116,21 @@
     return [f"refused, {reason}: {count}" for reason, count in ranked]
 
 
-def _spreads(report):
+def _format_rollouts(report):
     lines = []
-    for spread in report.spreads:
-        at = spread.declared_at
-        used = _marks(spread.in_use_at, at)
-        whole = _marks(spread.whole_at, at)
+    for rollout in report.spreads:
+        at = rollout.declared_at
+        in_use = _format_times(rollout.in_use_at, at)
+        whole = _format_times(rollout.whole_at, at)
         lines.append(
-            f"version {spread.version}: declared at "
-            f"{at - report.started_at:.1f} s; pieces whole {whole}; in use {used}; "
-            f"given up by {spread.dropped}"
+            f"version {rollout.version}: declared at "
+            f"{at - report.started_at:.1f} s; all pieces {whole}; in use {in_use}; "
+            f"abandoned by {rollout.dropped}"
         )
     return lines
 
 
-def _marks(moments, since):
+def _format_times(moments, since):
     if not moments:
         return "nowhere"
     first, half, last = moments[0], moments[(len(moments) - 1) // 2], moments[-1]
--- a/hawthornspoke/report/_types.py
+++ b/hawthornspoke/report/_types.py
@@ -1,8 +1,8 @@
-"""What a report holds."""
+"""Types of a report."""
 
 from dataclasses import dataclass, field
 
-#: Where a host's failure domain is not told in the logs.
+#: Failure domain of hosts that did not log theirs.
 UNKNOWN_DOMAIN = "?"
 
 
@@ -13,12 +13,12 @@
     Parameters
     ----------
     on_time, late, failed, left : int
-        Answered within the objective and after it, ended otherwise by us or by the
-        endpoint, and left by their callers.
+        Answered within the latency objective; answered after it; failed in this system
+        or at the endpoint; abandoned by the caller.
     refused_by_reason : dict of str to int
-        Not run, the caller told when to come back.
+        Refused without being run, with a time after which to retry.
     refused_again : int
-        Those of them that had been refused before.
+        Refused requests that had been refused before.
     """
 
     on_time: int = 0
@@ -30,26 +30,27 @@
 
     @property
     def refused(self):
-        """How many were refused."""
+        """Number of refused requests."""
         return sum(self.refused_by_reason.values())
 
     @property
     def asked(self):
-        """How many there were."""
+        """Total number of requests."""
         return self.on_time + self.late + self.failed + self.left + self.refused
 
 
 @dataclass(slots=True, kw_only=True)
 class EngineCounts:
-    """Engines at one second in one failure domain, by what they could do.
+    """Engines at one second in one failure domain, by state.
 
     Parameters
     ----------
     serving, loading, outdated, empty, silent : int
-        With whole weights that may answer; taking up others; on weights past their
-        bound; without whole weights; without a word of their agent for a while.
+        With complete weights that may answer; loading other weights; with weights past
+        their bound; without complete weights; without recent events from the agent.
     taken, slots : int
-        Requests that run, and places for them where the list tells, at those serving.
+        Running requests, and slots as far as the platform's list tells, of the serving
+        engines.
     """
 
     serving: int = 0
@@ -62,20 +63,20 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Spread:
-    """One version on its way to the engines.
+class VersionRollout:
+    """Rollout of one version to the engines.
 
     Parameters
     ----------
     version : int
     declared_at : float
-        The earliest moment that any host knows.
+        Earliest declaration time known to any host.
     in_use_at : list of float
-        When each engine had it, in order.
+        Times at which the engines had loaded the version, in order.
     whole_at : list of float
-        When each host had all pieces, in order.
+        Times at which the hosts had all pieces, in order.
     dropped : int
-        Hosts that gave it up for a later one.
+        Number of hosts that abandoned the transfer for a later version.
     """
 
     version: int
@@ -87,22 +88,22 @@
 
 @dataclass(slots=True, kw_only=True)
 class Report:
-    """What a fleet did.
+    """A fleet's activity over time.
 
     Parameters
     ----------
     started_at : float
-        Of the first line; seconds are counted from it.
+        Time of the first event; seconds are counted from it.
     requests_by_second, engines_by_second : dict of int to dict
-        By second, then by failure domain.
+        Counts by second and failure domain.
     spreads : list of Spread
     origin_bytes : int
-        Read from the origin of weights, all hosts together.
+        Bytes read from the origin of weights, by all hosts together.
     platform_calls_by_kind : dict of str to int
     lines_left_out : int
-        By the processes, under a flood.
+        Lines that the processes suppressed due to rate limits.
     foreign, torn : int
-        Lines that are none of ours, and that can't be read.
+        Lines of other programs, and lines that can't be parsed.
     """
 
     started_at: float
--- a/hawthornspoke/report/tests/test_report.py
+++ b/hawthornspoke/report/tests/test_report.py
@@ -1,4 +1,4 @@
-"""What a report tells of a small fleet's lines, whole and damaged."""
+"""Reports on the logs of a small fleet, intact and damaged."""
 
 import json
 
@@ -22,14 +22,14 @@
 
 
 def request(t, outcome, node="e1", **fields):
-    """Return the line on a request that has ended."""
+    """Return a log line for a finished request."""
     return line(t, "request", node=node, outcome=outcome, **fields)
 
 
 def engine(t, node, **fields):
-    """Return the line on an engine's state."""
-    usual = {"version": 1, "layers": [0, 16], "loading": False, "running": 2}
-    return line(t, "engine", node=node, engine=f"{node}:1", **{**usual, **fields})
+    """Return a log line with the state of an engine."""
+    defaults = {"version": 1, "layers": [0, 16], "loading": False, "running": 2}
+    return line(t, "engine", node=node, engine=f"{node}:1", **{**defaults, **fields})
 
 
 LINES = [
@@ -66,41 +66,43 @@
 
 
 @pytest.fixture
-def built(tmp_path):
-    """Return the report on the lines, in two files."""
+def fleet_report(tmp_path):
+    """Return the report on ``LINES``, split over two files."""
     (tmp_path / "one.log").write_text("\n".join(LINES[:10]) + "\n")
     (tmp_path / "two.log").write_text("\n".join(LINES[10:]) + "\n")
     return build_report([tmp_path], version_bound=BOUND)
 
 
-def test_requests_are_counted_by_second_and_failure_domain(built):
-    counts = built.requests_by_second[1]["north"]
+def test_requests_are_counted_by_second_and_failure_domain(fleet_report):
+    counts = fleet_report.requests_by_second[1]["north"]
     assert (counts.on_time, counts.late, counts.failed, counts.left) == (1, 1, 1, 1)
     assert counts.refused_by_reason == {"full": 2}
     assert counts.refused_again == 1
     assert counts.asked == 6
 
 
-def test_engines_are_counted_by_what_they_can_do(built):
-    north, south = (built.engines_by_second[2][name] for name in ("north", "south"))
+def test_engines_are_counted_by_state(fleet_report):
+    north, south = (
+        fleet_report.engines_by_second[2][name] for name in ("north", "south")
+    )
     assert (north.serving, north.taken, north.slots) == (1, 2, 8)
     assert south.empty == 1
-    assert built.engines_by_second[6]["south"].loading == 1
-    # Version 2 was declared at 2.0 s; on version 1 nothing may begin from 10.0 s on.
-    assert built.engines_by_second[9]["south"].serving == 1
-    assert built.engines_by_second[11]["south"].outdated == 1
+    assert fleet_report.engines_by_second[6]["south"].loading == 1
+    # Version 2 was declared at 2.0 s, so version 1 may not begin requests from 10.0 s.
+    assert fleet_report.engines_by_second[9]["south"].serving == 1
+    assert fleet_report.engines_by_second[11]["south"].outdated == 1
 
 
-def test_engine_whose_agent_says_nothing_is_silent_at_last(tmp_path):
+def test_engine_without_recent_events_is_silent(tmp_path):
     lines = [line(0.0, "started", node="a1", failure_domain="n"), engine(1.0, "a1")]
     (tmp_path / "a.log").write_text("\n".join([*lines, engine(20.0, "a1")]))
-    built = build_report([tmp_path], version_bound=BOUND)
-    assert built.engines_by_second[4]["n"].serving == 1
-    assert built.engines_by_second[10]["n"].silent == 1
+    fleet_report = build_report([tmp_path], version_bound=BOUND)
+    assert fleet_report.engines_by_second[4]["n"].serving == 1
+    assert fleet_report.engines_by_second[10]["n"].silent == 1
 
 
-def test_version_is_followed_from_its_declaration(built):
-    second = built.spreads[1]
+def test_rollout_of_a_version_is_tracked_from_its_declaration(fleet_report):
+    second = fleet_report.spreads[1]
     assert second.version == 2
     assert second.declared_at == 102.0
     assert second.whole_at == [104.0]
@@ -108,13 +110,13 @@
     assert second.dropped == 1
 
 
-def test_counters_of_all_hosts_are_added(built):
-    assert built.origin_bytes == 800
-    assert built.platform_calls_by_kind == {"list": 7}
-    assert built.lines_left_out == 4
+def test_counters_of_all_hosts_are_summed(fleet_report):
+    assert fleet_report.origin_bytes == 800
+    assert fleet_report.platform_calls_by_kind == {"list": 7}
+    assert fleet_report.lines_left_out == 4
 
 
-def test_counters_of_an_earlier_start_are_kept(tmp_path):
+def test_counters_of_an_earlier_start_are_included(tmp_path):
     lines = [
         line(0.0, "started", node="a1"),
         engine(1.0, "a1", origin_bytes=100),
@@ -125,20 +127,20 @@
     assert build_report([tmp_path], version_bound=BOUND).origin_bytes == 150
 
 
-def test_text_tells_all_that_was_found(built):
-    text = as_text(built)
+def test_text_includes_all_sections(fleet_report):
+    text = as_text(fleet_report)
     assert "refused, full: 2" in text
     assert "version 2: declared at 2.0 s" in text
     assert "after 3.0 s at the first" in text
     assert "list 7" in text
 
 
-def test_json_can_be_read_again(built):
-    tree = json.loads(as_json(built))
-    assert tree["requests_by_second"]["1"]["north"]["on_time"] == 1
+def test_json_can_be_parsed(fleet_report):
+    parsed = json.loads(as_json(fleet_report))
+    assert parsed["requests_by_second"]["1"]["north"]["on_time"] == 1
 
 
-def test_lines_that_are_torn_or_foreign_are_counted_and_left_out(tmp_path):
+def test_torn_and_foreign_lines_are_counted_and_skipped(tmp_path):
     damaged = [
         "not ours",
         "",
@@ -153,43 +155,43 @@
         request(1.0, "answered", on_time=True),
     ]
     (tmp_path / "a.log").write_text("\n".join(damaged))
-    built = build_report([tmp_path], version_bound=BOUND)
-    assert built.foreign == 1
-    assert built.torn == 5
-    assert built.requests_by_second[0]["?"].on_time == 1
-    assert "left out: 5 lines that can't be read, 1 of other programs" in as_text(built)
+    fleet_report = build_report([tmp_path], version_bound=BOUND)
+    assert fleet_report.foreign == 1
+    assert fleet_report.torn == 5
+    assert fleet_report.requests_by_second[0]["?"].on_time == 1
+    assert "skipped lines: 5 unreadable, 1 of other programs;" in as_text(fleet_report)
 
 
-def test_no_lines_at_all_are_an_empty_report(tmp_path):
-    built = build_report([tmp_path], version_bound=BOUND)
-    assert built.requests_by_second == {}
-    assert "none told" in as_text(built)
+def test_no_lines_give_an_empty_report(tmp_path):
+    fleet_report = build_report([tmp_path], version_bound=BOUND)
+    assert fleet_report.requests_by_second == {}
+    assert "calls to the platform: none logged" in as_text(fleet_report)
 
 
-def test_folder_that_is_not_there_is_named(tmp_path):
+def test_missing_folder_is_named_in_the_error(tmp_path):
     with pytest.raises(FileNotFoundError, match="nowhere: no such file or folder"):
         build_report([tmp_path / "nowhere"], version_bound=BOUND)
 
 
-def test_bound_is_taken_from_what_entry_hosts_told(built, tmp_path):
+def test_bound_is_read_from_entry_host_logs(fleet_report, tmp_path):
     started = line(100.0, "started", node="e2", role="entry", version_bound=BOUND)
     (tmp_path / "e2.log").write_text(started + "\n")
-    told = build_report([tmp_path])
-    assert told.engines_by_second == built.engines_by_second
+    logged = build_report([tmp_path])
+    assert logged.engines_by_second == fleet_report.engines_by_second
 
 
-def test_bound_that_nobody_tells_is_asked_for(built, tmp_path):
-    with pytest.raises(BoundUnknown, match="version_bound: give it"):
+def test_missing_bound_raises(fleet_report, tmp_path):
+    with pytest.raises(BoundUnknown, match="version_bound; set it explicitly"):
         build_report([tmp_path])
 
 
-def test_report_is_drawn(built, tmp_path):
+def test_report_is_plotted(fleet_report, tmp_path):
     pytest.importorskip("matplotlib")
     for name in ("report.png", "report.svg"):
-        plot_report(built, tmp_path / name)
+        plot_report(fleet_report, tmp_path / name)
         assert (tmp_path / name).stat().st_size > 1000
 
 
-def test_drawing_of_another_kind_is_refused(built, tmp_path):
+def test_other_plot_file_types_are_rejected(fleet_report, tmp_path):
     with pytest.raises(NoPlots, match="report.doc: expected a file"):
-        plot_report(built, tmp_path / "report.doc")
+        plot_report(fleet_report, tmp_path / "report.doc")
