--- a/hawthornspoke/report/_build.py
+++ b/hawthornspoke/report/_build.py
@@ -79,14 +79,14 @@
 
 def _logged_version_bound(events):
     """Return the bound that an entry host logged last."""
-    values = [
+    bounds = [
         event["version_bound"]
         for event in events
         if event["event"] == "started" and _number(event, "version_bound") > 0
     ]
-    if not values:
+    if not bounds:
         raise BoundUnknown("no 'started' event has version_bound; set it explicitly")
-    return values[-1]
+    return bounds[-1]
 
 
 def _domain_by_node(events):
@@ -213,12 +213,12 @@
             for second in _seconds(line["t"] - started_at, until - started_at):
                 counts_by_domain = counts_by_second.setdefault(second, {})
                 counts = counts_by_domain.setdefault(domain, EngineCounts())
-                moment = started_at + second
+                timestamp = started_at + second
                 _count_engine(
                     counts,
                     line,
-                    moment,
-                    min_version=_min_version(spreads, version_bound, moment),
+                    timestamp,
+                    min_version=_min_version(spreads, version_bound, timestamp),
                     slots=slots_by_address.get(line.get("engine"), 0),
                 )
     return dict(sorted(counts_by_second.items()))
@@ -229,17 +229,19 @@
     return range(int(begin), max(int(begin) + 1, int(end)))
 
 
-def _min_version(spreads, version_bound, moment):
+def _min_version(spreads, version_bound, timestamp):
     """Return the oldest version that may begin to answer at a given time."""
     mandatory = [
-        item.version for item in spreads if item.declared_at + version_bound <= moment
+        item.version
+        for item in spreads
+        if item.declared_at + version_bound <= timestamp
     ]
     return max(mandatory, default=None)
 
 
-def _count_engine(counts, line, moment, *, min_version, slots):
+def _count_engine(counts, line, timestamp, *, min_version, slots):
     version = line.get("version")
-    if moment >= line["t"] + SILENCE_TIMEOUT:
+    if timestamp >= line["t"] + SILENCE_TIMEOUT:
         counts.silent += 1
     elif line.get("loading"):
         counts.loading += 1
--- a/hawthornspoke/report/_text.py
+++ b/hawthornspoke/report/_text.py
@@ -124,17 +124,17 @@
         whole = _format_times(rollout.whole_at, at)
         lines.append(
             f"version {rollout.version}: declared at "
-            f"{at - report.started_at:.1f} s; all pieces {whole}; in use {in_use}; "
+            f"{at - report.started_at:.1f} s; transferred {whole}; in use {in_use}; "
             f"abandoned by {rollout.dropped}"
         )
     return lines
 
 
-def _format_times(moments, since):
-    if not moments:
+def _format_times(times, since):
+    if not times:
         return "nowhere"
-    first, half, last = moments[0], moments[(len(moments) - 1) // 2], moments[-1]
+    first, half, last = times[0], times[(len(times) - 1) // 2], times[-1]
     return (
         f"after {first - since:.1f} s at the first, {half - since:.1f} s at half, "
-        f"{last - since:.1f} s at the last of {len(moments)}"
+        f"{last - since:.1f} s at the last of {len(times)}"
     )
