--- a/hawthornspoke/quarantine/_evidence.py
+++ b/hawthornspoke/quarantine/_evidence.py
@@ -129,7 +129,7 @@
         by_fingerprint = self._item_by_start_by_fingerprint
         if len(by_fingerprint) <= MAX_REQUESTS:
             return
-        # Many requests run beside one that ends endpoints: each of them is seen at one
+        # Many requests run alongside one that ends endpoints: each is seen at one
         # end, and together they must not evict the one that was seen at several.
         oldest = next(iter(by_fingerprint))
         seen_at_one_end = (
--- a/hawthornspoke/quarantine/_exchange.py
+++ b/hawthornspoke/quarantine/_exchange.py
@@ -8,7 +8,7 @@
 MESSAGES = (EvidenceHeard,)
 
 #: Number of ends from which evidence of a request is shared with all entry hosts. Most
-#: requests with one end only ran beside the cause.
+#: requests with one end only ran alongside the cause.
 SHARE_THRESHOLD = 2
 
 
--- a/hawthornspoke/quarantine/_quarantine.py
+++ b/hawthornspoke/quarantine/_quarantine.py
@@ -39,7 +39,7 @@
 
 @MACHINES.register("quarantine")
 class Quarantine(Machine):
-    """Separates requests that end endpoints from those that ran beside them.
+    """Separates requests that end endpoints from those that ran alongside.
 
     A "query of death" may end each process that starts to run it. The caller repeats it
     under new ids and at other hosts, so that more and more endpoints are lost. A
