--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -8,11 +8,13 @@
 from hawthornspoke.relay._admission import CALLER_LEFT, UNCONFIRMED_RETRY_AFTER
 from hawthornspoke.relay._work import RequestContext
 
-#: Tolerance in milliseconds between the initial deadlines of callers on a route. A
-#: request with less time than that has spent it on an earlier attempt.
+#: Variation in milliseconds of the initial deadlines of callers on a route. A request
+#: whose deadline is shorter than the longest one by more than this has spent the
+#: difference on an earlier attempt.
 DEADLINE_JITTER_MS = 150
 
-#: Seconds assumed as the deadline of a request that gives none.
+#: Seconds assumed as the deadline of a request that gives none, also when the longest
+#: deadline of its route is determined.
 ASSUMED_DEADLINE = 30.0
 
 #: Minimum seconds left, before the caller of a stream gives up, for its request to be
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -62,11 +62,11 @@
                 harness.pool.actions.append(None)
             harness.pool.actions.append(lambda: action(harness))
             milliseconds = f"X-Deadline-Ms: {timeout * 1000:.0f}"
-            answer_seen = await harness.ask(self.route, extra=[KEY, milliseconds])
+            result = await harness.ask(self.route, extra=[KEY, milliseconds])
             await asyncio.sleep(0.05)
             assert harness.pool.actions == []
             assert harness.handler_errors == []
-        return answer_seen, target.requests
+        return result, target.requests
 
 
 def stall_point(name):
@@ -247,16 +247,16 @@
     """
 
     async def scenario():
-        where = stall_point(name)
+        point = stall_point(name)
         target = ScriptedEndpoint()
         endpoints = [target]
-        if where.before is not None:
-            endpoints.insert(0, ScriptedEndpoint(where.before))
+        if point.before is not None:
+            endpoints.insert(0, ScriptedEndpoint(point.before))
         async with RelayHarness(*endpoints, timeout=LONG_TIMEOUT, keys=KEYS) as harness:
-            if where.before is not None:
+            if point.before is not None:
                 harness.fleet.endpoint_by_id["e1"].own_running = 1
                 harness.pool.actions.append(None)
-            caller = harness.call(where.route, extra=[KEY])
+            caller = harness.call(point.route, extra=[KEY])
             harness.pool.actions.append(caller.close)
             await asyncio.sleep(0.2)
             assert harness.pool.actions == []
@@ -276,11 +276,11 @@
             assert (await harness.ask("once"))[0] == 200
             caller = harness.call("once")
 
-            async def late(request, reply):
+            async def handle_late(request, reply):
                 caller.close()
                 await harness.handler(request, reply)
 
-            harness.server.handler = late
+            harness.server.handler = handle_late
             await asyncio.sleep(0.2)
             assert len(target.requests) == 1
 
@@ -294,11 +294,11 @@
         target = ScriptedEndpoint()
         async with RelayHarness(target, timeout=SHORT_TIMEOUT) as harness:
 
-            async def late(request, reply):
+            async def handle_late(request, reply):
                 harness.contact_clock.suspend(STALL_TIME)
                 await harness.handler(request, reply)
 
-            harness.server.handler = late
+            harness.server.handler = handle_late
             status, _, _, _ = await harness.ask("once")
             assert status == 503
             assert target.requests == []
@@ -355,17 +355,17 @@
     """
 
     async def scenario():
-        kept = []
+        sockets = []
 
-        async def keeps(endpoint, head, writer):
-            kept.append(writer.get_extra_info("socket"))
+        async def keep_socket(endpoint, head, writer):
+            sockets.append(writer.get_extra_info("socket"))
             await answer()(endpoint, head, writer)
 
-        first, second = ScriptedEndpoint(keeps), ScriptedEndpoint()
+        first, second = ScriptedEndpoint(keep_socket), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
             assert (await harness.ask("once"))[0] == 200
-            harness.pool.actions.append(lambda: kept[0].shutdown(socket.SHUT_RDWR))
+            harness.pool.actions.append(lambda: sockets[0].shutdown(socket.SHUT_RDWR))
             status, _, _, _ = await harness.ask("once")
             assert (len(first.requests), len(second.requests)) == (1, 1)
             assert status == 200
--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -206,14 +206,14 @@
     the second response. Responses were matched by order, not by id.
     """
 
-    async def twice(endpoint, head, writer):
+    async def respond_twice(endpoint, head, writer):
         writer.write(response(head, body=b"first"))
         await writer.drain()
         await asyncio.sleep(0.05)
         writer.write(response(head, body=b"again"))
 
     async def scenario():
-        endpoint = ScriptedEndpoint(twice, answer(body=b"second"))
+        endpoint = ScriptedEndpoint(respond_twice, answer(body=b"second"))
         async with RelayHarness(endpoint) as harness:
             assert (await harness.ask("once"))[2] == b"first"
             await asyncio.sleep(0.1)
@@ -223,31 +223,31 @@
 
 
 def test_late_response_with_another_id_is_skipped():
-    async def late(endpoint, head, writer):
+    async def respond_with_old_id(endpoint, head, writer):
         writer.write(response(head.replace("r1", "r0"), body=b"old"))
         writer.write(response(head, body=b"new"))
 
     async def scenario():
-        async with RelayHarness(ScriptedEndpoint(late)) as harness:
+        async with RelayHarness(ScriptedEndpoint(respond_with_old_id)) as harness:
             assert (await harness.ask("once"))[2] == b"new"
 
     run_scenario(scenario)
 
 
 def test_success_without_a_seal_is_a_failure():
-    async def unsealed(endpoint, head, writer):
+    async def respond_unsealed(endpoint, head, writer):
         is_complete = response(head, body=b"rubbish")
         writer.write(is_complete.replace(b"X-Seal: s\r\n", b""))
 
     async def scenario():
-        async with RelayHarness(ScriptedEndpoint(unsealed)) as harness:
+        async with RelayHarness(ScriptedEndpoint(respond_unsealed)) as harness:
             assert (await harness.ask("once"))[0] == 502
 
     run_scenario(scenario)
 
 
 def test_response_without_a_length_that_is_reset_is_incomplete():
-    async def unframed(endpoint, head, writer):
+    async def respond_without_length(endpoint, head, writer):
         text = f"HTTP/1.1 200 X\r\nX-Request-Id: {field(head, 'X-Request-Id')}\r\n"
         writer.write(text.encode() + b"X-Seal: s\r\n\r\npart")
         await writer.drain()
@@ -256,7 +256,7 @@
         return False
 
     async def scenario():
-        async with RelayHarness(ScriptedEndpoint(unframed)) as harness:
+        async with RelayHarness(ScriptedEndpoint(respond_without_length)) as harness:
             assert (await harness.ask("once"))[0] == 502
 
     run_scenario(scenario)
--- a/hawthornspoke/relay/tests/test_suspended.py
+++ b/hawthornspoke/relay/tests/test_suspended.py
@@ -15,7 +15,7 @@
 )
 
 #: Maximum seconds from the end of a suspension until an expired timeout fires.
-NOTICED = 0.4
+TIMEOUT_TOLERANCE = 0.4
 
 
 def test_deadline_that_passed_in_a_suspension_fires_on_resume():
@@ -33,7 +33,7 @@
             woke_at = monotonic()
             status, _, _, _ = await request_task
             assert status == 504
-            assert monotonic() - woke_at < NOTICED
+            assert monotonic() - woke_at < TIMEOUT_TOLERANCE
 
     asyncio.run(scenario())
 
