--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -144,14 +144,14 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def events(ids, *, version="1", cut=b"", is_complete=True):
+def events(ids, *, version="1", cut=b"", complete=True):
     """Return a step that sends a stream of events, complete or truncated."""
 
     async def step(endpoint, head, writer):
         writer.write(stream_head(head, version))
         for number in ids:
             writer.write(stream_event(number))
-        if is_complete:
+        if complete:
             writer.write(b"0\r\n\r\n")
             return None
         if cut:
@@ -352,8 +352,8 @@
         text = head.decode()
         status = int(text.split(" ")[1]) if text else 0
         if "chunked" in text:
-            is_complete = body.endswith(b"0\r\n\r\n")
-            return status, text, unchunk(body), is_complete
+            complete = body.endswith(b"0\r\n\r\n")
+            return status, text, unchunk(body), complete
         return status, text, body, bool(text)
 
     def call(self, prefix, *, extra=()):
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -77,7 +77,7 @@
         "retry of what may have run": StallPoint(
             route="again", before=reset_connection()
         ),
-        "resume": StallPoint(route="stream", before=events([1, 2], is_complete=False)),
+        "resume": StallPoint(route="stream", before=events([1, 2], complete=False)),
     }[name]
 
 
@@ -94,7 +94,7 @@
     """Stall; check that nothing is sent and that the response is accurate."""
 
     async def scenario():
-        (status, head, _, is_complete), requests = await stall_point(name).stall(
+        (status, head, _, complete), requests = await stall_point(name).stall(
             action, timeout=timeout
         )
         assert requests == []
@@ -102,7 +102,7 @@
         if status == 503:
             assert float(field(head, "Retry-After")) > 0
         if status == 200:
-            assert not is_complete
+            assert not complete
 
     asyncio.run(scenario())
 
--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -32,10 +32,10 @@
     async def scenario():
         endpoint = ScriptedEndpoint(answer(body=b"hello"))
         async with RelayHarness(endpoint) as harness:
-            status, head, body, is_complete = await harness.ask(
+            status, head, body, complete = await harness.ask(
                 "once", extra=["X-Mine: 7", "X-Organisation: liar"]
             )
-            assert (status, body, is_complete) == (200, b"hello", True)
+            assert (status, body, complete) == (200, b"hello", True)
             assert field(head, "X-Seal") == "s"
             raw, sent = endpoint.requests[0]
             assert raw.startswith("POST /once/x?q=1 HTTP/1.1\r\n")
@@ -133,12 +133,12 @@
     """
 
     async def scenario():
-        first = ScriptedEndpoint(events([1, 2, 3], is_complete=False, cut=b"id: 4\nda"))
+        first = ScriptedEndpoint(events([1, 2, 3], complete=False, cut=b"id: 4\nda"))
         second = ScriptedEndpoint(events([4, 5]))
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            status, _, body, is_complete = await harness.ask("stream")
-            assert (status, is_complete) == (200, True)
+            status, _, body, complete = await harness.ask("stream")
+            assert (status, complete) == (200, True)
             assert event_ids(body) == [1, 2, 3, 4, 5]
             raw, _ = second.requests[0]
             assert field(raw, "Last-Event-Id") == "3"
@@ -177,12 +177,12 @@
     """
 
     async def scenario():
-        first = ScriptedEndpoint(events([1, 2], is_complete=False))
+        first = ScriptedEndpoint(events([1, 2], complete=False))
         second = ScriptedEndpoint(events([3], version="2"))
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            status, _, body, is_complete = await harness.ask("stream")
-            assert (status, is_complete) == (200, False)
+            status, _, body, complete = await harness.ask("stream")
+            assert (status, complete) == (200, False)
             assert event_ids(body) == [1, 2]
 
     run_scenario(scenario)
@@ -192,8 +192,8 @@
     async def scenario():
         only = ScriptedEndpoint(events([1, 2, 4]))
         async with RelayHarness(only, timeout=2.0) as harness:
-            status, _, body, is_complete = await harness.ask("stream")
-            assert (status, is_complete) == (200, False)
+            status, _, body, complete = await harness.ask("stream")
+            assert (status, complete) == (200, False)
             assert event_ids(body) == [1, 2]
 
     run_scenario(scenario)
@@ -236,8 +236,8 @@
 
 def test_success_without_a_seal_is_a_failure():
     async def respond_unsealed(endpoint, head, writer):
-        is_complete = response(head, body=b"rubbish")
-        writer.write(is_complete.replace(b"X-Seal: s\r\n", b""))
+        complete = response(head, body=b"rubbish")
+        writer.write(complete.replace(b"X-Seal: s\r\n", b""))
 
     async def scenario():
         async with RelayHarness(ScriptedEndpoint(respond_unsealed)) as harness:
--- a/hawthornspoke/relay/tests/test_old_weights.py
+++ b/hawthornspoke/relay/tests/test_old_weights.py
@@ -81,8 +81,8 @@
                 weights_version=2,
                 layers=(0, 16),
             )
-            status, _, body, is_complete = await request_task
-            assert (status, is_complete) == (200, True)
+            status, _, body, complete = await request_task
+            assert (status, complete) == (200, True)
             assert body.count(b"id: ") == 2
             assert start_times == []
 
@@ -96,8 +96,8 @@
         endpoint = ScriptedEndpoint(delayed_stream(0.1, [], pause=BOUND))
         async with RelayHarness(endpoint, timeout=3.0, fleet=fleet()) as harness:
             declare(harness, 2)
-            status, _, body, is_complete = await harness.ask("stream")
-            assert (status, is_complete) == (200, True)
+            status, _, body, complete = await harness.ask("stream")
+            assert (status, complete) == (200, True)
             assert body.count(b"id: ") == 2
 
     asyncio.run(scenario())
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -195,9 +195,9 @@
     async def scenario():
         endpoints = [ScriptedEndpoint(then_exit(next_event)) for _ in range(4)]
         async with RelayHarness(*endpoints, timeout=2.0) as harness:
-            _, _, body, is_complete = await harness.ask("stream")
+            _, _, body, complete = await harness.ask("stream")
             assert event_ids(body) == [1, 2]
-            assert not is_complete
+            assert not complete
             await harness.ask("stream")
             status, _, _, _ = await harness.ask("stream")
             assert status == 503
--- a/hawthornspoke/relay/tests/test_suspended.py
+++ b/hawthornspoke/relay/tests/test_suspended.py
@@ -73,8 +73,8 @@
             request_task = asyncio.create_task(harness.ask("stream"))
             await asyncio.sleep(0.1)
             harness.contact_clock.suspend(2.0)
-            status, _, body, is_complete = await request_task
-            assert (status, is_complete) == (200, True)
+            status, _, body, complete = await request_task
+            assert (status, complete) == (200, True)
             assert body.count(b"id: ") == 2
 
     asyncio.run(scenario())
@@ -86,8 +86,8 @@
     async def scenario():
         async with RelayHarness(ScriptedEndpoint(events([1])), timeout=2.0) as harness:
             harness.contact_clock.suspend(1.5)
-            status, _, _, is_complete = await harness.ask("stream")
-            assert (status, is_complete) == (200, True)
+            status, _, _, complete = await harness.ask("stream")
+            assert (status, complete) == (200, True)
         async with RelayHarness(ScriptedEndpoint(answer()), timeout=2.0) as harness:
             harness.contact_clock.suspend(1.5)
             assert (await harness.ask("once"))[0] == 200
