--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -32,10 +32,10 @@
     async def scenario():
         endpoint = ScriptedEndpoint(answer(body=b"hello"))
         async with RelayHarness(endpoint) as harness:
-            status, head, body, is_complete = await harness.ask(
+            status, head, body, complete = await harness.ask(
                 "once", extra=["X-Mine: 7", "X-Organisation: liar"]
             )
-            assert (status, body, is_complete) == (200, b"hello", True)
+            assert (status, body, complete) == (200, b"hello", True)
             assert field(head, "X-Seal") == "s"
             raw, sent = endpoint.requests[0]
             assert raw.startswith("POST /once/x?q=1 HTTP/1.1\r\n")
@@ -133,12 +133,12 @@
     """
 
     async def scenario():
-        first = ScriptedEndpoint(events([1, 2, 3], is_complete=False, cut=b"id: 4\nda"))
+        first = ScriptedEndpoint(events([1, 2, 3], complete=False, cut=b"id: 4\nda"))
         second = ScriptedEndpoint(events([4, 5]))
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            status, _, body, is_complete = await harness.ask("stream")
-            assert (status, is_complete) == (200, True)
+            status, _, body, complete = await harness.ask("stream")
+            assert (status, complete) == (200, True)
             assert event_ids(body) == [1, 2, 3, 4, 5]
             raw, _ = second.requests[0]
             assert field(raw, "Last-Event-Id") == "3"
@@ -177,12 +177,12 @@
     """
 
     async def scenario():
-        first = ScriptedEndpoint(events([1, 2], is_complete=False))
+        first = ScriptedEndpoint(events([1, 2], complete=False))
         second = ScriptedEndpoint(events([3], version="2"))
         async with RelayHarness(first, second, timeout=2.0) as harness:
             harness.fleet.endpoint_by_id["e1"].own_running = 1
-            status, _, body, is_complete = await harness.ask("stream")
-            assert (status, is_complete) == (200, False)
+            status, _, body, complete = await harness.ask("stream")
+            assert (status, complete) == (200, False)
             assert event_ids(body) == [1, 2]
 
     run_scenario(scenario)
@@ -192,8 +192,8 @@
     async def scenario():
         only = ScriptedEndpoint(events([1, 2, 4]))
         async with RelayHarness(only, timeout=2.0) as harness:
-            status, _, body, is_complete = await harness.ask("stream")
-            assert (status, is_complete) == (200, False)
+            status, _, body, complete = await harness.ask("stream")
+            assert (status, complete) == (200, False)
             assert event_ids(body) == [1, 2]
 
     run_scenario(scenario)
@@ -206,14 +206,14 @@
     the second response. Responses were matched by order, not by id.
     """
 
-    async def twice(endpoint, head, writer):
+    async def respond_twice(endpoint, head, writer):
         writer.write(response(head, body=b"first"))
         await writer.drain()
         await asyncio.sleep(0.05)
         writer.write(response(head, body=b"again"))
 
     async def scenario():
-        endpoint = ScriptedEndpoint(twice, answer(body=b"second"))
+        endpoint = ScriptedEndpoint(respond_twice, answer(body=b"second"))
         async with RelayHarness(endpoint) as harness:
             assert (await harness.ask("once"))[2] == b"first"
             await asyncio.sleep(0.1)
@@ -223,31 +223,31 @@
 
 
 def test_late_response_with_another_id_is_skipped():
-    async def late(endpoint, head, writer):
+    async def respond_with_old_id(endpoint, head, writer):
         writer.write(response(head.replace("r1", "r0"), body=b"old"))
         writer.write(response(head, body=b"new"))
 
     async def scenario():
-        async with RelayHarness(ScriptedEndpoint(late)) as harness:
+        async with RelayHarness(ScriptedEndpoint(respond_with_old_id)) as harness:
             assert (await harness.ask("once"))[2] == b"new"
 
     run_scenario(scenario)
 
 
 def test_success_without_a_seal_is_a_failure():
-    async def unsealed(endpoint, head, writer):
-        is_complete = response(head, body=b"rubbish")
-        writer.write(is_complete.replace(b"X-Seal: s\r\n", b""))
+    async def respond_unsealed(endpoint, head, writer):
+        complete = response(head, body=b"rubbish")
+        writer.write(complete.replace(b"X-Seal: s\r\n", b""))
 
     async def scenario():
-        async with RelayHarness(ScriptedEndpoint(unsealed)) as harness:
+        async with RelayHarness(ScriptedEndpoint(respond_unsealed)) as harness:
             assert (await harness.ask("once"))[0] == 502
 
     run_scenario(scenario)
 
 
 def test_response_without_a_length_that_is_reset_is_incomplete():
-    async def unframed(endpoint, head, writer):
+    async def respond_without_length(endpoint, head, writer):
         text = f"HTTP/1.1 200 X\r\nX-Request-Id: {field(head, 'X-Request-Id')}\r\n"
         writer.write(text.encode() + b"X-Seal: s\r\n\r\npart")
         await writer.drain()
@@ -256,7 +256,7 @@
         return False
 
     async def scenario():
-        async with RelayHarness(ScriptedEndpoint(unframed)) as harness:
+        async with RelayHarness(ScriptedEndpoint(respond_without_length)) as harness:
             assert (await harness.ask("once"))[0] == 502
 
     run_scenario(scenario)
