--- a/hawthornspoke/entry/__init__.py
+++ b/hawthornspoke/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry process: callers' HTTP, admission, choice, retries, the answer."""
+"""Entry process: HTTP server, admission, routing, retries and responses."""
 
 from hawthornspoke.entry._process import EntryProcess
 
--- a/hawthornspoke/entry/_answers.py
+++ b/hawthornspoke/entry/_answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: one JSON shape for errors, and the headers."""
+"""Error responses to callers: JSON body, status code and headers."""
 
 import math
 
@@ -8,8 +8,8 @@
 UNKNOWN = "unknown"
 DONE = "done"
 
-#: HTTP status by failure code. Everything else that was not run is 503, and
-#: everything else whose outcome is unknown is 502.
+#: HTTP status by failure code. All other failures map to 503 if the request was not
+#: run, and to 502 if its outcome is unknown.
 STATUS_BY_CODE = {
     "bad_request": 400,
     "unauthenticated": 401,
@@ -24,17 +24,17 @@
     "timed_out": 504,
 }
 
-#: Seconds named to a caller where the state that refused does not say.
+#: Retry delay in seconds if the failure does not specify one.
 DEFAULT_RETRY_AFTER = 1.0
 
-#: Failures for which trying again later changes nothing.
-FINAL_CODES = frozenset(
+#: Failures that a later retry cannot resolve.
+NON_RETRYABLE_CODES = frozenset(
     ["bad_request", "unauthenticated", "forbidden", "no_such_service", "key_reused"]
 )
 
 
-def error_tree(failure, *, outcome, request_id):
-    """Return the JSON of an error.
+def error_body(failure, *, outcome, request_id):
+    """Build the JSON body of an error response.
 
     Parameters
     ----------
@@ -53,13 +53,13 @@
         "outcome": outcome,
         "request_id": request_id,
     }
-    if failure.code not in FINAL_CODES:
+    if failure.code not in NON_RETRYABLE_CODES:
         error["retry_after"] = round(_retry_after(failure), 3)
     return {"error": error}
 
 
 def error_response(failure, *, outcome, request_id):
-    """Return the final answer to a request that was not answered by an endpoint.
+    """Build the response to a request that no endpoint has answered.
 
     Parameters
     ----------
@@ -75,10 +75,10 @@
     default = 503 if outcome == NOT_RUN else 502
     status = STATUS_BY_CODE.get(failure.code, default)
     headers = {"X-Request-Id": request_id, "X-Outcome": outcome}
-    if failure.code not in FINAL_CODES:
+    if failure.code not in NON_RETRYABLE_CODES:
         headers["Retry-After"] = str(max(1, math.ceil(_retry_after(failure))))
-    tree = error_tree(failure, outcome=outcome, request_id=request_id)
-    return json_response(tree, status=status, headers=headers)
+    body = error_body(failure, outcome=outcome, request_id=request_id)
+    return json_response(body, status=status, headers=headers)
 
 
 def _retry_after(failure):
--- a/hawthornspoke/entry/_attempt.py
+++ b/hawthornspoke/entry/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one endpoint."""
+"""A single attempt to run a request on one endpoint."""
 
 from hawthornspoke.base import Failure, is_failure, monotonic
 from hawthornspoke.protocol import (
@@ -10,60 +10,60 @@
     Submit,
 )
 
-#: The endpoint had the request and no whole answer came.
+#: The endpoint received the request, but its answer is incomplete.
 CUT_OFF = Failure(code="cut_off")
 
-#: The endpoint had the request and the time ran out.
+#: The endpoint received the request, but the deadline passed before it answered.
 TIMED_OUT = Failure(code="timed_out")
 
 #: The caller closed its connection.
 CALLER_GONE = Failure(code="caller_gone")
 
-#: The answer names other weights than the request was sent for.
+#: The answer was produced by weights other than the requested ones.
 WRONG_ANSWER = Failure(code="wrong_answer")
 
-#: Seconds that one read waits at the agent for the first event.
-READ_WAIT = 0.5
+#: Long-poll timeout of one read call at the agent, in seconds.
+READ_TIMEOUT = 0.5
 
-#: Seconds that the agent may take to answer a read beyond that wait.
-READ_SLACK = 2.0
+#: Additional seconds allowed for the agent's reply to a read call.
+REPLY_GRACE = 2.0
 
-#: Seconds before the deadline in which a failure counts as its passing.
+#: A failure within this many seconds before the deadline is reported as a timeout.
 DEADLINE_SLACK = 0.1
 
-#: Seconds for the last word to an agent whose caller is gone.
-CANCEL_SECONDS = 0.5
+#: Timeout in seconds of the cancel call to the agent.
+CANCEL_TIMEOUT = 0.5
 
 _FINAL_KINDS = (EventKind.DONE, EventKind.REFUSED, EventKind.FAILED)
 
 
-class Ended:
-    """How an attempt ended.
+class AttemptResult:
+    """Result of an attempt.
 
     Parameters
     ----------
     done : bool
     was_run : bool
-        False only with proof.
+        False only if it is certain that the endpoint did not run the request.
     failure : Failure or None
     live : str or None, default=None
-        Digest that is live at the endpoint, as a refusal told.
-    engine_end : str, default=""
-        Name of the engine's end, if its process ended under the request.
+        Digest of the weights that serve at the endpoint, as named in its refusal.
+    engine_exit_id : str, default=""
+        Identifier of the engine exit, if the engine process ended during the request.
     """
 
-    __slots__ = ("done", "was_run", "failure", "live", "engine_end")
+    __slots__ = ("done", "was_run", "failure", "live", "engine_exit_id")
 
-    def __init__(self, *, done, was_run, failure=None, live=None, engine_end=""):
+    def __init__(self, *, done, was_run, failure=None, live=None, engine_exit_id=""):
         self.done = done
         self.was_run = was_run
         self.failure = failure
         self.live = live
-        self.engine_end = engine_end
+        self.engine_exit_id = engine_exit_id
 
 
 class Attempt:
-    """Sends a request to an agent and reads its events.
+    """Submits a request to an agent and reads the events of its answer.
 
     Parameters
     ----------
@@ -71,18 +71,18 @@
     endpoint : Endpoint
     pool : ConnectionPool
     revision : int
-        Highest revision that this host has heard of.
+        Highest configuration revision that this host knows of.
     resume_from : int, default=0
-        Tokens that the caller has already.
+        Number of tokens that the caller has already received.
     recheck : callable or None, default=None
-        Returns a Failure if the request may not go to that endpoint any more.
+        Returns a Failure if the request may no longer be sent to that endpoint.
 
     Attributes
     ----------
-    ended : Ended or None
-        Set when :meth:`events` is exhausted.
+    result : AttemptResult or None
+        Set once :meth:`events` is exhausted.
     first_byte : float or None
-        Seconds until the first event that carried an answer.
+        Seconds until the first HEAD or TOKENS event.
     """
 
     __slots__ = (
@@ -92,11 +92,11 @@
         "revision",
         "resume_from",
         "recheck",
-        "ended",
+        "result",
         "first_byte",
-        "revision_heard",
+        "received_revision",
         "_attempt_id",
-        "_objection",
+        "_presend_failure",
         "_sent_at",
         "_connection",
     )
@@ -110,12 +110,12 @@
         self.revision = revision
         self.resume_from = resume_from
         self.recheck = recheck
-        self.ended = None
+        self.result = None
         self.first_byte = None
-        self.revision_heard = 0
+        self.received_revision = 0
         context.attempts += 1
         self._attempt_id = f"{context.request_id}-{context.attempts}"
-        self._objection = None
+        self._presend_failure = None
         self._sent_at = monotonic()
         self._connection = None
 
@@ -132,35 +132,34 @@
         reply = self._submit()
         while True:
             if is_failure(reply):
-                self.ended = self._lost(reply)
+                self.result = self._result_without_reply(reply)
                 return
             if reply.request_id != self._attempt_id:
-                # An answer to another request on this connection: the two ends
-                # disagree, and nothing read from it can be trusted.
+                # The connection is out of sync, so none of its data can be trusted.
                 self._connection.close()
-                reason = "the endpoint answered another request"
-                self.ended = self._run_failed(WRONG_ANSWER.because(reason))
+                reason = "the endpoint replied to a different request"
+                self.result = self._failed_after_submit(WRONG_ANSWER.because(reason))
                 return
-            self.revision_heard = max(self.revision_heard, reply.revision or 0)
+            self.received_revision = max(self.received_revision, reply.revision or 0)
             for event in reply.events or ():
                 if event.kind in _FINAL_KINDS:
-                    self.ended = self._final(event)
+                    self.result = self._result_of_final_event(event)
                     return
                 if event.kind != EventKind.STARTED:
-                    self._note_first_byte()
+                    self._record_first_byte()
                     yield event
             failure = self._stop_reason()
             if failure is not None:
                 self._cancel()
-                self.ended = self._run_failed(failure)
+                self.result = self._failed_after_submit(failure)
                 return
             reply = self._read()
 
     def abandon(self):
-        """Cancel what still runs; the caller is gone."""
-        if self.ended is None:
+        """Cancel a running attempt after the caller has disconnected."""
+        if self.result is None:
             self._cancel()
-            self.ended = self._run_failed(CALLER_GONE)
+            self.result = self._failed_after_submit(CALLER_GONE)
 
     def _submit(self):
         context = self.context
@@ -183,85 +182,87 @@
             adapter=context.adapter or None,
         )
         self._sent_at = monotonic()
-        limit = self._sent_at + READ_WAIT + READ_SLACK
+        limit = self._sent_at + READ_TIMEOUT + REPLY_GRACE
         return self._connection.call(
             "submit",
             submit,
             deadline=min(context.deadline, limit),
-            objection=self._object,
+            objection=self._check_before_send,
         )
 
-    def _object(self):
-        """Say what stands against sending at this moment.
+    def _check_before_send(self):
+        """Return a Failure if the request must not be sent any more.
 
-        The connection may have taken time, or the process have stood still. The
-        actor that knows keys and endpoints is asked first, since that is a wait too.
+        Connecting may have taken long, or the process may have been suspended. The
+        control actor is queried first, because that call can block as well.
         """
         failure = self.recheck() if self.recheck is not None else None
         if failure is None and self.context.request.caller_gone():
             failure = CALLER_GONE
         if failure is None and self.context.remaining() <= 0:
             failure = TOO_LATE.because("no time left")
-        self._objection = failure
+        self._presend_failure = failure
         return failure
 
     def _read(self):
-        wait = min(READ_WAIT, max(0.0, self.context.deadline - monotonic()))
+        wait = min(READ_TIMEOUT, max(0.0, self.context.deadline - monotonic()))
         return self._connection.call(
             "read",
             self._attempt_id,
             int(wait * 1000),
-            deadline=monotonic() + wait + READ_SLACK,
+            deadline=monotonic() + wait + REPLY_GRACE,
         )
 
     def _stop_reason(self):
         if monotonic() >= self.context.deadline:
-            return TIMED_OUT.because("no whole answer before the deadline")
+            return TIMED_OUT.because("answer incomplete at the deadline")
         if self.context.request.caller_gone():
             return CALLER_GONE
         return None
 
-    def _lost(self, failure):
-        """Return the end for a call that got no reply."""
-        if failure in (NOT_SENT, TOO_LATE) or self._objection is not None:
+    def _result_without_reply(self, failure):
+        """Return the result of an attempt whose call got no reply."""
+        if failure in (NOT_SENT, TOO_LATE) or self._presend_failure is not None:
             if self.first_byte is None:
-                return Ended(done=False, was_run=False, failure=failure)
-            return self._run_failed(CUT_OFF.because(failure.reason))
+                return AttemptResult(done=False, was_run=False, failure=failure)
+            return self._failed_after_submit(CUT_OFF.because(failure.reason))
         if monotonic() >= self.context.deadline:
-            return self._run_failed(TIMED_OUT.because(failure.reason))
-        return self._run_failed(CUT_OFF.because(failure.reason))
+            return self._failed_after_submit(TIMED_OUT.because(failure.reason))
+        return self._failed_after_submit(CUT_OFF.because(failure.reason))
 
-    def _final(self, event):
+    def _result_of_final_event(self, event):
         self.pool.give_back(self._connection)
         if event.kind == EventKind.DONE:
-            return Ended(done=True, was_run=True)
+            return AttemptResult(done=True, was_run=True)
         retry_after = None
         if event.retry_after_ms is not None:
             retry_after = event.retry_after_ms / 1000
         code, _, reason = (event.reason or "").partition(": ")
         failure = Failure(code=code, reason=reason, retry_after=retry_after)
         if event.kind == EventKind.REFUSED:
-            return Ended(done=False, was_run=False, failure=failure, live=event.digest)
+            return AttemptResult(
+                done=False, was_run=False, failure=failure, live=event.digest
+            )
         if failure == ENGINE_ENDED:
-            cut_off = CUT_OFF.because("the engine's process ended")
-            return Ended(
-                done=False, was_run=True, failure=cut_off, engine_end=failure.reason
+            cut_off = CUT_OFF.because("the engine process ended")
+            return AttemptResult(
+                done=False, was_run=True, failure=cut_off, engine_exit_id=failure.reason
             )
         if monotonic() >= self.context.deadline - DEADLINE_SLACK:
-            # The agent's own wait for the engine ends with the same deadline and
-            # may be told first: it is the caller's time that was up.
-            return self._run_failed(TIMED_OUT.because(event.reason or ""))
-        return self._run_failed(CUT_OFF.because(event.reason or ""))
+            # The agent waits for the engine until the same deadline and may report
+            # its own failure first; the cause is still the expired deadline.
+            return self._failed_after_submit(TIMED_OUT.because(event.reason or ""))
+        return self._failed_after_submit(CUT_OFF.because(event.reason or ""))
 
-    def _run_failed(self, failure):
-        return Ended(done=False, was_run=True, failure=failure)
+    def _failed_after_submit(self, failure):
+        return AttemptResult(done=False, was_run=True, failure=failure)
 
     def _cancel(self):
-        limit = monotonic() + CANCEL_SECONDS
+        limit = monotonic() + CANCEL_TIMEOUT
         self._connection.call("cancel", self._attempt_id, deadline=limit)
         self._connection.close()
 
-    def _note_first_byte(self):
+    def _record_first_byte(self):
         if self.first_byte is None:
             self.first_byte = monotonic() - self._sent_at
 
--- a/hawthornspoke/entry/_claims_runner.py
+++ b/hawthornspoke/entry/_claims_runner.py
@@ -1,4 +1,4 @@
-"""Runs claim machines against the platform's table."""
+"""Executes the claim state machine against the table of the platform."""
 
 import base64
 import json
@@ -24,36 +24,37 @@
 )
 from hawthornspoke.store import CONFLICT, NOT_FOUND, UNSURE, Condition
 
-#: Bytes of an answer kept in the row itself; larger ones go to the object store.
-INLINE_BYTES = 128 * 1024
+#: Largest response body in bytes that is stored in the row; larger ones are stored
+#: in the object store.
+MAX_INLINE_BYTES = 128 * 1024
 
-CLAIM_SECONDS = 2.0
-SETTLE_SECONDS = 0.5
+CLAIM_TIMEOUT = 2.0
+FIRST_WRITE_TIMEOUT = 0.5
 ANSWERS_PREFIX = "answers/"
 
-#: Writes that wait for the platform to come back, at most.
+#: Maximum number of writes queued while the platform is unavailable.
 MAX_PENDING = 10_000
-RETRY_SECONDS = 0.5
+RETRY_INTERVAL = 0.5
 
 
 class ClaimRunner:
-    """Claims keys, and keeps and gives back answers.
+    """Claims idempotency keys, and stores and returns responses.
 
     Parameters
     ----------
     clients : PlatformClients
-    janitor : pykka.ActorRef
-        Takes the writes that have to be repeated until they are known.
+    write_retrier : pykka.ActorRef
+        Retries writes until their outcome is known.
     """
 
-    __slots__ = ("clients", "janitor")
+    __slots__ = ("clients", "write_retrier")
 
-    def __init__(self, *, clients, janitor):
+    def __init__(self, *, clients, write_retrier):
         self.clients = clients
-        self.janitor = janitor
+        self.write_retrier = write_retrier
 
     def begin(self, *, organisation, key, fingerprint, deadline):
-        """Claim a key.
+        """Claim an idempotency key.
 
         Parameters
         ----------
@@ -67,20 +68,20 @@
         claim = Claim(token=uuid.uuid4().hex, fingerprint=fingerprint)
         row_key = claim_key(organisation, key)
         outcomes = deque(claim.step(Begin(), now=monotonic()))
-        verdict = None
+        decision = None
         while outcomes:
             outcome = outcomes.popleft()
             if isinstance(outcome, (RunNow, GiveStored, RefuseNow)):
-                verdict = outcome
+                decision = outcome
             elif isinstance(outcome, ReleaseClaim):
-                self._settle(self._release_row(claim, row_key))
+                self._write_or_defer(self._release_write(claim, row_key))
             else:
-                message = self._perform(outcome, claim, row_key, deadline)
+                message = self._execute(outcome, claim, row_key, deadline)
                 outcomes.extend(claim.step(message, now=monotonic()))
-        return claim, verdict
+        return claim, decision
 
     def finish(self, claim, message, *, organisation, key):
-        """Write what became of a claimed request.
+        """Store the outcome of a claimed request.
 
         Parameters
         ----------
@@ -91,20 +92,21 @@
         row_key = claim_key(organisation, key)
         for outcome in claim.step(message, now=monotonic()):
             if isinstance(outcome, ReleaseClaim):
-                self._settle(self._release_row(claim, row_key))
+                self._write_or_defer(self._release_write(claim, row_key))
             else:
-                self._settle(self._answer_row(claim, row_key, outcome))
+                self._write_or_defer(self._response_write(claim, row_key, outcome))
 
-    def _settle(self, pending):
-        """Write once before the caller is answered, else leave it to the janitor.
+    def _write_or_defer(self, pending):
+        """Try to write before the caller is answered, else defer to the retrier.
 
-        A caller that asks again right after its answer then finds it stored.
+        A caller that repeats its request right after the response then finds the
+        stored response.
         """
-        if not pending.write(self.clients, timeout=SETTLE_SECONDS):
-            self.janitor.tell(pending)
+        if not pending.write(self.clients, timeout=FIRST_WRITE_TIMEOUT):
+            self.write_retrier.tell(pending)
 
-    def read_stored(self, row):
-        """Return a stored answer.
+    def read_stored_response(self, row):
+        """Read a stored response.
 
         Parameters
         ----------
@@ -122,8 +124,8 @@
             body = base64.b64decode(row.get("body", ""))
         return row["status"], json.loads(row["headers"]), body
 
-    def _perform(self, outcome, claim, row_key, deadline):
-        timeout = max(0.01, min(CLAIM_SECONDS, deadline - monotonic()))
+    def _execute(self, outcome, claim, row_key, deadline):
+        timeout = max(0.01, min(CLAIM_TIMEOUT, deadline - monotonic()))
         if isinstance(outcome, WriteClaim):
             return self._write(outcome, claim, row_key, timeout)
         assert isinstance(outcome, ReadClaim)
@@ -139,24 +141,24 @@
         if outcome.over_token:
             equals = {"token": outcome.over_token, "state": RowState.NOT_RUN.value}
             condition = Condition(equals=equals)
-        row = _row(claim, row_key, RowState.CLAIMED)
+        row = _claim_row(claim, row_key, RowState.CLAIMED)
         answer = self.clients.table.put(row, condition=condition, timeout=timeout)
-        return WriteDone(outcome=_word(answer))
+        return WriteDone(outcome=_write_outcome(answer))
 
-    def _release_row(self, claim, row_key):
-        # Written also where no row is: a lost insert that arrives late then
-        # meets this row and fails, in place of blocking the key for ever.
+    def _release_write(self, claim, row_key):
+        # The row is also written if none exists: a delayed insert then fails on its
+        # condition instead of blocking the key forever.
         condition = Condition(absent=True, equals={"token": claim.token})
         return PendingWrite(
-            row=_row(claim, row_key, RowState.NOT_RUN), condition=condition
+            row=_claim_row(claim, row_key, RowState.NOT_RUN), condition=condition
         )
 
-    def _answer_row(self, claim, row_key, outcome):
-        row = _row(claim, row_key, RowState.DONE)
+    def _response_write(self, claim, row_key, outcome):
+        row = _claim_row(claim, row_key, RowState.DONE)
         row["status"] = outcome.status
         row["headers"] = json.dumps(outcome.headers)
         body = None
-        if len(outcome.body) <= INLINE_BYTES:
+        if len(outcome.body) <= MAX_INLINE_BYTES:
             row["body"] = base64.b64encode(outcome.body).decode()
         else:
             body = outcome.body
@@ -166,14 +168,14 @@
 
 
 class PendingWrite:
-    """A write that is repeated until its outcome is known.
+    """A conditional write that is retried until its outcome is known.
 
     Parameters
     ----------
     row : dict
     condition : Condition
     body : bytes or None, default=None
-        Object to write before the row that names it.
+        Object to write before the row that refers to it.
     """
 
     __slots__ = ("row", "condition", "body")
@@ -184,7 +186,7 @@
         self.body = body
 
     def write(self, clients, *, timeout=None):
-        """Write object and row.
+        """Write the object, if any, and then the row.
 
         Parameters
         ----------
@@ -194,7 +196,8 @@
         Returns
         -------
         bool
-            Whether the outcome is known: written, or held by another token.
+            True if the outcome is known: the row was written, or a row with another
+            token exists.
         """
         if self.body is not None:
             key = self.row["body_object"]
@@ -205,8 +208,8 @@
         return not is_failure(answer) or answer == CONFLICT
 
 
-class ClaimJanitor(pykka.ThreadingActor):
-    """Repeats writes while the platform is down.
+class ClaimWriteRetrier(pykka.ThreadingActor):
+    """Retries writes while the platform is unavailable.
 
     Parameters
     ----------
@@ -215,9 +218,9 @@
 
     Notes
     -----
-    Each write is idempotent: it holds the whole row and is made only over a row
-    of the same token. If this process ends first, the key stays claimed, and
-    later arrivals are told that its outcome is unknown, which is true.
+    Each write is idempotent: it contains the whole row and only replaces a row with
+    the same token. If this process ends before a write succeeds, the key stays
+    claimed, and later requests with this key correctly get an unknown outcome.
     """
 
     use_daemon_thread = True
@@ -228,25 +231,25 @@
         self.metrics = metrics
 
     def on_receive(self, message):
-        """Try one write; put it back if the platform can't be asked."""
+        """Try one write; enqueue it again if the platform is unavailable."""
         if message.write(self.clients):
             return
         if self.actor_inbox.qsize() > MAX_PENDING:
-            logger.warning("a claim's outcome is dropped: too many wait")
+            logger.warning("dropping the outcome of a claim: too many pending writes")
             self.metrics.count("claim_writes_dropped_total")
             return
         self.metrics.count("claim_writes_repeated_total")
-        self.actor_stopped.wait(RETRY_SECONDS)
+        self.actor_stopped.wait(RETRY_INTERVAL)
         if not self.actor_stopped.is_set():
             self.actor_ref.tell(message)
 
     def pending(self):
-        """Return how many writes wait."""
+        """Return the number of queued writes."""
         return self.actor_inbox.qsize()
 
 
 def claim_key(organisation, key):
-    """Return the table key of an organisation's idempotency key.
+    """Return the primary key of the row of an idempotency key.
 
     Parameters
     ----------
@@ -259,7 +262,7 @@
     return f"claim#{organisation}#{digest_of(key.encode())}"
 
 
-def _row(claim, row_key, state):
+def _claim_row(claim, row_key, state):
     return {
         "pk": row_key,
         "token": claim.token,
@@ -268,7 +271,7 @@
     }
 
 
-def _word(answer):
+def _write_outcome(answer):
     if not is_failure(answer):
         return "written"
     if answer == CONFLICT:
--- a/hawthornspoke/entry/_client.py
+++ b/hawthornspoke/entry/_client.py
@@ -1,19 +1,19 @@
-"""How request tasks talk to the control actor."""
+"""Client through which request threads call the control actor."""
 
 import pykka
 
 from hawthornspoke.base import Failure
 from hawthornspoke.node import Call
 
-CONTROL_BUSY = Failure(code="overloaded")
+CONTROL_OVERLOADED = Failure(code="overloaded")
 
-#: Seconds that a request task waits for the control actor. Its answers take
-#: well under a millisecond; a longer wait means that this host is overloaded.
-ASK_SECONDS = 2.0
+#: Timeout in seconds of a call to the control actor. Calls take well under a
+#: millisecond, so a timeout means that this host is overloaded.
+ASK_TIMEOUT = 2.0
 
 
 class ControlClient:
-    """Typed calls to the entry's control actor.
+    """Typed calls to the control actor of an entry host.
 
     Parameters
     ----------
@@ -46,12 +46,12 @@
         return self._ask("is_ready", {}) is True
 
     def revision_seen(self):
-        """Return the highest revision heard of."""
+        """Return the highest revision that this host knows of."""
         answer = self._ask("revision_seen", {})
         return answer if isinstance(answer, int) else 0
 
     def document_bytes(self, digest):
-        """Return the packed document in force, if it is this one."""
+        """Return the serialised document in force if it has this digest, else None."""
         answer = self._ask("document_bytes", {"digest": digest})
         return answer if isinstance(answer, bytes) else None
 
@@ -64,16 +64,16 @@
         self._tell("endpoint_refused", arguments)
 
     def hear_revision(self, revision):
-        """Pass on the revision of a message."""
+        """Report the revision that a message carried."""
         if revision:
             self._tell("hear_revision", {"revision": revision})
 
     def _ask(self, method, arguments):
         call = Call(method=method, arguments=arguments)
         try:
-            return self.actor.ask(call, timeout=ASK_SECONDS)
+            return self.actor.ask(call, timeout=ASK_TIMEOUT)
         except (pykka.Timeout, pykka.ActorDeadError) as error:
-            return CONTROL_BUSY.because(repr(error), retry_after=1.0)
+            return CONTROL_OVERLOADED.because(repr(error), retry_after=1.0)
 
     def _tell(self, method, arguments):
         if self.actor.is_alive():
--- a/hawthornspoke/entry/_context.py
+++ b/hawthornspoke/entry/_context.py
@@ -1,4 +1,4 @@
-"""One request on its way through the filters."""
+"""Per-request state, and parsing of request path, headers and body."""
 
 import uuid
 
@@ -11,25 +11,25 @@
 MODEL_PATHS = frozenset(["/v1/completions", "/v1/chat/completions"])
 SERVICE_PREFIX = "/services/"
 DEFAULT_URGENCY = 3
-LEAST_URGENT = 7
+MAX_URGENCY_VALUE = 7
 MAX_TIMEOUT = 3600.0
 MAX_KEY_LENGTH = 256
-PREFIX_CHARACTERS = 256
+PREFIX_LENGTH = 256
 
 HEADER_TIMEOUT = "x-request-timeout"
-HEADER_KEY = "idempotency-key"
+HEADER_IDEMPOTENCY_KEY = "idempotency-key"
 HEADER_IDEMPOTENT = "x-idempotent"
 HEADER_PRIORITY = "priority"
 
 
 class RequestContext:
-    """What the filters have found out about a request.
+    """State of one request, filled in by the filters of the pipeline.
 
     Parameters
     ----------
     request : hawthornspoke.web.Request
     default_timeout : float
-        Seconds, if the caller does not say.
+        Timeout in seconds if the caller does not set one.
     """
 
     __slots__ = (
@@ -45,7 +45,7 @@
         "service_name",
         "adapter",
         "path",
-        "body_tree",
+        "parsed_body",
         "streaming",
         "prefix",
         "organisation",
@@ -68,7 +68,7 @@
         self.service_name = ""
         self.adapter = ""
         self.path = ""
-        self.body_tree = None
+        self.parsed_body = None
         self.streaming = False
         self.prefix = ""
         self.organisation = ""
@@ -78,20 +78,20 @@
         self._quarantine_fingerprint = None
 
     def remaining(self):
-        """Return the seconds that the caller will still wait.
+        """Return the seconds until the deadline.
 
         Returns
         -------
         float
-            Counted on both clocks: one of them stands still with a suspended host,
-            and its caller waits no longer for that.
+            Minimum over both clocks: one of them stops while the host is suspended,
+            which does not extend the time that the caller waits.
         """
         given = self.deadline - self.arrived_at
         contact_left = self.contact_arrived_at + given - contact_clock()
         return min(contact_left, self.deadline - monotonic())
 
     def quarantine_fingerprint(self):
-        """Return what the request has in common with its repeats.
+        """Return a fingerprint that is equal for repeats of a request.
 
         Returns
         -------
@@ -108,7 +108,7 @@
         return self._quarantine_fingerprint
 
     def fingerprint(self):
-        """Return a digest of what the request asks for.
+        """Return a digest of method, path, service and body.
 
         Returns
         -------
@@ -119,7 +119,7 @@
 
 
 def read_context(context):
-    """Fill a context from the request's path, headers and body.
+    """Fill a context from path, headers and body of its request.
 
     Parameters
     ----------
@@ -142,17 +142,19 @@
 
 def _read_headers(context):
     headers = context.request.headers
-    context.key = headers.get(HEADER_KEY, "").strip('"')
+    context.key = headers.get(HEADER_IDEMPOTENCY_KEY, "").strip('"')
     if len(context.key) > MAX_KEY_LENGTH:
-        return BAD_REQUEST.because(f"Idempotency-Key over {MAX_KEY_LENGTH} characters")
-    timeout = _number(headers.get(HEADER_TIMEOUT))
+        return BAD_REQUEST.because(
+            f"Idempotency-Key is longer than {MAX_KEY_LENGTH} characters"
+        )
+    timeout = _parse_float(headers.get(HEADER_TIMEOUT))
     if timeout is not None:
         if not 0 < timeout <= MAX_TIMEOUT:
-            reason = f"X-Request-Timeout: seconds, 0 to {MAX_TIMEOUT:g}"
+            reason = f"X-Request-Timeout must be over 0 s and at most {MAX_TIMEOUT:g} s"
             return BAD_REQUEST.because(reason)
         context.deadline = context.arrived_at + timeout
     elif HEADER_TIMEOUT in headers:
-        return BAD_REQUEST.because("X-Request-Timeout: not a number of seconds")
+        return BAD_REQUEST.because("X-Request-Timeout is not a number")
     return _read_priority(context, headers.get(HEADER_PRIORITY, ""))
 
 
@@ -161,27 +163,29 @@
         name, equals, value = item.strip().partition("=")
         if name != "u" or not equals:
             continue
-        if not value.isdigit() or int(value) > LEAST_URGENT:
-            return BAD_REQUEST.because("Priority: u=0 to u=7")
+        if not value.isdigit() or int(value) > MAX_URGENCY_VALUE:
+            return BAD_REQUEST.because("Priority urgency must be u=0 to u=7")
         context.urgency = int(value)
     return None
 
 
 def _read_model_request(context):
     if context.request.method != "POST":
-        return BAD_REQUEST.because("completions are asked for by POST")
-    tree = context.request.json()
-    if not isinstance(tree, dict) or not isinstance(tree.get("model"), str):
-        return BAD_REQUEST.because('the body has to be JSON with a "model"')
+        return BAD_REQUEST.because("completions require the POST method")
+    parsed = context.request.json()
+    if not isinstance(parsed, dict) or not isinstance(parsed.get("model"), str):
+        return BAD_REQUEST.because(
+            'the body must be a JSON object with a string "model"'
+        )
     context.is_model = True
-    context.body_tree = tree
+    context.parsed_body = parsed
     context.path = context.request.path
-    context.streaming = tree.get("stream") is True
-    name, _, context.adapter = tree["model"].partition(":")
+    context.streaming = parsed.get("stream") is True
+    name, _, context.adapter = parsed["model"].partition(":")
     context.service_name = name
-    context.repeatable = not _is_marked(context)
-    prompt = str(tree.get("messages") or tree.get("prompt") or "")
-    context.prefix = digest_of(prompt[:PREFIX_CHARACTERS].encode())[:16]
+    context.repeatable = not _is_marked_non_idempotent(context)
+    prompt = str(parsed.get("messages") or parsed.get("prompt") or "")
+    context.prefix = digest_of(prompt[:PREFIX_LENGTH].encode())[:16]
     return None
 
 
@@ -192,17 +196,17 @@
     if context.request.query:
         context.path += "?" + context.request.query
     safe = context.request.method in IDEMPOTENT_METHODS
-    context.repeatable = safe and not _is_marked(context)
+    context.repeatable = safe and not _is_marked_non_idempotent(context)
     return None
 
 
-def _is_marked(context):
-    """Tell whether the caller has marked the request as not to be repeated."""
+def _is_marked_non_idempotent(context):
+    """Return whether the caller has marked the request as not idempotent."""
     word = context.request.headers.get(HEADER_IDEMPOTENT, "").lower()
     return bool(context.key) or word in ("false", "no", "0", "?0")
 
 
-def _number(text):
+def _parse_float(text):
     try:
         return None if text is None else float(text)
     except ValueError:
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -1,10 +1,10 @@
-"""The entry process's control actor: routing, limits and retries."""
+"""Control actor of the entry process: routing, rate limits and retries."""
 
 import hashlib
 
 from hawthornspoke.base import Failure, contact_clock, is_failure, monotonic
 from hawthornspoke.config import ServiceView
-from hawthornspoke.entry._suspects import Suspects
+from hawthornspoke.entry._suspects import QuarantineSync
 from hawthornspoke.limits import (
     Admitted,
     DemandHeard,
@@ -32,39 +32,40 @@
 NOT_READY = Failure(code="not_ready")
 DRAINING = Failure(code="draining")
 
-#: Endpoints of one service that a failure domain's summary tells the others of.
-SUMMARY_PER_SERVICE = 4
+#: Maximum number of endpoints per service in the summary of a failure domain.
+SUMMARY_ENDPOINTS_PER_SERVICE = 4
 
-#: Heartbeats after which the summary goes to the other failure domains again.
-SUMMARY_EVERY = 2
+#: Heartbeats between two summaries sent to the other failure domains.
+HEARTBEATS_PER_SUMMARY = 2
 
-#: Seconds after which an endpoint's unchanged state is relayed whole again, for
+#: Seconds after which the full state of an unchanged endpoint is relayed again, for
 #: entry hosts that are new or have lost a datagram.
-WHOLE_EVERY = 5.0
+FULL_RECORD_INTERVAL = 5.0
 
-#: Heartbeats for which a record counts as fresh.
+#: Number of heartbeat intervals for which a record counts as fresh.
 FRESH_HEARTBEATS = 2.5
 
-#: Heartbeats that a fresh entry host waits for before it is ready.
-FIRST_HEARTBEATS = 3
+#: Number of heartbeat intervals after its start before an entry host is ready.
+WARMUP_HEARTBEATS = 3
 
-#: Seconds within which an accepted revision has to be in force on every host
-#: (docs/PROMISES.md). Pollers of the table hear from it each second.
-CHANGES_BIND_AFTER = 5.0
+#: Seconds within which an accepted revision must be in force on every host
+#: (docs/PROMISES.md). Hosts that poll the table get an update every second.
+MAX_PROPAGATION_DELAY = 5.0
 
-DOMAIN_CLAIMANT = "domain:"
-BEARER = "bearer "
+DOMAIN_CLAIMANT_PREFIX = "domain:"
+BEARER_PREFIX = "bearer "
 
 
 class Admission:
-    """An admitted request's organisation and service.
+    """Organisation and service of an admitted request.
 
     Parameters
     ----------
     organisation : str
     service : ServiceView
     lowest_urgency : int
-        The most urgent that the organisation's requests may be.
+        Smallest urgency value, hence the most urgent one, that requests of the
+        organisation may have.
     """
 
     __slots__ = ("organisation", "service", "lowest_urgency")
@@ -76,7 +77,7 @@
 
 
 class Endpoint:
-    """Where a request is sent.
+    """Endpoint that a request is sent to.
 
     Parameters
     ----------
@@ -84,7 +85,7 @@
     address : str
     port : int
     digest : str
-        The weights that are live there, as last heard.
+        Digest of the weights that serve there, as last reported.
     """
 
     __slots__ = ("node", "address", "port", "digest")
@@ -97,7 +98,7 @@
 
 
 class EntryControl(ControlActor):
-    """Owns the router, the limits and the retry budget of an entry host.
+    """Owns the router, the rate limits and the retry budget of an entry host.
 
     Parameters
     ----------
@@ -113,23 +114,25 @@
         self.router = Router(policy=settings["policy"])
         self.limits = RateShares()
         self.retries = RetryBudget(ratio=float(settings["retry_ratio"]))
-        self.suspects = Suspects(core=self.core, socket=socket, metrics=metrics)
+        self.quarantine_sync = QuarantineSync(
+            core=self.core, socket=socket, metrics=metrics
+        )
         self.service_by_name = {}
         self.organisation_by_key = {}
         self.organisations = {}
-        # Node to (what was told whole, when to tell it whole again).
-        self.relayed_by_node = {}
-        # Agents that report here: their last own record, and when it came.
-        self.direct_by_node = {}
-        # Until when another relay's copy of an agent's record is fresh.
+        # Per node: version of the last full record relayed, and the time of the next.
+        self.full_relay_by_node = {}
+        # Per agent that reports to this host: last record, and its time of receipt.
+        self.direct_report_by_node = {}
+        # Per agent: time until which the copy of another relay is fresh.
         self.copy_deadline_by_node = {}
-        self.domain = settings["failure_domain"]
-        # A fresh entry host knows of no endpoint until their next heartbeats:
-        # callers sent here before that would be refused for nothing.
-        first = FIRST_HEARTBEATS * settings["heartbeat_every"]
-        self.ready_deadline = monotonic() + first
+        self.own_domain = settings["failure_domain"]
+        # A new entry host knows no endpoints until their next heartbeats, and would
+        # refuse callers needlessly before that.
+        warmup = WARMUP_HEARTBEATS * settings["heartbeat_every"]
+        self.ready_deadline = monotonic() + warmup
 
-    # Calls of the request tasks.
+    # Methods called by the request threads.
 
     def admit(self, *, authorization, service_name, now):
         """Authenticate, authorise and limit one request.
@@ -145,7 +148,7 @@
         -------
         Admission or Failure
         """
-        organisation = self._allow(authorization, service_name, now)
+        organisation = self._authorise(authorization, service_name, now)
         if is_failure(organisation):
             return organisation
         service = self.service_by_name[service_name]
@@ -161,70 +164,70 @@
     def recheck(
         self, *, authorization, organisation, service_name, node, fingerprint, now
     ):
-        """Look once more at what a request needs, just before it is sent.
+        """Repeat the checks on a request immediately before it is sent.
 
         Parameters
         ----------
         authorization : str
         organisation : str
-            As it was admitted.
+            Organisation that the request was admitted for.
         service_name : str
         node : str
-            The endpoint's.
+            Node of the endpoint.
         fingerprint : str
-            Of the request.
+            Quarantine fingerprint of the request.
         now : float
 
         Returns
         -------
         None or Failure
         """
-        allowed = self._allow(authorization, service_name, now)
+        allowed = self._authorise(authorization, service_name, now)
         if is_failure(allowed):
             return allowed
         if allowed != organisation:
-            reason = "the key is another organisation's now"
-            return self._denied(UNAUTHENTICATED.because(reason), now)
+            reason = "the key now belongs to another organisation"
+            return self._denial(UNAUTHENTICATED.because(reason), now)
         view = self.core.membership.by_id.get(node)
         is_known = view is not None and view.member is not None
         if not is_known or view.status == "leaving" or view.member.leaving:
-            return DRAINING.because(f"{node} leaves")
-        return self.suspects.refusal(fingerprint, now=now)
+            return DRAINING.because(f"{node} is leaving")
+        return self.quarantine_sync.quarantine_failure(fingerprint, now=now)
 
-    def _allow(self, authorization, service_name, now):
+    def _authorise(self, authorization, service_name, now):
         """Return the organisation that may use a service, or a Failure."""
         if not self.core.holder.confirmed(now=now):
             reason = "no configuration is in force here yet"
             return NOT_READY.because(reason, retry_after=1.0)
-        if not authorization.lower().startswith(BEARER):
-            # No configuration allows that.
-            return UNAUTHENTICATED.because("no bearer key in Authorization")
+        if not authorization.lower().startswith(BEARER_PREFIX):
+            # No configuration permits requests without a key, so its age is irrelevant.
+            return UNAUTHENTICATED.because("the Authorization header has no bearer key")
         organisation = self._authenticate(authorization)
         if is_failure(organisation):
-            return self._denied(organisation, now)
+            return self._denial(organisation, now)
         service = self.service_by_name.get(service_name)
         if service is None:
             missing = NO_SUCH_SERVICE.because(f"no service {service_name!r}")
-            return self._denied(missing, now)
+            return self._denial(missing, now)
         if not service.serves(organisation):
-            reason = f"{service_name!r} is not open to {organisation!r}"
-            return self._denied(FORBIDDEN.because(reason), now)
+            reason = f"{organisation!r} may not use {service_name!r}"
+            return self._denial(FORBIDDEN.because(reason), now)
         return organisation
 
-    def _denied(self, failure, now):
-        """Return a refusal, for good only if the configuration is known to be new.
+    def _denial(self, failure, now):
+        """Return a final failure only if the configuration is known to be recent.
 
-        A caller that is told so does not return. On a host that was cut off while
-        its key was added it would be told so for nothing; one would notice 401 on
-        some hosts only. Told that the host can't tell, it goes to another one.
+        Callers do not retry after a final failure such as 401. A host that was
+        partitioned while a key was added would return it wrongly, while other hosts
+        accept the key. ``not_ready`` makes the caller retry at another host.
         """
         may_deny = self.core.holder.may_deny(
-            binds_after=CHANGES_BIND_AFTER, contact_now=contact_clock()
+            binds_after=MAX_PROPAGATION_DELAY, contact_now=contact_clock()
         )
         if may_deny:
             return failure
         self.core.hasten_table(now=now)
-        reason = f"{failure.code}, by a configuration that may be old"
+        reason = f"{failure.code} by a configuration that may be outdated"
         return NOT_READY.because(reason, retry_after=1.0)
 
     def choose(self, *, service, adapter, prefix, digest, excluded, fingerprint, now):
@@ -236,24 +239,27 @@
         adapter : str
         prefix : str
         digest : str or None
-            Only endpoints with exactly these weights; None for any right ones.
+            Restricts the choice to endpoints with these weights; None for any
+            weights that the service accepts.
         excluded : frozenset of str
         fingerprint : str
-            Of the request.
+            Quarantine fingerprint of the request.
         now : float
 
         Returns
         -------
         Endpoint or Failure
         """
-        refusal = self.suspects.refusal(fingerprint, now=now)
-        if refusal is not None:
-            return refusal
+        quarantine_failure = self.quarantine_sync.quarantine_failure(
+            fingerprint, now=now
+        )
+        if quarantine_failure is not None:
+            return quarantine_failure
         live_by_node = self._live_endpoints(service, adapter, digest)
         message = Choose(
             traits=RequestTraits(service=service.name, prefix=prefix),
             endpoints=[view for view, _ in live_by_node.values()],
-            failure_domain=self.domain,
+            failure_domain=self.own_domain,
             excluded=excluded,
         )
         (outcome,) = self.router.step(message, now=now)
@@ -265,27 +271,27 @@
         )
 
     def attempt_ended(
-        self, *, node, failed, first_byte, done, fingerprint, now, engine_end=""
+        self, *, node, failed, first_byte, done, fingerprint, now, engine_exit_id=""
     ):
-        """Learn from an attempt."""
+        """Update router, retry budget and quarantine with the result of an attempt."""
         outcome = Outcome(node=node, failed=failed, first_byte=first_byte)
         self.router.step(outcome, now=now)
         if done:
             self.retries.step(Succeeded(), now=now)
-            self.suspects.answered(fingerprint, now=now)
-        if engine_end:
-            self.suspects.engine_ended(
-                engine_end, fingerprint, in_use=self.router.in_use(), now=now
+            self.quarantine_sync.record_completion(fingerprint, now=now)
+        if engine_exit_id:
+            self.quarantine_sync.record_engine_exit(
+                engine_exit_id, fingerprint, in_use=self.router.in_use(), now=now
             )
 
     def endpoint_refused(self, *, node, code, key, live, now):
-        """Take an endpoint's refusal as the newest news of its state."""
+        """Update the state of an endpoint from its refusal."""
         view = self.core.membership.by_id.get(node)
         if view is None or view.member is None:
             return
         if code == "draining":
-            # The refusal is the quickest sign of leaving; waiting for the next
-            # heartbeat would send it more requests to refuse.
+            # The refusal precedes the next heartbeat; until then the endpoint would
+            # get further requests and refuse them.
             view.member.leaving = True
         elif code == "wrong_digest":
             others = [
@@ -296,7 +302,7 @@
             view.member.live = others
 
     def ask_retry(self, *, repeatable, was_run, deadline, now):
-        """Ask the budget for another attempt.
+        """Request another attempt from the retry budget.
 
         Returns
         -------
@@ -307,15 +313,15 @@
         return outcome
 
     def is_ready(self, *, now):
-        """Tell whether a balancer may send callers here."""
+        """Return whether a load balancer may send callers to this host."""
         if self.leaving or now < self.ready_deadline:
             return False
         return self.core.holder.confirmed(now=now)
 
-    # What the base calls.
+    # Hooks called by the base class.
 
     def put_in_force(self, document, *, now):
-        """Take services, organisations and limits of a new document."""
+        """Apply services, organisations and limits of a new document."""
         self.service_by_name = {
             name: ServiceView(name=name, table=table)
             for name, table in document["services"].items()
@@ -333,19 +339,19 @@
         self.limits.step(limits, now=now)
 
     def member_changed(self, change, *, now):
-        """Forget endpoints that are gone; tell new entry hosts everything."""
+        """Remove dead endpoints; send the full state to new entry hosts."""
         view = self.core.membership.by_id.get(change.node)
         if change.after == "alive" and view is not None and view.role == "entry":
-            # A fresh neighbour can't complete light records.
-            self.relayed_by_node.clear()
-            self.suspects.tell_new(view, now=now)
+            # A new entry host lacks the full records that light ones refer to.
+            self.full_relay_by_node.clear()
+            self.quarantine_sync.send_all(view, now=now)
         if change.after == "dead":
             self.router.forget(change.node)
-            self.relayed_by_node.pop(change.node, None)
+            self.full_relay_by_node.pop(change.node, None)
             self.copy_deadline_by_node.pop(change.node, None)
 
     def hosts_changed(self, *, now):
-        """Count the entry hosts that limits are shared with."""
+        """Update the entry hosts among which the rate limits are shared."""
         counts = {}
         for view in self.core.membership.by_id.values():
             if view.role != "entry" or view.status == "leaving":
@@ -357,62 +363,62 @@
         self.limits.step(PeersKnown(hosts_by_claimant=counts), now=now)
 
     def send_heartbeat(self, *, now):
-        """Gossip to the own failure domain, and a summary to the others."""
+        """Send gossip to the own failure domain and a summary to the others."""
         entries = self.core.reachable_entries()
-        own = [view for view in entries if view.failure_domain == self.domain]
-        members = self._direct_agents(now)
+        own = [view for view in entries if view.failure_domain == self.own_domain]
+        members = self._direct_reports(now)
         datagram = self.core.gossip(self._member(self.limits.demand(now=now)), members)
         self.socket.send(datagram, [(view.address, view.port) for view in own])
-        if self.seq % SUMMARY_EVERY == 0 or self.leaving:
+        if self.seq % HEARTBEATS_PER_SUMMARY == 0 or self.leaving:
             self._send_summary(entries, own, now)
-        self.suspects.tell_all(now=now)
+        self.quarantine_sync.resend_recent(now=now)
 
     def answer_heartbeat(self, gossip, source, *, now):
-        """Tell an agent the revision, and its neighbours if it asks."""
+        """Reply with the revision, and with peers if the agent is loading weights."""
         members = []
         if gossip.sender.warming:
-            members = self._neighbours(gossip.sender, now)
+            members = self._loading_peers(gossip.sender, now)
         reply = self.core.gossip(self._member({}), members)
         self.socket.send(reply, [source])
 
     def dump(self, *, now):
-        """Return the whole state as plain data."""
+        """Return the state as plain data."""
         return {
             **super().dump(now=now),
             "router": self.router.dump(now=now),
             "limits": self.limits.dump(now=now),
             "retries": self.retries.dump(now=now),
-            "quarantine": self.suspects.quarantine.dump(now=now),
+            "quarantine": self.quarantine_sync.quarantine.dump(now=now),
         }
 
     def _on_datagram(self, message, now):
         super()._on_datagram(message, now)
         if message.datagram.evidence is not None:
-            self.suspects.hear(message.datagram.evidence, now=now)
+            self.quarantine_sync.merge_evidence(message.datagram.evidence, now=now)
         gossip = message.datagram.gossip
         if gossip is None or gossip.sender is None:
             return
         if gossip.sender.role == Role.ENTRY:
-            self._hear_demand(gossip.sender, now)
+            self._update_demand(gossip.sender, now)
         if gossip.sender.role == Role.AGENT:
-            self.direct_by_node[gossip.sender.node] = (gossip.sender, now)
-            self._hear_load(gossip.sender, now)
+            self.direct_report_by_node[gossip.sender.node] = (gossip.sender, now)
+            self._update_load(gossip.sender, now)
         fresh = FRESH_HEARTBEATS * self.settings["heartbeat_every"]
         for member in gossip.members or ():
-            if gossip.sender.failure_domain == self.domain:
+            if gossip.sender.failure_domain == self.own_domain:
                 self.copy_deadline_by_node[member.node] = now + fresh
-            self._hear_load(member, now)
+            self._update_load(member, now)
 
-    def _hear_demand(self, sender, now):
+    def _update_demand(self, sender, now):
         claimant = self._claimant(sender.node, sender.failure_domain)
         demand = dict(sender.demand or {})
         message = DemandHeard(claimant=claimant, demand_by_organisation=demand)
         self.limits.step(message, now=now)
 
-    def _hear_load(self, member, now):
+    def _update_load(self, member, now):
         view = self.core.membership.by_id.get(member.node)
         if view is None or view.member is not member:
-            # Not the newest state of that endpoint.
+            # Not the newest record of that endpoint.
             return
         message = LoadHeard(
             node=member.node,
@@ -424,15 +430,15 @@
         self.router.step(message, now=now)
 
     def _claimant(self, node, failure_domain):
-        if failure_domain == self.domain:
+        if failure_domain == self.own_domain:
             return node
-        return DOMAIN_CLAIMANT + failure_domain
+        return DOMAIN_CLAIMANT_PREFIX + failure_domain
 
     def _authenticate(self, authorization):
-        key = authorization[len(BEARER) :].strip()
+        key = authorization[len(BEARER_PREFIX) :].strip()
         name = self.organisation_by_key.get(hashlib.sha256(key.encode()).hexdigest())
         if name is None:
-            return UNAUTHENTICATED.because("the key is not one of an organisation")
+            return UNAUTHENTICATED.because("the key belongs to no organisation")
         return name
 
     def _live_endpoints(self, service, adapter, digest):
@@ -450,14 +456,14 @@
         return live_by_node
 
     def own_member(self, *, now):
-        """Return this node's state as it is gossiped."""
+        """Return the state of this node as sent in gossip."""
         return self._member(self.limits.demand(now=now))
 
     def _member(self, demand):
         return Member(
             node=self.settings["node"],
             role=Role.ENTRY,
-            failure_domain=self.domain,
+            failure_domain=self.own_domain,
             address=self.settings["address"],
             port=self.settings["port"],
             incarnation=self.incarnation,
@@ -467,14 +473,14 @@
             demand=demand or None,
         )
 
-    def _direct_agents(self, now):
-        """Return the agents that report to this host, with their age."""
+    def _direct_reports(self, now):
+        """Return the records of agents that report to this host, with their age."""
         entries = self.core.reachable_entries()
         members = []
-        for node, (member, heard_at) in list(self.direct_by_node.items()):
+        for node, (member, heard_at) in list(self.direct_report_by_node.items()):
             age = now - heard_at
             if age > FRESH_HEARTBEATS * self.settings["heartbeat_every"]:
-                del self.direct_by_node[node]
+                del self.direct_report_by_node[node]
                 continue
             relays = may_relay(
                 relay=self.settings["node"],
@@ -485,16 +491,19 @@
                 now=now,
             )
             if relays:
-                members.append(self._relayed(member, age, now))
+                members.append(self._relay_record(member, age, now))
         return members
 
-    def _relayed(self, member, age, now):
-        """Return the whole state if it changed or is due, else a light record."""
-        told = self.relayed_by_node.get(member.node)
-        stamp = (member.incarnation, member.static_seq)
-        if told is None or told[0] != stamp or now >= told[1]:
-            self.relayed_by_node[member.node] = (stamp, now + WHOLE_EVERY)
-            return _aged(member, age)
+    def _relay_record(self, member, age, now):
+        """Return the full record if it changed or is due, else a light record."""
+        last_full = self.full_relay_by_node.get(member.node)
+        record_version = (member.incarnation, member.static_seq)
+        if last_full is None or last_full[0] != record_version or now >= last_full[1]:
+            self.full_relay_by_node[member.node] = (
+                record_version,
+                now + FULL_RECORD_INTERVAL,
+            )
+            return _full_record(member, age)
         return Member(
             node=member.node,
             incarnation=member.incarnation,
@@ -508,12 +517,12 @@
 
     def _send_summary(self, entries, own, now):
         targets = summary_targets(
-            failure_domain=self.domain,
+            failure_domain=self.own_domain,
             entries=entries,
             place=sorted([self.settings["node"], *(view.node for view in own)]).index(
                 self.settings["node"]
             ),
-            turn=self.seq // SUMMARY_EVERY,
+            turn=self.seq // HEARTBEATS_PER_SUMMARY,
         )
         if not targets:
             return
@@ -525,17 +534,20 @@
     def _domain_demand(self, now):
         totals = dict(self.limits.demand(now=now))
         for name, claimant in self.limits.by_claimant.items():
-            if name.startswith(DOMAIN_CLAIMANT) or now >= claimant.stale_deadline:
+            if (
+                name.startswith(DOMAIN_CLAIMANT_PREFIX)
+                or now >= claimant.stale_deadline
+            ):
                 continue
             for organisation, demand in claimant.demand_by_organisation.items():
                 totals[organisation] = totals.get(organisation, 0.0) + demand
         return totals
 
     def _summary(self, now):
-        """Return the least loaded endpoints of each service of this domain."""
+        """Return the least loaded endpoints per service of this failure domain."""
         by_service = {}
         for view in self.core.membership.by_id.values():
-            if view.role != "agent" or view.failure_domain != self.domain:
+            if view.role != "agent" or view.failure_domain != self.own_domain:
                 continue
             if view.member is None or view.status not in ("alive", "leaving"):
                 continue
@@ -546,12 +558,12 @@
         chosen = {}
         for ranked in by_service.values():
             for _, node, view in sorted(ranked, key=lambda item: item[:2])[
-                :SUMMARY_PER_SERVICE
+                :SUMMARY_ENDPOINTS_PER_SERVICE
             ]:
-                chosen[node] = _aged(view.member, now - view.heard_at)
+                chosen[node] = _full_record(view.member, now - view.heard_at)
         return list(chosen.values())
 
-    def _neighbours(self, sender, now):
+    def _loading_peers(self, sender, now):
         services = set(sender.progress or {})
         members = []
         for view in self.core.membership.by_id.values():
@@ -560,12 +572,12 @@
             if view.failure_domain != sender.failure_domain:
                 continue
             if services & set(view.member.progress or {}):
-                members.append(_aged(view.member, now - view.heard_at))
+                members.append(_full_record(view.member, now - view.heard_at))
         return members
 
 
-def _aged(member, age):
-    """Return a member's state to be relayed, with its age."""
+def _full_record(member, age):
+    """Return the full record of a member for relaying, with its age."""
     return Member(
         node=member.node,
         role=member.role,
--- a/hawthornspoke/entry/_forward.py
+++ b/hawthornspoke/entry/_forward.py
@@ -1,7 +1,7 @@
-"""Attempts after attempts, until there is an answer or a final failure."""
+"""Runs attempts until the request is answered or has finally failed."""
 
 from hawthornspoke.base import is_failure, monotonic
-from hawthornspoke.entry._answers import FINAL_CODES, NOT_RUN, UNKNOWN
+from hawthornspoke.entry._answers import NON_RETRYABLE_CODES, NOT_RUN, UNKNOWN
 from hawthornspoke.entry._attempt import (
     CALLER_GONE,
     CUT_OFF,
@@ -12,19 +12,21 @@
 from hawthornspoke.protocol import EventKind
 from hawthornspoke.retries import RetryAllowed
 
-#: Attempts of one request at most, however cheap each was.
+#: Maximum number of attempts per request, including those that use no retry budget.
 MAX_ATTEMPTS = 6
 
-#: Refusals that only tell where not to go: trying the next endpoint adds no
-#: load anywhere, so they cost no retry budget.
-REDIRECTS = frozenset(["draining", "wrong_digest", "not_sent", "engine_down"])
+#: Refusals by endpoints that have done no work. Trying the next endpoint adds no
+#: load, so it uses no retry budget.
+UNCHARGED_REFUSALS = frozenset(["draining", "wrong_digest", "not_sent", "engine_down"])
 
-#: Failures for which the endpoint is to blame.
-BLAMED = frozenset(["cut_off", "not_sent", "wrong_answer", "engine_down", "timed_out"])
+#: Failures that the router attributes to the endpoint.
+ENDPOINT_FAULTS = frozenset(
+    ["cut_off", "not_sent", "wrong_answer", "engine_down", "timed_out"]
+)
 
 
-class Head:
-    """The start of an answer.
+class AnswerHead:
+    """Status, headers and origin of an answer.
 
     Parameters
     ----------
@@ -43,8 +45,8 @@
         self.node = node
 
 
-class GivenUp:
-    """A request that got no whole answer.
+class FinalFailure:
+    """Final failure of a request without a complete answer.
 
     Parameters
     ----------
@@ -72,8 +74,8 @@
 
     Attributes
     ----------
-    given_up : GivenUp or None
-        Set if :meth:`pieces` ended without the whole answer.
+    final_failure : FinalFailure or None
+        Set if :meth:`chunks` ended before the answer was complete.
     """
 
     __slots__ = (
@@ -81,14 +83,14 @@
         "control",
         "pool",
         "metrics",
-        "given_up",
+        "final_failure",
         "_excluded",
-        "_switched",
+        "_retried_after_switch",
         "_digest",
-        "_sent_tokens",
-        "_ever_run",
+        "_tokens_sent",
+        "_may_have_run",
         "_attempt",
-        "_head_given",
+        "_head_sent",
     )
 
     def __init__(self, *, context, control, pool, metrics):
@@ -96,33 +98,33 @@
         self.control = control
         self.pool = pool
         self.metrics = metrics
-        self.given_up = None
+        self.final_failure = None
         self._excluded = set()
-        self._switched = set()
+        self._retried_after_switch = set()
         self._digest = None
-        self._sent_tokens = 0
-        self._ever_run = False
+        self._tokens_sent = 0
+        self._may_have_run = False
         self._attempt = None
-        self._head_given = False
+        self._head_sent = False
 
-    def pieces(self):
-        """Yield the head, then the pieces of the answer's body.
+    def chunks(self):
+        """Yield the head, then the body of the answer in chunks.
 
         Yields
         ------
-        Head or bytes
-            If the generator ends with :attr:`given_up` set, the answer is not
-            whole and must not look as if it were.
+        AnswerHead or bytes
+            If the generator ends with :attr:`final_failure` set, the answer is
+            incomplete and must not appear complete to the caller.
         """
         try:
-            while self.given_up is None:
-                finished = yield from self._one_attempt()
+            while self.final_failure is None:
+                finished = yield from self._run_attempt()
                 if finished:
                     return
         finally:
             self._abandon()
 
-    def _one_attempt(self):
+    def _run_attempt(self):
         endpoint = self.control.choose(
             service=self.context.service,
             adapter=self.context.adapter,
@@ -132,31 +134,33 @@
             fingerprint=self.context.quarantine_fingerprint(),
         )
         if is_failure(endpoint):
-            self._give_up(endpoint)
+            self._fail(endpoint)
             return True
         attempt = Attempt(
             context=self.context,
             endpoint=endpoint,
             pool=self.pool,
             revision=self.control.revision_seen(),
-            resume_from=self._sent_tokens,
+            resume_from=self._tokens_sent,
             recheck=lambda: self._recheck(endpoint),
         )
         self._attempt = attempt
         for event in attempt.events():
             if event.kind == EventKind.HEAD:
-                if not self._is_right(event, endpoint):
+                if not self._has_expected_weights(event, endpoint):
                     attempt.abandon()
-                    attempt.ended.failure = WRONG_ANSWER.because("other weights")
+                    attempt.result.failure = WRONG_ANSWER.because(
+                        "answered by other weights"
+                    )
                     break
-                if not self._head_given:
-                    self._head_given = True
+                if not self._head_sent:
+                    self._head_sent = True
                     self._digest = endpoint.digest
-                    yield _head(event, endpoint)
+                    yield _answer_head(event, endpoint)
             else:
-                self._sent_tokens += event.count or 0
+                self._tokens_sent += event.count or 0
                 yield event.data
-        return self._after(attempt, endpoint)
+        return self._finish_attempt(attempt, endpoint)
 
     def _recheck(self, endpoint):
         context = self.context
@@ -168,101 +172,103 @@
             fingerprint=context.quarantine_fingerprint(),
         )
 
-    def _is_right(self, event, endpoint):
-        """Tell whether the answer is by the weights it was asked of."""
+    def _has_expected_weights(self, event, endpoint):
+        """Return whether the requested weights produced the answer."""
         if not self.context.is_model:
             return True
         return (event.digest or "") == endpoint.digest
 
-    def _after(self, attempt, endpoint):
-        """Learn from an attempt; return True if there is to be no other."""
+    def _finish_attempt(self, attempt, endpoint):
+        """Report the result of an attempt; return True if it was the last one."""
         self._attempt = None
-        ended = attempt.ended
-        code = "done" if ended.done else ended.failure.code
+        result = attempt.result
+        code = "done" if result.done else result.failure.code
         self.metrics.count("attempts_total", outcome=code)
         self.control.attempt_ended(
             node=endpoint.node,
-            failed=code in BLAMED,
+            failed=code in ENDPOINT_FAULTS,
             first_byte=attempt.first_byte,
-            done=ended.done,
+            done=result.done,
             fingerprint=self.context.quarantine_fingerprint(),
-            engine_end=ended.engine_end,
+            engine_exit_id=result.engine_exit_id,
         )
-        self.control.hear_revision(attempt.revision_heard)
-        if ended.done:
+        self.control.hear_revision(attempt.received_revision)
+        if result.done:
             return True
-        self._ever_run = self._ever_run or ended.was_run
-        if code in REDIRECTS:
+        self._may_have_run = self._may_have_run or result.was_run
+        if code in UNCHARGED_REFUSALS:
             self.control.endpoint_refused(
                 node=endpoint.node,
                 code=code,
                 key=self.context.service.live_key(self.context.adapter),
-                live=ended.live,
+                live=result.live,
             )
-        if not self._has_switched(ended, endpoint):
+        if not self._may_try_new_weights(result, endpoint):
             self._excluded.add(endpoint.node)
-        return not self._may_retry(ended)
+        return not self._may_retry(result)
 
-    def _has_switched(self, ended, endpoint):
-        """Tell whether an endpoint refused only because it has just switched.
+    def _may_try_new_weights(self, result, endpoint):
+        """Return whether the endpoint may be tried again with its new weights.
 
-        When all hosts change over in the same moment, every endpoint refuses
-        what was routed for the old weights. The refusal names the new ones, so
-        the endpoint is asked once more, in place of giving the request up.
+        When all hosts switch weights at the same time, every endpoint refuses
+        requests routed for the old weights. The refusal names the new weights, so
+        the endpoint is tried once more instead of failing the request.
         """
-        if ended.failure.code != "wrong_digest" or not ended.live:
+        if result.failure.code != "wrong_digest" or not result.live:
             return False
-        if self._head_given or endpoint.node in self._switched:
+        if self._head_sent or endpoint.node in self._retried_after_switch:
             return False
-        self._switched.add(endpoint.node)
+        self._retried_after_switch.add(endpoint.node)
         adapter = self.context.adapter
-        return self.context.service.accepts(ended.live, adapter=adapter)
+        return self.context.service.accepts(result.live, adapter=adapter)
 
-    def _may_retry(self, ended):
-        failure = ended.failure
-        is_final = failure == CALLER_GONE or failure.code in FINAL_CODES
-        if is_final or not self._can_go_on(ended):
-            self._give_up(failure)
+    def _may_retry(self, result):
+        failure = result.failure
+        is_final = failure == CALLER_GONE or failure.code in NON_RETRYABLE_CODES
+        if is_final or not self._can_resume(result):
+            self._fail(failure)
             return False
         if self.context.attempts >= MAX_ATTEMPTS:
-            self._give_up(failure)
+            self._fail(failure)
             return False
-        if not ended.was_run and failure.code in REDIRECTS:
-            return monotonic() < self.context.deadline or self._late(failure)
+        if not result.was_run and failure.code in UNCHARGED_REFUSALS:
+            return monotonic() < self.context.deadline or self._fail_past_deadline(
+                failure
+            )
         answer = self.control.ask_retry(
             repeatable=self.context.repeatable,
-            was_run=ended.was_run,
+            was_run=result.was_run,
             deadline=self.context.deadline,
         )
         if isinstance(answer, RetryAllowed):
             self.metrics.count("retries_total")
             return True
-        self._give_up(failure)
+        self._fail(failure)
         return False
 
-    def _can_go_on(self, ended):
-        """Tell whether another attempt could continue what the caller has."""
-        if not self._head_given:
+    def _can_resume(self, result):
+        """Return whether another attempt can continue the answer sent so far."""
+        if not self._head_sent:
             return True
-        # The caller holds part of an answer. Only a stream of tokens can be
-        # continued, by the same weights, and only where a second run is allowed.
+        # The caller has part of the answer. Only a token stream can be resumed, by
+        # the same weights and only if the request may run twice.
         return (
             self.context.is_model and self.context.streaming and self.context.repeatable
         )
 
-    def _late(self, failure):
-        self._give_up(failure)
+    def _fail_past_deadline(self, failure):
+        self._fail(failure)
         return False
 
-    def _give_up(self, failure):
+    def _fail(self, failure):
         if failure == TIMED_OUT or failure == CUT_OFF:
             outcome = UNKNOWN
         else:
-            outcome = UNKNOWN if self._ever_run else NOT_RUN
-        self.given_up = GivenUp(failure=failure, outcome=outcome)
+            outcome = UNKNOWN if self._may_have_run else NOT_RUN
+        self.final_failure = FinalFailure(failure=failure, outcome=outcome)
 
     def _abandon(self):
-        """Cancel the attempt that runs when the caller's side is closed."""
+        """Cancel the running attempt when the generator is closed early."""
         attempt = self._attempt
         if attempt is None:
             return
@@ -277,8 +283,8 @@
         )
 
 
-def _head(event, endpoint):
-    return Head(
+def _answer_head(event, endpoint):
+    return AnswerHead(
         status=event.status or 200,
         headers=dict(event.headers or {}),
         digest=event.digest or "",
--- a/hawthornspoke/entry/_pipeline.py
+++ b/hawthornspoke/entry/_pipeline.py
@@ -1,4 +1,4 @@
-"""The filters that a request passes, in order."""
+"""Request pipeline: admission, idempotency claim, forwarding and response."""
 
 from hawthornspoke.base import Failure, is_failure, monotonic
 from hawthornspoke.claims import Answered, GiveStored, NotRun, RefuseNow, Unknown
@@ -6,8 +6,8 @@
     DONE,
     NOT_RUN,
     UNKNOWN,
+    error_body,
     error_response,
-    error_tree,
 )
 from hawthornspoke.entry._attempt import CUT_OFF
 from hawthornspoke.entry._context import BAD_REQUEST, RequestContext, read_context
@@ -16,11 +16,11 @@
 
 TOO_LATE = Failure(code="deadline_passed")
 
-HEADERS_KEPT = frozenset(["content-type", "cache-control", "location"])
+FORWARDED_HEADERS = frozenset(["content-type", "cache-control", "location"])
 
 
 class Pipeline:
-    """Answers callers.
+    """Handles HTTP requests of callers through a sequence of filters.
 
     Parameters
     ----------
@@ -78,10 +78,10 @@
                     return response
         finally:
             if not streaming:
-                self._left(context)
-        raise AssertionError("the last filter always answers")
+                self._request_ended(context)
+        raise AssertionError("the last filter returned no response")
 
-    # The filters. Each returns a response, or None to pass the request on.
+    # Filters. Each returns a response, or None to continue with the next filter.
 
     def _read(self, context):
         failure = read_context(context)
@@ -99,9 +99,9 @@
         context.organisation = admission.organisation
         context.service = admission.service
         context.urgency = max(context.urgency, admission.lowest_urgency)
-        return self._check_kind(context)
+        return self._check_service_kind(context)
 
-    def _check_kind(self, context):
+    def _check_service_kind(self, context):
         service = context.service
         if context.is_model != (service.kind == "model"):
             path = "/v1/..." if service.kind == "model" else "/services/..."
@@ -109,29 +109,32 @@
             return self._refuse(context, BAD_REQUEST.because(reason))
         if context.adapter and context.adapter not in service.adapters:
             known = ", ".join(sorted(service.adapters)) or "none"
-            reason = f"no adapter {context.adapter!r}; there are: {known}"
+            reason = f"no adapter {context.adapter!r}; available adapters: {known}"
             return self._refuse(context, BAD_REQUEST.because(reason))
         return None
 
     def _check_deadline(self, context):
         if monotonic() < context.deadline:
             return None
-        return self._refuse(context, TOO_LATE.because("the time was up on arrival"))
+        return self._refuse(
+            context,
+            TOO_LATE.because("the deadline passed before the request was processed"),
+        )
 
     def _claim(self, context):
         if not context.key:
             return None
-        claim, verdict = self.claims.begin(
+        claim, decision = self.claims.begin(
             organisation=context.organisation,
             key=context.key,
             fingerprint=context.fingerprint(),
             deadline=context.deadline,
         )
-        if isinstance(verdict, GiveStored):
-            return self._give_stored(context, verdict)
-        if isinstance(verdict, RefuseNow):
-            outcome = UNKNOWN if verdict.was_run else NOT_RUN
-            return self._refuse(context, verdict.failure, outcome=outcome)
+        if isinstance(decision, GiveStored):
+            return self._stored_response(context, decision)
+        if isinstance(decision, RefuseNow):
+            outcome = UNKNOWN if decision.was_run else NOT_RUN
+            return self._refuse(context, decision.failure, outcome=outcome)
         context.claim = claim
         return None
 
@@ -142,88 +145,89 @@
             pool=self.pool,
             metrics=self.metrics,
         )
-        pieces = forwarder.pieces()
-        head = next(pieces, None)
+        chunks = forwarder.chunks()
+        head = next(chunks, None)
         if head is None:
-            return self._gave_up(context, forwarder)
+            return self._failed(context, forwarder)
         if context.streaming and context.claim is None:
-            return self._stream(context, forwarder, head, pieces)
-        body = b"".join(pieces)
-        if forwarder.given_up is not None:
-            return self._gave_up(context, forwarder)
-        return self._whole(context, head, body)
+            return self._stream(context, forwarder, head, chunks)
+        body = b"".join(chunks)
+        if forwarder.final_failure is not None:
+            return self._failed(context, forwarder)
+        return self._complete_response(context, head, body)
 
-    # Ways to answer.
+    # Responses.
 
-    def _whole(self, context, head, body):
+    def _complete_response(self, context, head, body):
         headers = self._answer_headers(context, head)
-        self._claim_ended(
+        self._finish_claim(
             context, Answered(status=head.status, headers=headers, body=body)
         )
-        self._counted(context, DONE)
+        self._record_outcome(context, DONE)
         return Response(status=head.status, headers=headers, body=body)
 
-    def _stream(self, context, forwarder, head, pieces):
+    def _stream(self, context, forwarder, head, chunks):
         headers = self._answer_headers(context, head)
-        body = self._stream_body(context, forwarder, pieces)
+        body = self._stream_body(context, forwarder, chunks)
         return Response(status=head.status, headers=headers, body=body)
 
-    def _stream_body(self, context, forwarder, pieces):
+    def _stream_body(self, context, forwarder, chunks):
         try:
             first = True
-            for piece in pieces:
+            for chunk in chunks:
                 if first:
                     first = False
                     elapsed = monotonic() - context.arrived_at
                     self.metrics.observe("first_token_seconds", elapsed)
-                yield piece
-            if forwarder.given_up is not None:
-                yield self._cut_event(context, forwarder.given_up)
-                # A caller that reads no events must not take the end of the
-                # connection for the end of the answer: raising leaves out the
-                # last chunk of the transfer coding.
-                raise ConnectionAbortedError("answer is not whole")
-            self._counted(context, DONE)
+                yield chunk
+            if forwarder.final_failure is not None:
+                yield self._truncation_event(context, forwarder.final_failure)
+                # Raising omits the last chunk of the chunked transfer coding, so that
+                # a caller that does not parse events also detects the truncation.
+                raise ConnectionAbortedError("answer is incomplete")
+            self._record_outcome(context, DONE)
         finally:
-            pieces.close()
-            self._left(context)
+            chunks.close()
+            self._request_ended(context)
 
-    def _cut_event(self, context, given_up):
-        self._counted(context, UNKNOWN)
+    def _truncation_event(self, context, final_failure):
+        self._record_outcome(context, UNKNOWN)
         response = json_response(
-            error_tree(
-                CUT_OFF.because(given_up.failure.reason),
+            error_body(
+                CUT_OFF.because(final_failure.failure.reason),
                 outcome=UNKNOWN,
                 request_id=context.request_id,
             )
         )
         return b"data: " + response.body + b"\n\n"
 
-    def _give_stored(self, context, verdict):
-        stored = self.claims.read_stored(verdict.row)
+    def _stored_response(self, context, decision):
+        stored = self.claims.read_stored_response(decision.row)
         if is_failure(stored):
             failure = Failure(
                 code="outcome_unknown",
-                reason="the request was run; its answer can't be read now",
+                reason="the request was run, but its stored answer cannot be read",
                 retry_after=1.0,
             )
             return self._refuse(context, failure, outcome=UNKNOWN)
         status, headers, body = stored
-        self._counted(context, "stored")
+        self._record_outcome(context, "stored")
         headers = {**headers, "X-Stored-Answer": "true"}
         return Response(status=status, headers=headers, body=body)
 
-    def _gave_up(self, context, forwarder):
-        given_up = forwarder.given_up
-        message = NotRun() if given_up.outcome == NOT_RUN else Unknown()
-        self._claim_ended(context, message)
-        return self._refuse(context, given_up.failure, outcome=given_up.outcome)
+    def _failed(self, context, forwarder):
+        final_failure = forwarder.final_failure
+        message = NotRun() if final_failure.outcome == NOT_RUN else Unknown()
+        self._finish_claim(context, message)
+        return self._refuse(
+            context, final_failure.failure, outcome=final_failure.outcome
+        )
 
     def _refuse(self, context, failure, *, outcome=NOT_RUN):
-        self._counted(context, outcome, code=failure.code)
+        self._record_outcome(context, outcome, code=failure.code)
         return error_response(failure, outcome=outcome, request_id=context.request_id)
 
-    def _claim_ended(self, context, message):
+    def _finish_claim(self, context, message):
         if context.claim is None:
             return
         self.claims.finish(
@@ -237,7 +241,7 @@
         headers = {
             name: value
             for name, value in head.headers.items()
-            if name.lower() in HEADERS_KEPT
+            if name.lower() in FORWARDED_HEADERS
         }
         headers["X-Request-Id"] = context.request_id
         headers["X-Outcome"] = DONE
@@ -250,10 +254,10 @@
                 headers["X-Served-Version"] = table["version"]
         return headers
 
-    def _counted(self, context, outcome, *, code=""):
+    def _record_outcome(self, context, outcome, *, code=""):
         self.metrics.count("requests_total", outcome=outcome, code=code)
         elapsed = monotonic() - context.arrived_at
         self.metrics.observe("request_seconds", elapsed, outcome=outcome)
 
-    def _left(self, context):
+    def _request_ended(self, context):
         self.running.discard(context.request_id)
--- a/hawthornspoke/entry/_process.py
+++ b/hawthornspoke/entry/_process.py
@@ -1,6 +1,6 @@
-"""The parts of an entry process, put together."""
+"""Assembly of the entry process."""
 
-from hawthornspoke.entry._claims_runner import ClaimJanitor, ClaimRunner
+from hawthornspoke.entry._claims_runner import ClaimRunner, ClaimWriteRetrier
 from hawthornspoke.entry._client import ControlClient
 from hawthornspoke.entry._control import EntryControl
 from hawthornspoke.entry._pipeline import Pipeline
@@ -10,7 +10,7 @@
 
 
 class _Handler(NodeHandler):
-    """The Thrift service of an entry host."""
+    """Thrift handler of an entry host."""
 
     __slots__ = ("pipeline",)
 
@@ -19,35 +19,37 @@
         self.pipeline = pipeline
 
     def running(self):
-        """Return how many requests are in progress here."""
+        """Return the number of requests in progress on this host."""
         return len(self.pipeline.running)
 
 
 class EntryProcess(NodeProcess):
-    """An entry host's process.
+    """Process of an entry host.
 
     Parameters
     ----------
     settings : Settings
     """
 
-    __slots__ = ("pipeline", "_janitor")
+    __slots__ = ("pipeline", "_write_retrier")
 
     def __init__(self, *, settings):
         super().__init__(settings=settings)
         self.pipeline = None
-        self._janitor = None
+        self._write_retrier = None
 
     def start_control(self):
-        """Start the control actor, and the pipeline that asks it."""
+        """Start the control actor and the pipeline that calls it."""
         actor = EntryControl.start(
             settings=self.settings, socket=self.socket, metrics=self.metrics
         )
         clients = connect_platform(self.settings.platform)
-        self._janitor = ClaimJanitor.start(clients=clients, metrics=self.metrics)
+        self._write_retrier = ClaimWriteRetrier.start(
+            clients=clients, metrics=self.metrics
+        )
         self.pipeline = Pipeline(
             control=ControlClient(actor=actor),
-            claims=ClaimRunner(clients=clients, janitor=self._janitor),
+            claims=ClaimRunner(clients=clients, write_retrier=self._write_retrier),
             pool=ConnectionPool(),
             metrics=self.metrics,
             default_timeout=float(self.settings["default_timeout"]),
@@ -59,7 +61,7 @@
         return _Handler(actor=self.actor, pipeline=self.pipeline)
 
     def role_servers(self):
-        """Return the callers' HTTP server."""
+        """Return the HTTP server for callers."""
         settings = self.settings
         server = HttpServer(
             address=settings["address"],
@@ -71,13 +73,13 @@
         return [server]
 
     def leave_wait(self):
-        """Return the seconds for which callers are still taken."""
+        """Return the seconds for which a leaving host still accepts callers."""
         return self.settings["leave_wait"]
 
     def is_idle(self):
-        """Tell whether no caller is being answered."""
+        """Return whether no request is in progress."""
         return not self.pipeline.running
 
     def stop_role(self):
-        """Stop repeating writes of claims."""
-        self._janitor.stop()
+        """Stop retrying claim writes."""
+        self._write_retrier.stop()
--- a/hawthornspoke/entry/_suspects.py
+++ b/hawthornspoke/entry/_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that end engines: what this host sees of them, and which it refuses."""
+"""Quarantine of requests that crash engines, shared between entry hosts."""
 
 from loguru import logger
 
@@ -17,15 +17,15 @@
 
 QUARANTINED = Failure(code="quarantined")
 
-#: Seconds for which news is told again at each heartbeat: datagrams get lost.
-TELL_FOR = 5.0
+#: Seconds for which evidence is resent at each heartbeat, since datagrams get lost.
+RESEND_PERIOD = 5.0
 
-#: Items in one datagram; an item takes some 60 bytes.
-MOST_ITEMS = 500
+#: Maximum number of items per datagram; an item takes about 60 bytes.
+MAX_ITEMS_PER_DATAGRAM = 500
 
 
-class Suspects:
-    """Finds out which requests end engines, and tells the other entry hosts.
+class QuarantineSync:
+    """Detects requests that crash engines and informs the other entry hosts.
 
     Parameters
     ----------
@@ -38,17 +38,17 @@
     quarantine : Quarantine
     """
 
-    __slots__ = ("quarantine", "_core", "_socket", "_metrics", "_tell_deadline")
+    __slots__ = ("quarantine", "_core", "_socket", "_metrics", "_resend_deadline")
 
     def __init__(self, *, core, socket, metrics):
         self.quarantine = Quarantine()
         self._core = core
         self._socket = socket
         self._metrics = metrics
-        self._tell_deadline = float("-inf")
+        self._resend_deadline = float("-inf")
 
-    def refusal(self, fingerprint, *, now):
-        """Return why a request may not be sent to any endpoint, None if it may.
+    def quarantine_failure(self, fingerprint, *, now):
+        """Return a Failure if the request is in quarantine, else None.
 
         Parameters
         ----------
@@ -62,20 +62,22 @@
         until = self.quarantine.refused_until(fingerprint, now=now)
         if until is None:
             return None
-        reason = "engines ended under this request"
+        reason = "engines crashed while running this request"
         return QUARANTINED.because(reason, retry_after=until - now)
 
-    def engine_ended(self, end, fingerprint, *, in_use, now):
-        """Take that an engine ended under a request of this host."""
-        message = EndpointEnded(start=end, fingerprints=(fingerprint,), in_use=in_use)
+    def record_engine_exit(self, exit_id, fingerprint, *, in_use, now):
+        """Record an engine exit during a request of this host."""
+        message = EndpointEnded(
+            start=exit_id, fingerprints=(fingerprint,), in_use=in_use
+        )
         self._step(message, now)
 
-    def answered(self, fingerprint, *, now):
-        """Take that an engine ran a request to its end."""
+    def record_completion(self, fingerprint, *, now):
+        """Record that an engine completed a request."""
         self._step(Answered(fingerprint=fingerprint), now)
 
-    def hear(self, news, *, now):
-        """Take what another entry host saw.
+    def merge_evidence(self, news, *, now):
+        """Merge evidence from another entry host.
 
         Parameters
         ----------
@@ -83,41 +85,41 @@
         now : float
         """
         items = read_evidence(news.items, now=now)
-        self._step(EvidenceHeard(items=items), now, own=False)
+        self._step(EvidenceHeard(items=items), now, is_local=False)
 
-    def tell_all(self, *, now):
-        """Tell all entry hosts what was found out lately; called at each heartbeat."""
-        if now < self._tell_deadline:
-            known = self.quarantine.evidence(now=now)
-            self._tell(known, self._core.reachable_entries(), now)
+    def resend_recent(self, *, now):
+        """Resend recent evidence to all entry hosts; called at each heartbeat."""
+        if now < self._resend_deadline:
+            recent = self.quarantine.evidence(now=now)
+            self._send(recent, self._core.reachable_entries(), now)
 
-    def tell_new(self, view, *, now):
-        """Tell an entry host that is new, or was cut off, all that is known."""
-        self._tell(self.quarantine.evidence(now=now), [view], now)
+    def send_all(self, view, *, now):
+        """Send all evidence to an entry host that is new or was partitioned."""
+        self._send(self.quarantine.evidence(now=now), [view], now)
 
-    def _step(self, message, now, *, own=True):
+    def _step(self, message, now, *, is_local=True):
         for outcome in self.quarantine.step(message, now=now):
             if isinstance(outcome, News):
-                if own:
-                    self._tell_deadline = now + TELL_FOR
-                    self._tell(outcome.items, self._core.reachable_entries(), now)
+                if is_local:
+                    self._resend_deadline = now + RESEND_PERIOD
+                    self._send(outcome.items, self._core.reachable_entries(), now)
             elif isinstance(outcome, Quarantined):
                 self._metrics.count("requests_quarantined_total")
                 logger.warning(
-                    "request {} in quarantine: engines ended under it: {}",
+                    "request {} quarantined; engines that exited while running it: {}",
                     outcome.fingerprint,
                     ", ".join(outcome.starts),
                 )
             else:
-                logger.info("request {} out of quarantine", outcome.fingerprint)
+                logger.info("request {} released from quarantine", outcome.fingerprint)
 
-    def _tell(self, evidence, views, now):
+    def _send(self, evidence, views, now):
         items = write_evidence(evidence, now=now)
         targets = [(view.address, view.port) for view in views]
-        for first in range(0, len(items), MOST_ITEMS):
+        for first in range(0, len(items), MAX_ITEMS_PER_DATAGRAM):
             news = EvidenceNews(
                 version=PROTOCOL_VERSION,
                 revision=self._core.holder.heard_revision,
-                items=items[first : first + MOST_ITEMS],
+                items=items[first : first + MAX_ITEMS_PER_DATAGRAM],
             )
             self._socket.send(Datagram(evidence=news), targets)
--- a/hawthornspoke/entry/tests/test_after_a_wait.py
+++ b/hawthornspoke/entry/tests/test_after_a_wait.py
@@ -1,9 +1,10 @@
-"""An entry host that stood still sends nothing that is over, or allowed no more.
+"""Tests that a suspended entry host does not send expired or revoked requests.
 
-Symptom: an endpoint ran a request whose caller had left, 6.6 s after its deadline.
-Events: an endpoint is chosen; the process stands still while it connects; meanwhile
-the caller leaves, or the key is taken away. Cause: all this was looked at when the
-endpoint was chosen; only the steady clock was read once more.
+Guards against an endpoint running a request 6.6 s after its deadline, for a caller that
+had disconnected. The process is suspended while it connects to the chosen endpoint, and
+meanwhile the caller disconnects or its key is revoked. The fault was that caller and
+key were checked only when the endpoint was chosen; only the monotonic clock was read
+again.
 """
 
 import random
@@ -29,7 +30,7 @@
 
 
 class Agent:
-    """Answers each request as done, and notes it."""
+    """Agent that records each request and answers it as done."""
 
     def __init__(self):
         self.seen = []
@@ -53,7 +54,7 @@
 
 
 class StallingConnection(Connection):
-    """Runs something once the connection is open."""
+    """Connection that calls a function once it is open."""
 
     __slots__ = ("stall",)
 
@@ -64,7 +65,7 @@
 
 
 class Pool:
-    """Gives out one connection that stalls."""
+    """Connection pool whose connections stall."""
 
     def __init__(self, stall):
         self._stall = stall
@@ -79,7 +80,7 @@
 
 
 class Service:
-    """A service, as far as an attempt asks."""
+    """Stub of a service with the attributes that an attempt uses."""
 
     @staticmethod
     def live_key(adapter):
@@ -88,9 +89,9 @@
 
 @pytest.fixture
 def agent():
-    item = Agent()
-    yield item
-    item.close()
+    started_agent = Agent()
+    yield started_agent
+    started_agent.close()
 
 
 @pytest.fixture
@@ -102,8 +103,8 @@
     far.close()
 
 
-def attempt(agent, caller, stall, **options):
-    """Make an attempt that stands still before it sends; return it, ended."""
+def run_attempt(agent, caller, stall, **options):
+    """Run an attempt that stalls before sending; return the finished attempt."""
     request = Request(
         method="POST",
         path="/services/s/x",
@@ -114,56 +115,74 @@
     )
     context = RequestContext(request=request, default_timeout=1.0)
     context.service = Service()
-    made = Attempt(
+    finished_attempt = Attempt(
         context=context, endpoint=agent, pool=Pool(stall), revision=1, **options
     )
-    assert list(made.events()) == []
-    return made
+    assert list(finished_attempt.events()) == []
+    return finished_attempt
 
 
-def test_request_that_is_still_wanted(agent, caller):
-    made = attempt(agent, caller, lambda: None)
-    assert made.ended.done
+def test_valid_request_is_sent(agent, caller):
+    finished_attempt = run_attempt(agent, caller, lambda: None)
+    assert finished_attempt.result.done
     assert len(agent.seen) == 1
 
 
-def test_caller_that_left_while_the_process_stood_still(agent, caller):
-    made = attempt(agent, caller, caller[1].close)
+def test_caller_disconnects_while_process_is_suspended(agent, caller):
+    finished_attempt = run_attempt(agent, caller, caller[1].close)
     assert agent.seen == []
-    assert (made.ended.was_run, made.ended.failure.code) == (False, "caller_gone")
+    assert (finished_attempt.result.was_run, finished_attempt.result.failure.code) == (
+        False,
+        "caller_gone",
+    )
 
 
-def test_deadline_that_passed_while_the_process_stood_still(agent, caller):
-    made = attempt(agent, caller, lambda: time.sleep(1.1))
+def test_deadline_passes_while_process_is_suspended(agent, caller):
+    finished_attempt = run_attempt(agent, caller, lambda: time.sleep(1.1))
     assert agent.seen == []
-    assert (made.ended.was_run, made.ended.failure.code) == (False, "too_late")
+    assert (finished_attempt.result.was_run, finished_attempt.result.failure.code) == (
+        False,
+        "too_late",
+    )
 
 
-def test_deadline_that_passed_while_the_host_was_suspended(agent, caller, monkeypatch):
-    real = time.clock_gettime
+def test_deadline_passes_while_host_is_suspended(agent, caller, monkeypatch):
+    real_clock_gettime = time.clock_gettime
 
     def suspend():
-        monkeypatch.setattr(time, "clock_gettime", lambda clock: real(clock) + 9.0)
+        monkeypatch.setattr(
+            time, "clock_gettime", lambda clock: real_clock_gettime(clock) + 9.0
+        )
 
-    made = attempt(agent, caller, suspend)
+    finished_attempt = run_attempt(agent, caller, suspend)
     assert agent.seen == []
-    assert (made.ended.was_run, made.ended.failure.code) == (False, "too_late")
+    assert (finished_attempt.result.was_run, finished_attempt.result.failure.code) == (
+        False,
+        "too_late",
+    )
 
 
-def test_key_that_was_taken_away_meanwhile(agent, caller):
-    gone = Failure(code="unauthenticated", reason="the key is not one")
-    made = attempt(agent, caller, lambda: None, recheck=lambda: gone)
+def test_key_revoked_before_sending(agent, caller):
+    revoked = Failure(
+        code="unauthenticated", reason="the key belongs to no organisation"
+    )
+    finished_attempt = run_attempt(agent, caller, lambda: None, recheck=lambda: revoked)
     assert agent.seen == []
-    assert (made.ended.was_run, made.ended.failure.code) == (False, "unauthenticated")
+    assert (finished_attempt.result.was_run, finished_attempt.result.failure.code) == (
+        False,
+        "unauthenticated",
+    )
 
 
-def test_all_is_looked_at_after_the_key(agent, caller):
-    """The look at the key waits for an actor; what passes meanwhile is seen."""
+def test_remaining_checks_follow_key_check(agent, caller):
+    """The key check waits for an actor; a disconnect meanwhile is noticed."""
 
-    def slow():
+    def disconnect_caller():
         caller[1].close()
         return None
 
-    made = attempt(agent, caller, lambda: None, recheck=slow)
+    finished_attempt = run_attempt(
+        agent, caller, lambda: None, recheck=disconnect_caller
+    )
     assert agent.seen == []
-    assert made.ended.failure.code == "caller_gone"
+    assert finished_attempt.result.failure.code == "caller_gone"
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -105,7 +105,7 @@
     Mutation(
         name="a broken connection counts as not run",
         file="entry/_attempt.py",
-        old="if failure in (NOT_SENT, TOO_LATE) or self._objection is not None:",
+        old="if failure in (NOT_SENT, TOO_LATE) or self._presend_failure is not None:",
         new="if True:",
         test="tests/test_promise_not_run.py -k killed_and_frozen",
     ),
@@ -359,7 +359,7 @@
         file="protocol/_connection.py",
         old="        failure = objection() if objection is not None else None\n",
         new="        failure = None\n",
-        test="hawthornspoke/entry/tests/test_after_a_wait.py -k caller_that_left",
+        test="hawthornspoke/entry/tests/test_after_a_wait.py -k caller_disconnects",
     ),
     Mutation(
         name="after a wait: small calls are sent late",
