--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -210,7 +210,7 @@
             missing = NO_SUCH_SERVICE.because(f"no service {service_name!r}")
             return self._denial(missing, now)
         if not service.serves(organisation):
-            reason = f"{organisation!r} may not use {service_name!r}"
+            reason = f"{service_name!r} is not available to {organisation!r}"
             return self._denial(FORBIDDEN.because(reason), now)
         return organisation
 
