--- a/hawthornspoke/claims/_claim.py
+++ b/hawthornspoke/claims/_claim.py
@@ -1,24 +1,24 @@
-"""The claim of one request on its idempotency key."""
+"""State machine by which a request claims its idempotency key."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 from hawthornspoke.base import MACHINES, Bounds, Failure, Machine
 
-#: The platform can't be asked; the request was not run.
+#: The platform is unavailable; the request was not run.
 PLATFORM_DOWN = Failure(code="platform_down")
 
-#: The key is claimed and its outcome is not known yet, or never will be.
-CLAIMED_ELSEWHERE = Failure(code="outcome_unknown")
+#: The key is claimed and the outcome of its request is not, or never, known.
+OUTCOME_UNKNOWN = Failure(code="outcome_unknown")
 
-#: The key was used before with another request.
+#: The key has been used for a different request.
 KEY_REUSED = Failure(code="key_reused")
 
-#: Seconds after which asking for the outcome of a running request makes sense.
-ASK_AGAIN = 1.0
+#: Seconds after which the caller may ask again for the outcome of a request.
+RETRY_AFTER = 1.0
 
-#: Times that one claim is written and read back before giving up.
-MAX_ROUNDS = 3
+#: Maximum number of times that a claim is written before giving up.
+MAX_WRITES = 3
 
 
 class RowState(str, Enum):
@@ -30,13 +30,13 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Begin:
-    """The request has come to the point of claiming its key."""
+class BeginClaim:
+    """Start claiming the key of the request."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class WriteDone:
-    """The write of the claim came back.
+    """The write of the claim has returned.
 
     Parameters
     ----------
@@ -63,8 +63,8 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Answered:
-    """The request ran and was answered whole."""
+class RequestAnswered:
+    """The request was run and its answer is complete."""
 
     status: int
     headers: dict
@@ -73,54 +73,54 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class NotRun:
-    """It is proved that the request was not run."""
+    """The request was certainly not run."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Unknown:
+class OutcomeUnknown:
     """The request may have run."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class WriteClaim:
-    """Write the row as claimed by this token.
+    """Write the row in state ``claimed`` with the token of this claim.
 
     Parameters
     ----------
-    over_token : str
-        Empty to insert where no row is; else the token of a row in state
-        ``not_run`` that is taken over.
+    replaced_token : str
+        Token of the row in state ``not_run`` to replace; empty to insert a row if
+        none exists.
     """
 
-    over_token: str
+    replaced_token: str
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReadClaim:
-    """Read the row."""
+    """Read the row of the key."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class RunNow:
-    """The key is this request's alone: send it."""
+class RunRequest:
+    """The request holds the key and may be sent."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class GiveStored:
-    """Answer with what the key's request was answered before."""
+class ReturnStoredAnswer:
+    """Answer with the stored answer of the earlier request with this key."""
 
     row: dict
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class RefuseNow:
+class RefuseRequest:
     """Answer with a failure.
 
     Parameters
     ----------
     failure : Failure
     was_run : bool
-        False if it is proved that this arrival was not run.
+        False if this request was certainly not run.
     """
 
     failure: object
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StoreAnswer:
-    """Write the row as done, with the answer."""
+    """Write the row in state ``done``, with the answer."""
 
     status: int
     headers: dict
@@ -138,31 +138,31 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReleaseClaim:
-    """Write the row as not run, if this token holds it; repeat until known."""
+    """Write the row as ``not_run`` if this token holds it; retry until known."""
 
 
 @MACHINES.register("claim")
 class Claim(Machine):
-    """At most one run per key, with a table that may lose answers.
+    """Ensures at most one run per key although replies of the table may be lost.
 
     Parameters
     ----------
     token : str
-        Unique to this arrival of the request; tells its own row from others'.
+        Unique to this claim; distinguishes its row from rows of other claims.
     fingerprint : str
-        Digest of the request, so that a key is not answered with the answer to
-        another request.
+        Digest of the request, so that a reused key does not return the answer to a
+        different request.
 
     Notes
     -----
-    A claim has no lease that runs out into another run: an entry host that is
-    frozen between claim and send may wake at any time and send. A key whose
-    holder died stays claimed, and later arrivals are truthfully told that its
-    outcome is unknown. Only a row in state ``not_run``, written with proof, can
-    be claimed again.
+    A claim has no lease whose expiry permits a second run, because an entry host that
+    is suspended between claim and send may resume and send at any time. If the holder
+    of a key dies, the key stays claimed, and later requests correctly get an unknown
+    outcome. Only a row in state ``not_run``, which is written only if the request was
+    certainly not run, can be claimed again.
     """
 
-    __slots__ = ("token", "fingerprint", "phase", "rounds", "_over_token")
+    __slots__ = ("token", "fingerprint", "phase", "rounds", "_replaced_token")
     PARAMS = {"token": Bounds(kind=str), "fingerprint": Bounds(kind=str)}
 
     def __init__(self, *, token="token", fingerprint=""):
@@ -170,10 +170,10 @@
         self.fingerprint = fingerprint
         self.phase = "new"
         self.rounds = 0
-        self._over_token = ""
+        self._replaced_token = ""
 
-    def on_begin(self, message, *, now):
-        """Ask for the key."""
+    def on_begin_claim(self, message, *, now):
+        """Write the claim."""
         return self._write("")
 
     def on_write_done(self, message, *, now):
@@ -191,16 +191,17 @@
         if self.phase != "writing":
             return []
         if message.outcome == "written":
-            return self._run()
+            return self._claim_succeeded()
         if message.outcome in ("conflict", "unsure"):
-            # After a lost answer the row may be there by our own hand: only
-            # reading it back tells. A conflict may be our own earlier write too.
+            # If the reply was lost, the row may have been written by this claim, and
+            # a conflict may be caused by its own earlier write. Only reading the row
+            # back tells.
             self.phase = "reading"
             return [ReadClaim()]
-        return self._refuse_not_run("the table can't be reached")
+        return self._refuse_not_run("the table is unreachable")
 
     def on_read_done(self, message, *, now):
-        """Act on the row as it is.
+        """Act on the state of the row.
 
         Parameters
         ----------
@@ -214,13 +215,13 @@
         if self.phase != "reading":
             return []
         if message.outcome == "unavailable":
-            return self._refuse_not_run("the table can't be read back")
+            return self._refuse_not_run("the claim cannot be read back from the table")
         if message.outcome == "missing":
             return self._write("")
-        return self._judge(message.row)
+        return self._evaluate_row(message.row)
 
-    def on_answered(self, message, *, now):
-        """Keep the answer for later arrivals."""
+    def on_request_answered(self, message, *, now):
+        """Store the answer for later requests with this key."""
         self.phase = "done"
         return [
             StoreAnswer(
@@ -229,12 +230,12 @@
         ]
 
     def on_not_run(self, message, *, now):
-        """Give the key back, since nothing was run."""
+        """Release the key, since the request was not run."""
         self.phase = "not_run"
         return [ReleaseClaim()]
 
-    def on_unknown(self, message, *, now):
-        """Leave the row claimed for ever: nobody may run it again."""
+    def on_outcome_unknown(self, message, *, now):
+        """Leave the row claimed permanently, so that the request is not run again."""
         self.phase = "unknown"
         return []
 
@@ -242,38 +243,40 @@
         """Return the state as plain data."""
         return {"token": self.token, "phase": self.phase, "rounds": self.rounds}
 
-    def _write(self, over_token):
-        if self.rounds >= MAX_ROUNDS:
-            return self._refuse_not_run("the table gives no clear answer")
+    def _write(self, replaced_token):
+        if self.rounds >= MAX_WRITES:
+            return self._refuse_not_run(
+                "the claim is still undecided after several writes"
+            )
         self.rounds += 1
         self.phase = "writing"
-        self._over_token = over_token
-        return [WriteClaim(over_token=over_token)]
+        self._replaced_token = replaced_token
+        return [WriteClaim(replaced_token=replaced_token)]
 
-    def _judge(self, row):
+    def _evaluate_row(self, row):
         if row["token"] == self.token and row["state"] == RowState.CLAIMED.value:
-            return self._run()
+            return self._claim_succeeded()
         if row.get("fingerprint", "") != self.fingerprint:
             self.phase = "refused"
-            failure = KEY_REUSED.because("the key was used for another request")
-            return [RefuseNow(failure=failure, was_run=False)]
+            failure = KEY_REUSED.because("the key was used for a different request")
+            return [RefuseRequest(failure=failure, was_run=False)]
         if row["state"] == RowState.DONE.value:
             self.phase = "done"
-            return [GiveStored(row=row)]
+            return [ReturnStoredAnswer(row=row)]
         if row["state"] == RowState.NOT_RUN.value:
             return self._write(row["token"])
         self.phase = "refused"
-        reason = "a request with this key was sent and its outcome is not known"
-        failure = CLAIMED_ELSEWHERE.because(reason, retry_after=ASK_AGAIN)
-        return [RefuseNow(failure=failure, was_run=True)]
+        reason = "a request with this key was sent and its outcome is unknown"
+        failure = OUTCOME_UNKNOWN.because(reason, retry_after=RETRY_AFTER)
+        return [RefuseRequest(failure=failure, was_run=True)]
 
-    def _run(self):
+    def _claim_succeeded(self):
         self.phase = "running"
-        return [RunNow()]
+        return [RunRequest()]
 
     def _refuse_not_run(self, reason):
-        """Refuse, and release: the write may yet turn out to have been made."""
+        """Refuse and release the key, since the write may still have succeeded."""
         self.phase = "not_run"
-        failure = PLATFORM_DOWN.because(reason, retry_after=ASK_AGAIN)
-        refusal = RefuseNow(failure=failure, was_run=False)
+        failure = PLATFORM_DOWN.because(reason, retry_after=RETRY_AFTER)
+        refusal = RefuseRequest(failure=failure, was_run=False)
         return [refusal, ReleaseClaim()]
--- a/hawthornspoke/entry/_claims_runner.py
+++ b/hawthornspoke/entry/_claims_runner.py
@@ -10,15 +10,15 @@
 
 from hawthornspoke.base import digest_of, is_failure, monotonic
 from hawthornspoke.claims import (
-    Begin,
+    BeginClaim,
     Claim,
-    GiveStored,
     ReadClaim,
     ReadDone,
-    RefuseNow,
+    RefuseRequest,
     ReleaseClaim,
+    ReturnStoredAnswer,
     RowState,
-    RunNow,
+    RunRequest,
     WriteClaim,
     WriteDone,
 )
@@ -63,15 +63,15 @@
 
         Returns
         -------
-        tuple of (Claim, RunNow or GiveStored or RefuseNow)
+        tuple of (Claim, RunRequest or ReturnStoredAnswer or RefuseRequest)
         """
         claim = Claim(token=uuid.uuid4().hex, fingerprint=fingerprint)
         row_key = claim_key(organisation, key)
-        outcomes = deque(claim.step(Begin(), now=monotonic()))
+        outcomes = deque(claim.step(BeginClaim(), now=monotonic()))
         decision = None
         while outcomes:
             outcome = outcomes.popleft()
-            if isinstance(outcome, (RunNow, GiveStored, RefuseNow)):
+            if isinstance(outcome, (RunRequest, ReturnStoredAnswer, RefuseRequest)):
                 decision = outcome
             elif isinstance(outcome, ReleaseClaim):
                 self._write_or_defer(self._release_write(claim, row_key))
@@ -86,7 +86,7 @@
         Parameters
         ----------
         claim : Claim
-        message : Answered, NotRun or Unknown
+        message : RequestAnswered, NotRun or OutcomeUnknown
         organisation, key : str
         """
         row_key = claim_key(organisation, key)
@@ -138,8 +138,8 @@
 
     def _write(self, outcome, claim, row_key, timeout):
         condition = Condition(absent=True)
-        if outcome.over_token:
-            equals = {"token": outcome.over_token, "state": RowState.NOT_RUN.value}
+        if outcome.replaced_token:
+            equals = {"token": outcome.replaced_token, "state": RowState.NOT_RUN.value}
             condition = Condition(equals=equals)
         row = _claim_row(claim, row_key, RowState.CLAIMED)
         answer = self.clients.table.put(row, condition=condition, timeout=timeout)
--- a/hawthornspoke/entry/_pipeline.py
+++ b/hawthornspoke/entry/_pipeline.py
@@ -1,7 +1,13 @@
 """Request pipeline: admission, idempotency claim, forwarding and response."""
 
 from hawthornspoke.base import Failure, is_failure, monotonic
-from hawthornspoke.claims import Answered, GiveStored, NotRun, RefuseNow, Unknown
+from hawthornspoke.claims import (
+    NotRun,
+    OutcomeUnknown,
+    RefuseRequest,
+    RequestAnswered,
+    ReturnStoredAnswer,
+)
 from hawthornspoke.entry._answers import (
     DONE,
     NOT_RUN,
@@ -130,9 +136,9 @@
             fingerprint=context.fingerprint(),
             deadline=context.deadline,
         )
-        if isinstance(decision, GiveStored):
+        if isinstance(decision, ReturnStoredAnswer):
             return self._stored_response(context, decision)
-        if isinstance(decision, RefuseNow):
+        if isinstance(decision, RefuseRequest):
             outcome = UNKNOWN if decision.was_run else NOT_RUN
             return self._refuse(context, decision.failure, outcome=outcome)
         context.claim = claim
@@ -161,7 +167,7 @@
     def _complete_response(self, context, head, body):
         headers = self._answer_headers(context, head)
         self._finish_claim(
-            context, Answered(status=head.status, headers=headers, body=body)
+            context, RequestAnswered(status=head.status, headers=headers, body=body)
         )
         self._record_outcome(context, DONE)
         return Response(status=head.status, headers=headers, body=body)
@@ -217,7 +223,7 @@
 
     def _failed(self, context, forwarder):
         final_failure = forwarder.final_failure
-        message = NotRun() if final_failure.outcome == NOT_RUN else Unknown()
+        message = NotRun() if final_failure.outcome == NOT_RUN else OutcomeUnknown()
         self._finish_claim(context, message)
         return self._refuse(
             context, final_failure.failure, outcome=final_failure.outcome
--- a/hawthornspoke/gate/__init__.py
+++ b/hawthornspoke/gate/__init__.py
@@ -1,4 +1,4 @@
-"""The request gate of an agent: what starts, what waits, what is refused."""
+"""Admission control of an agent: starts, queues and refuses requests."""
 
 from hawthornspoke.gate._failures import (
     BUSY,
--- a/hawthornspoke/gate/_failures.py
+++ b/hawthornspoke/gate/_failures.py
@@ -1,21 +1,21 @@
-"""Why a gate refuses: each proves that the request was not run."""
+"""Failures with which a gate refuses a request; all imply that it was not run."""
 
 from hawthornspoke.base import Failure
 
-#: The endpoint is leaving and takes no new work.
+#: The endpoint is leaving and accepts no new requests.
 DRAINING = Failure(code="draining")
 
-#: The weights that the request was routed for are not the live ones here.
+#: The request was routed for weights other than the live ones of this endpoint.
 WRONG_DIGEST = Failure(code="wrong_digest")
 
-#: The queue is full, or the wait would outlast the deadline.
+#: The queue is full, or the expected wait exceeds the deadline.
 BUSY = Failure(code="busy")
 
-#: A more urgent request took the place in the queue.
+#: A more urgent request has displaced the request from the full queue.
 OUTRANKED = Failure(code="outranked")
 
-#: The deadline passed while the request waited.
+#: The deadline passed before the request was started.
 DEADLINE_PASSED = Failure(code="deadline_passed")
 
-#: The same request id was submitted before.
+#: The request id has already been submitted.
 DUPLICATE = Failure(code="duplicate")
--- a/hawthornspoke/gate/_gate.py
+++ b/hawthornspoke/gate/_gate.py
@@ -1,4 +1,4 @@
-"""Admission to one endpoint, as a pure state machine."""
+"""Admission control of one endpoint, as a state machine without I/O."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
     WRONG_DIGEST,
 )
 
-#: Weight of the newest sample in the running mean of service time.
+#: Weight of the newest sample in the moving average of the service time.
 SMOOTHING = 0.2
 
-#: Finished request ids remembered, to refuse a second copy of a submit.
-REMEMBERED = 4096
+#: Number of finished request ids kept to detect duplicate submits.
+MAX_FINISHED_IDS = 4096
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -29,7 +29,7 @@
     request_id : str
     service : str
     digest : str
-        The weights it was routed for; empty for a plain service.
+        Digest of the weights it was routed for; empty for a plain service.
     urgency : int
         0 is the most urgent, 7 the least (RFC 9218).
     deadline : float
@@ -45,27 +45,27 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Finish:
-    """A started request came to its end, good or bad."""
+    """A started request has ended, successfully or not."""
 
     request_id: str
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Cancel:
-    """The caller of a request is gone."""
+    """The caller of a request has disconnected."""
 
     request_id: str
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SetLive:
-    """A service is answered with other weights from now on.
+    """The live weights of a service change.
 
     Parameters
     ----------
     service : str
     digest : str or None
-        None while nothing can be answered.
+        None while the service cannot be served.
     """
 
     service: str
@@ -74,17 +74,17 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Drain:
-    """Take no new work from now on."""
+    """Accept no new requests from now on."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Tick:
-    """Time passed."""
+    """Periodic message to check deadlines."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Start:
-    """Run this request now."""
+    """The request is to be run now."""
 
     request_id: str
     digest: str
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Refuse:
-    """This request was not run and will not be."""
+    """The request was not run and will not be run."""
 
     request_id: str
     failure: object
@@ -100,10 +100,10 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Drained:
-    """Nothing runs or waits any more."""
+    """The gate is draining and no request is running or queued."""
 
 
-class _Waiting:
+class _GateEntry:
     __slots__ = ("admit", "since")
 
     def __init__(self, *, admit, since):
@@ -118,19 +118,19 @@
     Parameters
     ----------
     slots : int, default=8
-        Requests that run at once.
+        Maximum number of concurrently running requests.
     queue_limit : int, default=32
-        Requests that wait at most.
+        Maximum number of queued requests.
     aging : float, default=2.0
-        Seconds of waiting that count as one step of urgency, so that the least
-        urgent request is not starved for ever.
+        Seconds of waiting that raise the urgency by one step, so that requests of
+        low urgency do not starve.
 
     Notes
     -----
-    The gate alone decides whether a request was started. A switch to other
-    weights is one assignment in ``live_by_service``: a request that waited
-    across it is refused as not run, and a running one keeps the digest it
-    started with, so that no answer mixes two versions.
+    Only the gate decides whether a request is started. Switching weights is a single
+    assignment in ``live_by_service``: requests queued for the previous weights are
+    refused as not run, and running requests keep the digest that they were started
+    with, so that no answer mixes two versions.
     """
 
     __slots__ = (
@@ -145,7 +145,7 @@
         "started",
         "refused_by_code",
         "_finished_ids",
-        "_drained_told",
+        "_drained_reported",
     )
     PARAMS = {
         "slots": Bounds(kind=int, low=1),
@@ -165,7 +165,7 @@
         self.started = 0
         self.refused_by_code = {}
         self._finished_ids = OrderedDict()
-        self._drained_told = False
+        self._drained_reported = False
 
     def on_admit(self, message, *, now):
         """Start, queue or refuse a request.
@@ -179,11 +179,11 @@
         -------
         list of Start or Refuse
         """
-        failure = self._objection(message, now=now)
+        failure = self._admission_failure(message, now=now)
         if failure is not None:
             return [self._refuse(message.request_id, failure)]
-        self.waiting_by_id[message.request_id] = _Waiting(admit=message, since=now)
-        outcomes = self._start_waiting(now=now)
+        self.waiting_by_id[message.request_id] = _GateEntry(admit=message, since=now)
+        outcomes = self._start_queued(now=now)
         outcomes += self._shed_overflow(now=now)
         return outcomes
 
@@ -202,12 +202,12 @@
         running = self.running_by_id.pop(message.request_id, None)
         if running is None:
             return []
-        self._remember(message.request_id)
-        self._learn(now - running.since)
-        return self._start_waiting(now=now) + self._tell_drained()
+        self._record_finished(message.request_id)
+        self._update_mean_service(now - running.since)
+        return self._start_queued(now=now) + self._report_drained()
 
     def on_cancel(self, message, *, now):
-        """Forget a request that waits; one that runs ends by ``Finish``.
+        """Remove a queued request; a running one ends with ``Finish``.
 
         Parameters
         ----------
@@ -219,11 +219,11 @@
         list of Drained
         """
         if self.waiting_by_id.pop(message.request_id, None) is not None:
-            self._remember(message.request_id)
-        return self._tell_drained()
+            self._record_finished(message.request_id)
+        return self._report_drained()
 
     def on_set_live(self, message, *, now):
-        """Switch the weights of a service.
+        """Switch the live weights of a service.
 
         Parameters
         ----------
@@ -239,14 +239,16 @@
         else:
             self.live_by_service[message.service] = message.digest
         outcomes = []
-        for request_id, waiting in list(self.waiting_by_id.items()):
-            if self._mismatch(waiting.admit):
+        for request_id, entry in list(self.waiting_by_id.items()):
+            if self._has_wrong_digest(entry.admit):
                 del self.waiting_by_id[request_id]
-                outcomes.append(self._refuse(request_id, self._wrong(waiting.admit)))
-        return outcomes + self._start_waiting(now=now)
+                outcomes.append(
+                    self._refuse(request_id, self._wrong_digest_failure(entry.admit))
+                )
+        return outcomes + self._start_queued(now=now)
 
     def on_drain(self, message, *, now):
-        """Refuse what waits; what runs goes on.
+        """Refuse queued requests; running requests continue.
 
         Parameters
         ----------
@@ -263,10 +265,10 @@
             del self.waiting_by_id[request_id]
             failure = DRAINING.because("endpoint is leaving", retry_after=0.0)
             outcomes.append(self._refuse(request_id, failure))
-        return outcomes + self._tell_drained()
+        return outcomes + self._report_drained()
 
     def on_tick(self, message, *, now):
-        """Refuse what has waited past its deadline.
+        """Refuse queued requests whose deadline has passed.
 
         Parameters
         ----------
@@ -278,14 +280,14 @@
         list of Refuse
         """
         outcomes = []
-        for request_id, waiting in list(self.waiting_by_id.items()):
-            if now >= waiting.admit.deadline:
+        for request_id, entry in list(self.waiting_by_id.items()):
+            if now >= entry.admit.deadline:
                 del self.waiting_by_id[request_id]
-                outcomes.append(self._refuse(request_id, self._late()))
+                outcomes.append(self._refuse(request_id, self._deadline_failure()))
         return outcomes
 
-    def running_on(self, digest):
-        """Return how many requests run on some weights.
+    def count_running(self, digest):
+        """Return the number of requests that run on the given weights.
 
         Parameters
         ----------
@@ -299,7 +301,7 @@
         return sum(1 for item in running if item.admit.digest == digest)
 
     def expected_wait(self):
-        """Return the seconds a new request would wait, by the mean so far.
+        """Estimate the waiting time in seconds of a new request.
 
         Returns
         -------
@@ -331,75 +333,79 @@
             "refused_by_code": dict(self.refused_by_code),
         }
 
-    def _objection(self, message, *, now):
-        if self._is_known(message.request_id):
-            return DUPLICATE.because(f"request {message.request_id} was seen before")
+    def _admission_failure(self, message, *, now):
+        if self._is_duplicate(message.request_id):
+            return DUPLICATE.because(
+                f"request {message.request_id} was already submitted"
+            )
         if self.draining:
             return DRAINING.because("endpoint is leaving", retry_after=0.0)
-        if self._mismatch(message):
-            return self._wrong(message)
+        if self._has_wrong_digest(message):
+            return self._wrong_digest_failure(message)
         if now >= message.deadline:
-            return self._late()
+            return self._deadline_failure()
         wait = self.expected_wait()
         if now + wait >= message.deadline:
-            reason = f"expected wait {wait:.2f} s outlasts the deadline"
+            reason = f"expected wait of {wait:.2f} s exceeds the deadline"
             return BUSY.because(reason, retry_after=wait)
         return None
 
-    def _is_known(self, request_id):
+    def _is_duplicate(self, request_id):
         return (
             request_id in self.running_by_id
             or request_id in self.waiting_by_id
             or request_id in self._finished_ids
         )
 
-    def _mismatch(self, admit):
+    def _has_wrong_digest(self, admit):
         if admit.service not in self.live_by_service:
             return True
         return self.live_by_service[admit.service] != admit.digest
 
-    def _wrong(self, admit):
+    def _wrong_digest_failure(self, admit):
         live = self.live_by_service.get(admit.service)
-        shown = "nothing" if live is None else repr(live[:12])
-        return WRONG_DIGEST.because(f"{admit.service}: live here is {shown}")
+        live_text = "nothing" if live is None else repr(live[:12])
+        return WRONG_DIGEST.because(f"{admit.service}: live weights are {live_text}")
 
-    def _late(self):
+    def _deadline_failure(self):
         wait = self.expected_wait()
         return DEADLINE_PASSED.because("not started in time", retry_after=wait)
 
-    def _rank(self, waiting, now):
-        """Return the sort key: urgency bettered by waiting, then arrival."""
-        waited = now - waiting.since
-        return waiting.admit.urgency - waited / self.aging, waiting.since
+    def _sort_key(self, entry, now):
+        """Return the sort key: urgency reduced by waiting time, then arrival time."""
+        waited = now - entry.since
+        return entry.admit.urgency - waited / self.aging, entry.since
 
-    def _start_waiting(self, *, now):
+    def _start_queued(self, *, now):
         outcomes = []
         while self.waiting_by_id and len(self.running_by_id) < self.slots:
-            best = min(
-                self.waiting_by_id.values(), key=lambda item: self._rank(item, now)
+            next_entry = min(
+                self.waiting_by_id.values(), key=lambda item: self._sort_key(item, now)
             )
-            admit = best.admit
+            admit = next_entry.admit
             del self.waiting_by_id[admit.request_id]
             if now >= admit.deadline:
-                outcomes.append(self._refuse(admit.request_id, self._late()))
+                outcomes.append(
+                    self._refuse(admit.request_id, self._deadline_failure())
+                )
                 continue
-            self.running_by_id[admit.request_id] = _Waiting(admit=admit, since=now)
+            self.running_by_id[admit.request_id] = _GateEntry(admit=admit, since=now)
             self.started += 1
             outcomes.append(Start(request_id=admit.request_id, digest=admit.digest))
         return outcomes
 
     def _shed_overflow(self, *, now):
-        """Refuse the least urgent at once: nobody is held back to be refused."""
+        """Refuse the least urgent requests at once if the queue is over its limit."""
         outcomes = []
         while len(self.waiting_by_id) > self.queue_limit:
-            worst = max(
-                self.waiting_by_id.values(), key=lambda item: self._rank(item, now)
+            last_entry = max(
+                self.waiting_by_id.values(), key=lambda item: self._sort_key(item, now)
             )
-            request_id = worst.admit.request_id
+            request_id = last_entry.admit.request_id
             del self.waiting_by_id[request_id]
             wait = self.expected_wait()
-            newest = worst.since == now
-            kind = BUSY if newest else OUTRANKED
+            is_newest = last_entry.since == now
+            kind = BUSY if is_newest else OUTRANKED
             failure = kind.because("queue is full", retry_after=wait)
             outcomes.append(self._refuse(request_id, failure))
         return outcomes
@@ -409,20 +415,20 @@
         self.refused_by_code[failure.code] = count + 1
         return Refuse(request_id=request_id, failure=failure)
 
-    def _learn(self, service_time):
+    def _update_mean_service(self, service_time):
         if self.mean_service == 0.0:
             self.mean_service = service_time
         self.mean_service += SMOOTHING * (service_time - self.mean_service)
 
-    def _remember(self, request_id):
+    def _record_finished(self, request_id):
         self._finished_ids[request_id] = None
-        if len(self._finished_ids) > REMEMBERED:
+        if len(self._finished_ids) > MAX_FINISHED_IDS:
             self._finished_ids.popitem(last=False)
 
-    def _tell_drained(self):
-        if not self.draining or self.running_by_id or self._drained_told:
+    def _report_drained(self):
+        if not self.draining or self.running_by_id or self._drained_reported:
             return []
-        self._drained_told = True
+        self._drained_reported = True
         return [Drained()]
 
 
--- a/hawthornspoke/gate/tests/test_invariants.py
+++ b/hawthornspoke/gate/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Random messages to the gate: what must hold after any of them."""
+"""Property-based tests of invariants of the gate."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -14,8 +14,8 @@
     Tick,
 )
 
-RUNS = settings(max_examples=300, deadline=None, derandomize=True)
-TRUE_OF_A_COPY = ("duplicate",)
+SETTINGS = settings(max_examples=300, deadline=None, derandomize=True)
+DUPLICATE_CODES = ("duplicate",)
 IDS = st.integers(0, 15).map(str)
 DIGESTS = st.sampled_from(["d1", "d2", None])
 MESSAGES = st.one_of(
@@ -35,26 +35,26 @@
 )
 
 
-@RUNS
+@SETTINGS
 @given(st.lists(MESSAGES, max_size=60))
-def test_no_request_starts_twice_drained_or_on_other_weights(messages):
-    """Symptom: a request runs twice, after a drain, or on weights not live.
+def test_requests_start_once_before_drain_on_live_weights(messages):
+    """Guards against requests that run twice, after a drain or on wrong weights.
 
-    Events: any order of arrivals, ends, cancels, switches and a drain.
+    Messages arrive in any order: admissions, finishes, cancels, switches, drain.
     """
     gate = Gate(slots=2, queue_limit=3)
     started = []
     for number, message in enumerate(messages):
-        drained = gate.draining
+        was_draining = gate.draining
         for outcome in gate.step(message, now=float(number)):
             if isinstance(outcome, Start):
-                assert not drained
+                assert not was_draining
                 assert gate.live_by_service["s"] == outcome.digest
                 started.append(outcome.request_id)
             elif isinstance(outcome, Refuse) and outcome.request_id in started:
-                # Refused and asked again is fine; started and then refused as
-                # anything but a second copy would be a lie.
-                assert outcome.failure.code in TRUE_OF_A_COPY
+                # A refused request may be submitted again. A started request may
+                # only be refused as a duplicate.
+                assert outcome.failure.code in DUPLICATE_CODES
         assert len(gate.running_by_id) <= 2
         assert len(gate.waiting_by_id) <= 3
         if gate.draining:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -84,7 +84,7 @@
     Mutation(
         name="weights are checked on arrival only",
         file="gate/_gate.py",
-        old="            if self._mismatch(waiting.admit):",
+        old="            if self._has_wrong_digest(entry.admit):",
         new="            if False:",
         test="tests/test_traces.py -k switch_while_queued",
     ),
@@ -119,8 +119,8 @@
     Mutation(
         name="claims without a condition",
         file="entry/_claims_runner.py",
-        old="        condition = Condition(absent=True)\n        if outcome.over",
-        new="        condition = None\n        if outcome.over",
+        old="        condition = Condition(absent=True)\n        if outcome.replaced",
+        new="        condition = None\n        if outcome.replaced",
         test="tests/test_promise_once.py -k all_entry_hosts_at_once",
     ),
     Mutation(
