--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -477,8 +477,8 @@
         """Return the records of agents that report to this host, with their age."""
         entries = self.core.reachable_entries()
         members = []
-        for node, (member, heard_at) in list(self.direct_report_by_node.items()):
-            age = now - heard_at
+        for node, (member, received_at) in list(self.direct_report_by_node.items()):
+            age = now - received_at
             if age > FRESH_HEARTBEATS * self.settings["heartbeat_every"]:
                 del self.direct_report_by_node[node]
                 continue
@@ -519,10 +519,10 @@
         targets = summary_targets(
             failure_domain=self.own_domain,
             entries=entries,
-            place=sorted([self.settings["node"], *(view.node for view in own)]).index(
-                self.settings["node"]
-            ),
-            turn=self.seq // HEARTBEATS_PER_SUMMARY,
+            sender_index=sorted(
+                [self.settings["node"], *(view.node for view in own)]
+            ).index(self.settings["node"]),
+            round_number=self.seq // HEARTBEATS_PER_SUMMARY,
         )
         if not targets:
             return
@@ -560,19 +560,23 @@
             for _, node, view in sorted(ranked, key=lambda item: item[:2])[
                 :SUMMARY_ENDPOINTS_PER_SERVICE
             ]:
-                chosen[node] = _full_record(view.member, now - view.heard_at)
+                chosen[node] = _full_record(view.member, now - view.received_at)
         return list(chosen.values())
 
     def _loading_peers(self, sender, now):
         services = set(sender.progress or {})
         members = []
         for view in self.core.membership.by_id.values():
-            if view.role != "agent" or view.member is None or not view.takes_work():
+            if (
+                view.role != "agent"
+                or view.member is None
+                or not view.accepts_requests()
+            ):
                 continue
             if view.failure_domain != sender.failure_domain:
                 continue
             if services & set(view.member.progress or {}):
-                members.append(_full_record(view.member, now - view.heard_at))
+                members.append(_full_record(view.member, now - view.received_at))
         return members
 
 
--- a/hawthornspoke/membership/__init__.py
+++ b/hawthornspoke/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which nodes are there: a failure detector over gossip and the host list."""
+"""Cluster membership: failure detection from gossip and the host list."""
 
 from hawthornspoke.membership._detector import (
     STATIC_FIELDS,
--- a/hawthornspoke/membership/_detector.py
+++ b/hawthornspoke/membership/_detector.py
@@ -1,4 +1,4 @@
-"""A failure detector that allows for its own pauses."""
+"""Failure detector that compensates for pauses of its own process."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 DEAD = "dead"
 LEAVING = "leaving"
 
-#: Fields of a member's state that a light record leaves out.
+#: Fields of a member's state that a light record omits.
 STATIC_FIELDS = (
     "role",
     "failure_domain",
@@ -27,13 +27,13 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class MemberHeard:
-    """State of a node, from itself or relayed.
+    """State of a node was received, directly or relayed.
 
     Parameters
     ----------
     member : hawthornspoke.protocol.Member
     age : float
-        Seconds since the node sent it, as far as the relays know.
+        Seconds since the node sent it, as measured by the relays.
     """
 
     member: object
@@ -54,12 +54,12 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Tick:
-    """Time passed; sent several times a second."""
+    """Periodic message to check deadlines; sent several times a second."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class MemberChanged:
-    """A node's status changed."""
+    """The status of a node has changed."""
 
     node: str
     before: str
@@ -67,7 +67,7 @@
 
 
 class MemberView:
-    """What is known of one node.
+    """State of one node as known to this process.
 
     Parameters
     ----------
@@ -87,7 +87,7 @@
         "status",
         "incarnation",
         "seq",
-        "heard_at",
+        "received_at",
         "suspect_deadline",
         "dead_deadline",
         "listed",
@@ -104,15 +104,15 @@
         self.status = LISTED
         self.incarnation = 0
         self.seq = 0
-        self.heard_at = None
+        self.received_at = None
         self.suspect_deadline = None
         self.dead_deadline = None
         self.listed = False
         self.listed_leaving = False
         self.member = None
 
-    def takes_work(self):
-        """Tell whether new work may be sent there.
+    def accepts_requests(self):
+        """Return whether new requests may be sent to the node.
 
         Returns
         -------
@@ -123,26 +123,27 @@
 
 @MACHINES.register("membership")
 class Membership(Machine):
-    """Node statuses by name.
+    """Status of all other nodes.
 
     Parameters
     ----------
     node : str
-        This node's name; nothing is concluded about itself.
+        Name of this node, whose own status is not tracked.
     suspect_after : float, default=2.5
-        Seconds of silence after which no new work goes to a node.
+        Seconds without a message after which a node gets no new requests.
     dead_after : float, default=8.0
-        Seconds of silence after which a node counts as gone.
+        Seconds without a message after which a node is considered dead.
     forget_after : float, default=60.0
-        Seconds after which a dead and unlisted node is forgotten.
+        Seconds after which a dead node is removed if the host list lacks it.
     pause_gap : float, default=1.0
-        A longer time between two ticks means that this process was paused.
+        Seconds between two ticks above which this process is assumed to have been
+        paused.
 
     Notes
     -----
-    Deadlines are stored, and moved when this process finds that it was itself
-    paused: otherwise a 2 s freeze of one entry host would make it suspect all
-    others at once, and refuse callers while every endpoint is healthy.
+    Deadlines are stored, and shifted after a pause of this process. Otherwise an entry
+    host that was frozen for 2 s would suspect all other nodes at once, and refuse
+    callers although every endpoint is healthy.
     """
 
     __slots__ = (
@@ -182,7 +183,7 @@
         self._last_tick = None
 
     def on_member_heard(self, message, *, now):
-        """Take a node's state if it is newer than the one held.
+        """Update a node if the received state is newer than the stored one.
 
         Parameters
         ----------
@@ -199,29 +200,29 @@
         view = self.by_id.get(member.node)
         if view is None or view.member is None:
             if member.light:
-                # Nothing to complete it with: wait for the whole record.
+                # The omitted fields are unknown until a full record arrives.
                 return []
         if view is None:
             view = self._add(member.node, _role_name(member.role), member)
-        stamp = (member.incarnation or 0, member.seq or 0)
-        if stamp <= (view.incarnation, view.seq):
-            # An older or repeated state, late by way of a relay. Taking it
-            # would bring a dead node back to life for a whole timeout.
+        state_version = (member.incarnation or 0, member.seq or 0)
+        if state_version <= (view.incarnation, view.seq):
+            # An outdated or duplicate state, delayed by a relay. Accepting it would
+            # mark a dead node as alive for a full timeout.
             return []
-        view.incarnation, view.seq = stamp
+        view.incarnation, view.seq = state_version
         if member.light:
-            complete(member, view.member)
+            fill_light_record(member, view.member)
         view.failure_domain = member.failure_domain or view.failure_domain
         view.address = member.address or view.address
         view.port = member.port or view.port
         view.member = member
-        view.heard_at = now - message.age
-        view.suspect_deadline = view.heard_at + self.suspect_after
-        view.dead_deadline = view.heard_at + self.dead_after
-        return self._refresh(view, now=now)
+        view.received_at = now - message.age
+        view.suspect_deadline = view.received_at + self.suspect_after
+        view.dead_deadline = view.received_at + self.dead_after
+        return self._update_status(view, now=now)
 
     def on_host_listed(self, message, *, now):
-        """Take the platform's list: a seed, and one more sign of leaving.
+        """Apply the host list, which seeds the nodes and also marks leaving ones.
 
         Parameters
         ----------
@@ -240,17 +241,17 @@
             view = self.by_id.get(name) or self._add(name, entry.role, entry)
             view.listed = True
             view.listed_leaving = entry.leaving
-            if view.heard_at is None:
+            if view.received_at is None:
                 view.address = entry.address
                 view.port = entry.port
-            changes += self._refresh(view, now=now)
+            changes += self._update_status(view, now=now)
         for name, view in self.by_id.items():
             if name not in listed:
                 view.listed = False
         return changes
 
     def on_tick(self, message, *, now):
-        """Compare deadlines with the time.
+        """Update statuses after deadlines and remove nodes that are gone.
 
         Parameters
         ----------
@@ -261,14 +262,14 @@
         -------
         list of MemberChanged
         """
-        self._allow_for_pause(now)
+        self._compensate_pause(now)
         changes = []
-        forgotten = []
+        removed = []
         for view in self.by_id.values():
-            changes += self._refresh(view, now=now)
-            if self._is_over(view, now=now):
-                forgotten.append(view.node)
-        for name in forgotten:
+            changes += self._update_status(view, now=now)
+            if self._should_forget(view, now=now):
+                removed.append(view.node)
+        for name in removed:
             del self.by_id[name]
         return changes
 
@@ -317,26 +318,26 @@
         self.by_id[name] = view
         return view
 
-    def _allow_for_pause(self, now):
+    def _compensate_pause(self, now):
         gap = 0.0 if self._last_tick is None else now - self._last_tick
         self._last_tick = now
         if gap <= self.pause_gap:
             return
         self.pauses += 1
         for view in self.by_id.values():
-            if view.status in (ALIVE, LEAVING) and view.heard_at is not None:
+            if view.status in (ALIVE, LEAVING) and view.received_at is not None:
                 view.suspect_deadline += gap
                 view.dead_deadline += gap
 
-    def _refresh(self, view, *, now):
+    def _update_status(self, view, *, now):
         before = view.status
-        view.status = self._status(view, now=now)
+        view.status = self._current_status(view, now=now)
         if view.status == before:
             return []
         return [MemberChanged(node=view.node, before=before, after=view.status)]
 
-    def _status(self, view, *, now):
-        if view.heard_at is None:
+    def _current_status(self, view, *, now):
+        if view.received_at is None:
             return LEAVING if view.listed_leaving else LISTED
         if now >= view.dead_deadline:
             return DEAD
@@ -346,29 +347,29 @@
             return SUSPECT
         return ALIVE
 
-    def _is_over(self, view, *, now):
+    def _should_forget(self, view, *, now):
         if view.listed:
             return False
-        if view.heard_at is None:
+        if view.received_at is None:
             return True
         return now >= view.dead_deadline + self.forget_after
 
 
-def complete(member, known):
-    """Fill a light record with the rarely changing fields that are known.
+def fill_light_record(member, previous):
+    """Fill the omitted fields of a light record from the previous record.
 
     Parameters
     ----------
     member : hawthornspoke.protocol.Member
-        Light; changed in place.
+        Light record; modified in place.
     known : hawthornspoke.protocol.Member
-        The state held so far. If its ``static_seq`` is older, a whole record was
-        lost on the way: its fields are kept until the next one, and what they
-        get wrong is put right by the endpoint's refusal.
+        Previous record. If its ``static_seq`` is older, a full record was lost. Its
+        fields are then used until the next full record, and wrong values are
+        corrected by refusals of the endpoint.
     """
     for name in STATIC_FIELDS:
-        setattr(member, name, getattr(known, name))
-    member.static_seq = known.static_seq
+        setattr(member, name, getattr(previous, name))
+    member.static_seq = previous.static_seq
 
 
 def _role_name(role):
@@ -376,7 +377,7 @@
 
 
 def _dump_view(view, now):
-    age = None if view.heard_at is None else round(now - view.heard_at, 3)
+    age = None if view.received_at is None else round(now - view.received_at, 3)
     live = {}
     if view.member is not None:
         live = {item.service_name: item.digest for item in view.member.live or ()}
--- a/hawthornspoke/membership/_relay.py
+++ b/hawthornspoke/membership/_relay.py
@@ -1,80 +1,82 @@
-"""Who sends its state to whom, so that cost stays flat as the fleet grows."""
+"""Gossip targets, chosen so that the cost does not grow with the fleet size."""
 
 from hawthornspoke.base import rendezvous_order
 
-#: Entry hosts that each agent reports to. Two, so that one dying entry host
-#: hides no endpoint for longer than a heartbeat.
-RELAYS = 2
+#: Number of entry hosts that each agent reports to. With two, the failure of one
+#: entry host hides no endpoint for longer than a heartbeat.
+N_RELAYS = 2
 
 
 def relay_targets(*, node, failure_domain, entries):
-    """Return the entry hosts that an agent sends its heartbeat to.
+    """Return the entry hosts that an agent sends its heartbeats to.
 
     Parameters
     ----------
     node : str
         The agent.
     failure_domain : str
-        The agent's.
+        Failure domain of the agent.
     entries : list of MemberView
         Entry hosts that are not known to be dead.
 
     Returns
     -------
     list of MemberView
-        Of its own failure domain if that has any, so that a cut between
-        failure domains takes no endpoint away from its own neighbours.
+        Entry hosts of the agent's failure domain if there are any, so that a network
+        partition between failure domains hides no endpoint within its own one.
     """
-    own = [view for view in entries if view.failure_domain == failure_domain]
-    by_name = {view.node: view for view in own or entries}
+    same_domain = [view for view in entries if view.failure_domain == failure_domain]
+    by_name = {view.node: view for view in same_domain or entries}
     order = rendezvous_order(key=node, nodes=by_name)
-    return [by_name[name] for name in order[:RELAYS]]
+    return [by_name[name] for name in order[:N_RELAYS]]
 
 
 def may_relay(*, relay, node, failure_domain, entries, copy_deadline, now):
-    """Tell whether an entry host is to relay an agent that reports to it.
+    """Return whether an entry host relays the state of an agent reporting to it.
 
     Parameters
     ----------
     relay : str
-        The entry host that asks.
+        The entry host.
     node : str
         The agent.
     failure_domain : str
-        The agent's.
+        Failure domain of the agent.
     entries : list of MemberView
-        The other entry hosts that are not known to be dead.
+        Other entry hosts that are not known to be dead.
     copy_deadline : float
-        Until when a copy that another entry host relayed counts as fresh.
+        Time until which the copy relayed by another entry host counts as fresh.
     now : float
 
     Returns
     -------
     bool
-        True for the first relay in the agent's order, and for the second while
-        it hears no copy: two copies of every record are half of an entry host's
-        inward bytes, and a dead first relay must not hide its endpoints.
+        True for the first relay in the agent's order, and for the second one while it
+        receives no copy. Two copies of every record would be half of the inbound
+        bytes of an entry host, and a dead first relay must not hide its endpoints.
     """
     if now >= copy_deadline:
         return True
-    own = [view.node for view in entries if view.failure_domain == failure_domain]
-    return rendezvous_order(key=node, nodes=[relay, *own])[0] == relay
+    same_domain = [
+        view.node for view in entries if view.failure_domain == failure_domain
+    ]
+    return rendezvous_order(key=node, nodes=[relay, *same_domain])[0] == relay
 
 
-def summary_targets(*, failure_domain, entries, place, turn):
-    """Return one entry host in each other failure domain.
+def summary_targets(*, failure_domain, entries, sender_index, round_number):
+    """Return one entry host of each other failure domain.
 
     Parameters
     ----------
     failure_domain : str
-        The sender's.
+        Failure domain of the sender.
     entries : list of MemberView
         Entry hosts that are not known to be dead.
     place : int
-        The sender's place among the entry hosts of its failure domain.
+        Index of the sender among the entry hosts of its failure domain.
     turn : int
-        Number of the round; each round the targets move on by one, so that all
-        senders together reach every entry host of a failure domain evenly.
+        Number of the round. The targets advance by one per round, so that the senders
+        together reach all entry hosts of a failure domain evenly.
 
     Returns
     -------
@@ -87,5 +89,5 @@
     targets = []
     for _, views in sorted(by_domain.items()):
         ordered = sorted(views, key=lambda view: view.node)
-        targets.append(ordered[(place + turn) % len(ordered)])
+        targets.append(ordered[(sender_index + round_number) % len(ordered)])
     return targets
--- a/hawthornspoke/membership/tests/test_relay.py
+++ b/hawthornspoke/membership/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Relays: who reports to whom, and what a dead relay hides."""
+"""Tests of relay selection and of takeover after the failure of a relay."""
 
 from types import SimpleNamespace
 
@@ -13,7 +13,7 @@
 
 
 def relays_of(node, copy_deadline, now=10.0):
-    found = []
+    relays = []
     for entry in ENTRIES:
         others = [item for item in ENTRIES if item is not entry]
         if entry in relay_targets(node=node, failure_domain="x", entries=ENTRIES):
@@ -25,15 +25,15 @@
                 copy_deadline=copy_deadline,
                 now=now,
             )
-            found += [entry.node] if allowed else []
-    return found
+            relays += [entry.node] if allowed else []
+    return relays
 
 
-def test_one_relay_tells_while_copies_are_fresh_and_both_when_not():
-    """Symptom: an endpoint is hidden from a failure domain when a relay dies.
+def test_second_relay_takes_over_without_fresh_copies():
+    """Guards against hiding an endpoint from a failure domain when a relay dies.
 
-    Events: the first relay of an agent falls silent; the second hears no copy.
-    Cause: one relay only, or a second one that never takes over.
+    The first relay of an agent fails, and the second one receives no copy of the record
+    any more. The fault is a single relay, or a second relay that never takes over.
     """
     for number in range(20):
         agent = f"runner-{number}"
@@ -41,19 +41,24 @@
         assert len(relays_of(agent, copy_deadline=9.0)) == 2
 
 
-def test_agents_report_in_their_own_failure_domain_first():
+def test_agents_prefer_relays_of_own_failure_domain():
     entries = [view("near"), view("far-1", "y"), view("far-2", "y")]
-    chosen = relay_targets(node="a", failure_domain="x", entries=entries)
-    assert [item.node for item in chosen] == ["near"]
-    without = relay_targets(node="a", failure_domain="x", entries=entries[1:])
-    assert len(without) == 2
+    targets = relay_targets(node="a", failure_domain="x", entries=entries)
+    assert [item.node for item in targets] == ["near"]
+    fallback = relay_targets(node="a", failure_domain="x", entries=entries[1:])
+    assert len(fallback) == 2
 
 
-def test_summaries_reach_every_entry_host_of_a_domain_evenly():
+def test_summaries_are_spread_evenly_over_entry_hosts():
     entries = [view(f"far-{number}", "y") for number in range(4)]
-    reached = [
-        summary_targets(failure_domain="x", entries=entries, place=place, turn=turn)[0]
-        for turn in range(4)
-        for place in range(4)
+    target_nodes = [
+        summary_targets(
+            failure_domain="x",
+            entries=entries,
+            sender_index=sender_index,
+            round_number=round_number,
+        )[0]
+        for round_number in range(4)
+        for sender_index in range(4)
     ]
-    assert all(reached.count(item) == 4 for item in entries)
+    assert all(target_nodes.count(item) == 4 for item in entries)
