--- a/hawthornspoke/deployment/__init__.py
+++ b/hawthornspoke/deployment/__init__.py
@@ -1,4 +1,4 @@
-"""Bringing a host's engine from the weights it has to those declared."""
+"""Deployment of the declared weights on the engine of a host."""
 
 from hawthornspoke.deployment._deployment import (
     Declared,
--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -1,25 +1,25 @@
-"""What an agent orders its engine to do, as a pure state machine."""
+"""State machine, without I/O, that issues an agent's orders to its engine."""
 
 from dataclasses import dataclass, field
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 
-#: Phases of a swap in place, as other hosts are told of them.
+#: Phases of an in-place swap, as announced to other hosts.
 NO_SWAP = 0
 WAITING = 1
 CHANGING = 2
 
-#: Seconds after which a failed order is tried again.
-RETRY_ORDER = 1.0
+#: Delay in seconds before a failed order is retried.
+ORDER_RETRY_DELAY = 1.0
 
-#: Per mille shown for weights that this host has no memory for.
-REFUSED = -1
-WHOLE = 1000
+#: Progress values: weights that this host has no memory for, and complete (per mille).
+NO_MEMORY_PROGRESS = -1
+COMPLETE_PROGRESS = 1000
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Declared:
-    """Weights that are to answer for a live key.
+    """Weights declared for a live key.
 
     Parameters
     ----------
@@ -27,9 +27,9 @@
         Service name, or ``service:adapter``.
     digest : str
     base : str
-        Digest of the base weights of an adapter, else empty.
+        Digest of the base weights if these are adapter weights, else empty.
     source : str
-        Name at the origin.
+        Name of the weights at the origin.
     priority : int
     """
 
@@ -42,12 +42,12 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SetDeclared:
-    """What this host is to run by the document in force.
+    """The document in force declares the weights that this host is to run.
 
     Parameters
     ----------
     items : tuple of Declared
-        Bases before their adapters.
+        Declared weights, base weights before their adapters.
     """
 
     items: tuple
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class TransferComplete:
-    """All chunks of some weights are here and verified."""
+    """All chunks of the weights are stored on this host and verified."""
 
     digest: str
     size: int
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class TransferRefused:
-    """The host has no room for some weights."""
+    """The host has no space for the weights."""
 
     digest: str
     reason: str
@@ -71,15 +71,15 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EngineSeen:
-    """The engine was asked for its state.
+    """The state of the engine was queried.
 
     Parameters
     ----------
     instance : str
-        Changes when the engine restarts; empty if it does not answer.
+        Identifier that changes when the engine restarts; empty if it does not answer.
     loaded : frozenset of str
     memory : int
-        Bytes of weights it can hold; 0 for no limit.
+        Capacity for weights in bytes; 0 for no limit.
     used : int
     """
 
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class OrderEnded:
-    """An order to the engine came to its end."""
+    """An order to the engine has ended."""
 
     digest: str
     ok: bool
@@ -99,19 +99,19 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PermitRead:
-    """Whether this host may go out of service, by what is known of the others."""
+    """Whether the state of the other hosts permits this one to stop serving."""
 
     allowed: bool
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Tick:
-    """Time passed.
+    """Periodic message with the running requests.
 
     Parameters
     ----------
     running_by_digest : dict of str to int
-        Requests that run on each digest.
+        Number of running requests per digest.
     """
 
     running_by_digest: dict = field(default_factory=dict)
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StartTransfer:
-    """Get some weights."""
+    """Start to transfer weights to this host."""
 
     digest: str
     source: str
@@ -128,14 +128,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class DropTransfer:
-    """Some weights are not declared any more; stop getting them."""
+    """Stop the transfer of weights that are no longer declared."""
 
     digest: str
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class OrderLoad:
-    """Order the engine to load weights that are whole here."""
+    """Order the engine to load weights that are complete on this host."""
 
     digest: str
     base: str
@@ -143,14 +143,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class OrderUnload:
-    """Order the engine to drop weights on which nothing runs."""
+    """Order the engine to unload weights that no request runs on."""
 
     digest: str
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SwitchLive:
-    """Answer a live key with other weights, or with none."""
+    """Serve a live key with other weights, or not at all if the digest is None."""
 
     key: str
     digest: object
@@ -158,24 +158,24 @@
 
 @MACHINES.register("deployment")
 class Deployment(Machine):
-    """Moves one engine to the declared weights.
+    """Brings one engine to the declared weights.
 
     Parameters
     ----------
     settle : float, default=1.5
-        Seconds for which a swap in place is announced before it begins.
+        Seconds between the announcement and the start of an in-place swap.
 
     Notes
     -----
-    New weights are loaded beside the old ones where the engine has room, and the
-    switch is one assignment. Where it has none, the host goes out of service
-    first, with a permit, waits until nothing runs on the old weights, and only
-    then unloads them: an engine that is asked to replace weights under a running
-    request answers by a mixture.
-
-    An engine that restarts behind a live agent comes back empty or with weights
-    of its own; its instance name tells, and every live key is switched off at
-    once until the declared weights are loaded again.
+    If the engine has enough memory, new weights are loaded beside the old ones and the
+    switch is a single assignment. Otherwise the host swaps in place: with a permit it
+    stops serving, waits until no request runs on the old weights, and then unloads
+    them. Replacing weights during a running request would yield an answer that mixes
+    both versions.
+
+    An engine that restarts while its agent keeps running has no weights, or weights
+    that the agent did not order. A changed instance identifier reveals the restart,
+    and every live key is then switched off until the declared weights are loaded.
     """
 
     __slots__ = (
@@ -189,10 +189,10 @@
         "engine",
         "order",
         "phase",
-        "_is_declared",
-        "_begin_deadline",
-        "_retry_deadline",
-        "_allowed",
+        "_has_configuration",
+        "_swap_not_before",
+        "_retry_not_before",
+        "_swap_permitted",
         "_running_by_digest",
     )
     PARAMS = {"settle": Bounds(kind=(int, float), low=0)}
@@ -208,45 +208,45 @@
         self.engine = EngineSeen(instance="")
         self.order = None
         self.phase = NO_SWAP
-        self._is_declared = False
-        self._begin_deadline = 0.0
-        self._retry_deadline = 0.0
-        self._allowed = False
+        self._has_configuration = False
+        self._swap_not_before = 0.0
+        self._retry_not_before = 0.0
+        self._swap_permitted = False
         self._running_by_digest = {}
 
     def on_set_declared(self, message, *, now):
-        """Take what is declared for this host."""
+        """Update the declared weights of this host."""
         self.declared_by_key = {item.key: item for item in message.items}
         for item in message.items:
             if item.base:
                 self.base_by_digest[item.digest] = item.base
         self.refused_by_digest = {}
-        self._is_declared = True
+        self._has_configuration = True
         outcomes = []
         for key in list(self.live_by_key):
             if key not in self.declared_by_key:
                 del self.live_by_key[key]
                 outcomes.append(SwitchLive(key=key, digest=None))
-        wanted = self._wanted()
-        for digest in sorted(self.transfers - wanted):
+        declared_digests = self._declared_digests()
+        for digest in sorted(self.transfers - declared_digests):
             self.transfers.discard(digest)
             outcomes.append(DropTransfer(digest=digest))
         return outcomes + self._advance(now=now)
 
     def on_transfer_complete(self, message, *, now):
-        """Take that some weights are whole here."""
+        """Record that weights are complete on this host."""
         self.transfers.discard(message.digest)
         self.size_by_digest[message.digest] = message.size
         return self._advance(now=now)
 
     def on_transfer_refused(self, message, *, now):
-        """Take that there is no room; the declared state is not reached here."""
+        """Record that there is no space, so the declared state is not reached."""
         self.transfers.discard(message.digest)
         self.refused_by_digest[message.digest] = message.reason
         return []
 
     def on_engine_seen(self, message, *, now):
-        """Take the engine's state."""
+        """Update the state of the engine."""
         outcomes = []
         restarted = message.instance != self.engine.instance
         for key, digest in list(self.live_by_key.items()):
@@ -262,10 +262,10 @@
         return outcomes + self._advance(now=now)
 
     def on_order_ended(self, message, *, now):
-        """Take the end of an order."""
+        """Update the state of the engine after an order has ended."""
         order, self.order = self.order, None
         if not message.ok:
-            self._retry_deadline = now + RETRY_ORDER
+            self._retry_not_before = now + ORDER_RETRY_DELAY
             return []
         loaded = set(self.engine.loaded)
         size = self.size_by_digest.get(message.digest, 0)
@@ -283,12 +283,12 @@
         return self._advance(now=now)
 
     def on_permit_read(self, message, *, now):
-        """Take whether this host may go out of service."""
-        self._allowed = message.allowed
+        """Update whether this host may stop serving."""
+        self._swap_permitted = message.allowed
         return self._advance(now=now)
 
     def on_tick(self, message, *, now):
-        """Take what runs, and go on."""
+        """Update the running requests and advance."""
         running = dict(message.running_by_digest)
         for digest, count in message.running_by_digest.items():
             base = self.base_by_digest.get(digest)
@@ -298,7 +298,7 @@
         return self._advance(now=now)
 
     def forget_digest(self, digest):
-        """Take that some weights are not held here any more.
+        """Record that weights are no longer stored on this host.
 
         Parameters
         ----------
@@ -307,30 +307,31 @@
         self.size_by_digest.pop(digest, None)
 
     def progress(self, transfer_progress):
-        """Return per mille of the declared state by live key.
+        """Return the progress towards the declared state, by live key.
 
         Parameters
         ----------
         transfer_progress : dict of str to int
-            Per mille of the transfers that are not finished.
+            Progress per digest of unfinished transfers, in per mille.
 
         Returns
         -------
         dict of str to int
-            -1 where this host has no room; 1000 only when the weights are live.
+            Progress in per mille; 1000 only if the weights are live, and -1 if this
+            host has no space for them.
         """
-        shown = {}
+        progress_by_key = {}
         for key, item in self.declared_by_key.items():
             if self.live_by_key.get(key) == item.digest:
-                shown[key] = WHOLE
+                progress_by_key[key] = COMPLETE_PROGRESS
             elif item.digest in self.refused_by_digest:
-                shown[key] = REFUSED
+                progress_by_key[key] = NO_MEMORY_PROGRESS
             else:
-                part = transfer_progress.get(item.digest, 0)
+                permille = transfer_progress.get(item.digest, 0)
                 if item.digest in self.size_by_digest:
-                    part = WHOLE - 1
-                shown[key] = min(WHOLE - 1, part)
-        return shown
+                    permille = COMPLETE_PROGRESS - 1
+                progress_by_key[key] = min(COMPLETE_PROGRESS - 1, permille)
+        return progress_by_key
 
     def dump(self, *, now):
         """Return the state as plain data."""
@@ -351,14 +352,14 @@
             "phase": self.phase,
         }
 
-    def _wanted(self):
+    def _declared_digests(self):
         return {item.digest for item in self.declared_by_key.values()}
 
     def _advance(self, *, now):
         outcomes = self._start_transfers()
-        if not self.engine.instance or not self._is_declared:
-            # Nothing heard yet is not the same as nothing declared: a restarted
-            # agent must not order away what its engine answers with.
+        if not self.engine.instance or not self._has_configuration:
+            # Without a configuration it is unknown what is declared. A restarted agent
+            # must not unload the weights that its engine serves.
             return outcomes
         outcomes += self._switch_loaded()
         outcomes += self._next_order(now=now)
@@ -367,11 +368,11 @@
     def _start_transfers(self):
         outcomes = []
         for item in self.declared_by_key.values():
-            known = item.digest in self.size_by_digest
-            if known or item.digest in self.transfers | set(self.refused_by_digest):
+            is_stored = item.digest in self.size_by_digest
+            if is_stored or item.digest in self.transfers | set(self.refused_by_digest):
                 continue
-            # Fetched even if an earlier life of this agent has loaded it: peers
-            # may need it, and so does the engine when it restarts.
+            # Transferred even if the engine has loaded the weights under an earlier
+            # agent process, since peers and a restarted engine may need them.
             self.transfers.add(item.digest)
             start = StartTransfer(
                 digest=item.digest, source=item.source, priority=item.priority
@@ -391,19 +392,21 @@
         return outcomes
 
     def _next_order(self, *, now):
-        if self.order is not None or now < self._retry_deadline:
+        if self.order is not None or now < self._retry_not_before:
             return []
-        missing = self._first_missing()
+        missing = self._next_to_load()
         if missing is None:
             self.phase = NO_SWAP
-            return self._unload_idle()
+            return self._unload_unused()
         if self._fits(missing.digest):
-            return self._give(OrderLoad(digest=missing.digest, base=missing.base))
-        idle = self._unload_idle()
-        return idle or self._swap_in_place(missing, now=now)
+            return self._issue_order(
+                OrderLoad(digest=missing.digest, base=missing.base)
+            )
+        unload_orders = self._unload_unused()
+        return unload_orders or self._swap_in_place(missing, now=now)
 
-    def _first_missing(self):
-        """Return the next declared weights that are whole here and not loaded."""
+    def _next_to_load(self):
+        """Return the next declared weights that are complete here but not loaded."""
         for item in self.declared_by_key.values():
             if item.digest in self.engine.loaded:
                 continue
@@ -423,22 +426,22 @@
     def _swap_in_place(self, item, *, now):
         if self.phase == NO_SWAP:
             self.phase = WAITING
-            self._allowed = False
+            self._swap_permitted = False
             return []
-        if not self._allowed:
+        if not self._swap_permitted:
             return []
         if self.phase == WAITING:
-            # Tell the others first and look again: two hosts that saw the same
-            # free place have then seen each other.
+            # Announce the swap first and check the permit again afterwards. Two hosts
+            # that saw the same free slot have then seen each other's announcement.
             self.phase = CHANGING
-            self._begin_deadline = now + self.settle
+            self._swap_not_before = now + self.settle
             return []
-        if now < self._begin_deadline:
+        if now < self._swap_not_before:
             return []
-        return self._go_out_of_service(item)
+        return self._stop_serving(item)
 
-    def _go_out_of_service(self, item):
-        """Switch off the service, and the adapters that stand on its base."""
+    def _stop_serving(self, item):
+        """Switch off the service and the adapters of its base weights."""
         service = item.key.partition(":")[0]
         outcomes = []
         for key in list(self.live_by_key):
@@ -447,16 +450,16 @@
                 outcomes.append(SwitchLive(key=key, digest=None))
         return outcomes
 
-    def _unload_idle(self):
-        """Order away weights that are neither declared, live nor in use."""
-        used = self._wanted() | set(self.live_by_key.values())
+    def _unload_unused(self):
+        """Order to unload weights that are neither declared, live nor in use."""
+        used = self._declared_digests() | set(self.live_by_key.values())
         bases = {self.base_by_digest[item] for item in used & set(self.base_by_digest)}
         used |= bases
         for digest in sorted(self.engine.loaded - used):
             if self._running_by_digest.get(digest, 0) == 0:
-                return self._give(OrderUnload(digest=digest))
+                return self._issue_order(OrderUnload(digest=digest))
         return []
 
-    def _give(self, order):
+    def _issue_order(self, order):
         self.order = order
         return [order]
