--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -12,7 +12,7 @@
 #: Delay in seconds before a failed order is retried.
 ORDER_RETRY_DELAY = 1.0
 
-#: Progress values: weights that this host has no memory for, and complete (per mille).
+#: Progress in per mille of weights that the host has no memory for, and of live ones.
 NO_MEMORY_PROGRESS = -1
 COMPLETE_PROGRESS = 1000
 
--- a/hawthornspoke/entry/_context.py
+++ b/hawthornspoke/entry/_context.py
@@ -202,8 +202,8 @@
 
 def _is_marked_non_idempotent(context):
     """Return whether the caller has marked the request as not idempotent."""
-    word = context.request.headers.get(HEADER_IDEMPOTENT, "").lower()
-    return bool(context.key) or word in ("false", "no", "0", "?0")
+    marker = context.request.headers.get(HEADER_IDEMPOTENT, "").lower()
+    return bool(context.key) or marker in ("false", "no", "0", "?0")
 
 
 def _parse_float(text):
--- a/hawthornspoke/entry/tests/test_suspects.py
+++ b/hawthornspoke/entry/tests/test_suspects.py
@@ -32,7 +32,7 @@
 def make_hosts(count=3):
     """Return entry hosts that know each other, and their shared socket."""
     socket = Socket()
-    created = []
+    synced_hosts = []
     for number in range(count):
         others = [
             SimpleNamespace(address=str(other), port=1)
@@ -45,8 +45,8 @@
         )
         quarantine_sync = QuarantineSync(core=core, socket=socket, metrics=Metrics())
         socket.host_by_address[str(number)] = quarantine_sync
-        created.append(quarantine_sync)
-    return created, socket
+        synced_hosts.append(quarantine_sync)
+    return synced_hosts, socket
 
 
 def is_refused(host, fingerprint="f", *, now=2.0):
