--- a/hawthornspoke/claims/_claim.py
+++ b/hawthornspoke/claims/_claim.py
@@ -198,7 +198,7 @@
             # back tells.
             self.phase = "reading"
             return [ReadClaim()]
-        return self._refuse_not_run("the table is unreachable")
+        return self._refuse_not_run("the table can't be reached")
 
     def on_read_done(self, message, *, now):
         """Act on the state of the row.
@@ -215,7 +215,7 @@
         if self.phase != "reading":
             return []
         if message.outcome == "unavailable":
-            return self._refuse_not_run("the claim cannot be read back from the table")
+            return self._refuse_not_run("the table can't be read back")
         if message.outcome == "missing":
             return self._write("")
         return self._evaluate_row(message.row)
@@ -245,9 +245,7 @@
 
     def _write(self, replaced_token):
         if self.rounds >= MAX_WRITES:
-            return self._refuse_not_run(
-                "the claim is still undecided after several writes"
-            )
+            return self._refuse_not_run("the table gives no clear answer")
         self.rounds += 1
         self.phase = "writing"
         self._replaced_token = replaced_token
@@ -258,7 +256,7 @@
             return self._claim_succeeded()
         if row.get("fingerprint", "") != self.fingerprint:
             self.phase = "refused"
-            failure = KEY_REUSED.because("the key was used for a different request")
+            failure = KEY_REUSED.because("the key was used for another request")
             return [RefuseRequest(failure=failure, was_run=False)]
         if row["state"] == RowState.DONE.value:
             self.phase = "done"
@@ -266,7 +264,7 @@
         if row["state"] == RowState.NOT_RUN.value:
             return self._write(row["token"])
         self.phase = "refused"
-        reason = "a request with this key was sent and its outcome is unknown"
+        reason = "a request with this key was sent and its outcome is not known"
         failure = OUTCOME_UNKNOWN.because(reason, retry_after=RETRY_AFTER)
         return [RefuseRequest(failure=failure, was_run=True)]
 
--- a/hawthornspoke/entry/_attempt.py
+++ b/hawthornspoke/entry/_attempt.py
@@ -49,7 +49,7 @@
     live : str or None, default=None
         Digest of the weights that serve at the endpoint, as named in its refusal.
     engine_exit_id : str, default=""
-        Identifier of the engine exit, if the engine process ended during the request.
+        Identifier of the engine exit, if the engine's process ended during the request.
     """
 
     __slots__ = ("done", "was_run", "failure", "live", "engine_exit_id")
@@ -137,7 +137,7 @@
             if reply.request_id != self._attempt_id:
                 # The connection is out of sync, so none of its data can be trusted.
                 self._connection.close()
-                reason = "the endpoint replied to a different request"
+                reason = "the endpoint answered another request"
                 self.result = self._failed_after_submit(WRONG_ANSWER.because(reason))
                 return
             self.received_revision = max(self.received_revision, reply.revision or 0)
@@ -215,7 +215,7 @@
 
     def _stop_reason(self):
         if monotonic() >= self.context.deadline:
-            return TIMED_OUT.because("answer incomplete at the deadline")
+            return TIMED_OUT.because("no whole answer before the deadline")
         if self.context.request.caller_gone():
             return CALLER_GONE
         return None
@@ -244,7 +244,7 @@
                 done=False, was_run=False, failure=failure, live=event.digest
             )
         if failure == ENGINE_ENDED:
-            cut_off = CUT_OFF.because("the engine process ended")
+            cut_off = CUT_OFF.because("the engine's process ended")
             return AttemptResult(
                 done=False, was_run=True, failure=cut_off, engine_exit_id=failure.reason
             )
--- a/hawthornspoke/entry/_context.py
+++ b/hawthornspoke/entry/_context.py
@@ -144,17 +144,15 @@
     headers = context.request.headers
     context.key = headers.get(HEADER_IDEMPOTENCY_KEY, "").strip('"')
     if len(context.key) > MAX_KEY_LENGTH:
-        return BAD_REQUEST.because(
-            f"Idempotency-Key is longer than {MAX_KEY_LENGTH} characters"
-        )
+        return BAD_REQUEST.because(f"Idempotency-Key over {MAX_KEY_LENGTH} characters")
     timeout = _parse_float(headers.get(HEADER_TIMEOUT))
     if timeout is not None:
         if not 0 < timeout <= MAX_TIMEOUT:
-            reason = f"X-Request-Timeout must be over 0 s and at most {MAX_TIMEOUT:g} s"
+            reason = f"X-Request-Timeout: seconds, 0 to {MAX_TIMEOUT:g}"
             return BAD_REQUEST.because(reason)
         context.deadline = context.arrived_at + timeout
     elif HEADER_TIMEOUT in headers:
-        return BAD_REQUEST.because("X-Request-Timeout is not a number")
+        return BAD_REQUEST.because("X-Request-Timeout: not a number of seconds")
     return _read_priority(context, headers.get(HEADER_PRIORITY, ""))
 
 
@@ -164,19 +162,17 @@
         if name != "u" or not equals:
             continue
         if not value.isdigit() or int(value) > MAX_URGENCY_VALUE:
-            return BAD_REQUEST.because("Priority urgency must be u=0 to u=7")
+            return BAD_REQUEST.because("Priority: u=0 to u=7")
         context.urgency = int(value)
     return None
 
 
 def _read_model_request(context):
     if context.request.method != "POST":
-        return BAD_REQUEST.because("completions require the POST method")
+        return BAD_REQUEST.because("completions are asked for by POST")
     parsed = context.request.json()
     if not isinstance(parsed, dict) or not isinstance(parsed.get("model"), str):
-        return BAD_REQUEST.because(
-            'the body must be a JSON object with a string "model"'
-        )
+        return BAD_REQUEST.because('the body has to be JSON with a "model"')
     context.is_model = True
     context.parsed_body = parsed
     context.path = context.request.path
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -186,12 +186,12 @@
         if is_failure(allowed):
             return allowed
         if allowed != organisation:
-            reason = "the key now belongs to another organisation"
+            reason = "the key is another organisation's now"
             return self._denial(UNAUTHENTICATED.because(reason), now)
         view = self.core.membership.by_id.get(node)
         is_known = view is not None and view.member is not None
         if not is_known or view.status == "leaving" or view.member.leaving:
-            return DRAINING.because(f"{node} is leaving")
+            return DRAINING.because(f"{node} leaves")
         return self.quarantine_sync.quarantine_failure(fingerprint, now=now)
 
     def _authorise(self, authorization, service_name, now):
@@ -201,7 +201,7 @@
             return NOT_READY.because(reason, retry_after=1.0)
         if not authorization.lower().startswith(BEARER_PREFIX):
             # No configuration permits requests without a key, so its age is irrelevant.
-            return UNAUTHENTICATED.because("the Authorization header has no bearer key")
+            return UNAUTHENTICATED.because("no bearer key in Authorization")
         organisation = self._authenticate(authorization)
         if is_failure(organisation):
             return self._denial(organisation, now)
@@ -210,7 +210,7 @@
             missing = NO_SUCH_SERVICE.because(f"no service {service_name!r}")
             return self._denial(missing, now)
         if not service.serves(organisation):
-            reason = f"{service_name!r} is not available to {organisation!r}"
+            reason = f"{service_name!r} is not open to {organisation!r}"
             return self._denial(FORBIDDEN.because(reason), now)
         return organisation
 
@@ -227,7 +227,7 @@
         if may_deny:
             return failure
         self.core.hasten_table(now=now)
-        reason = f"{failure.code} by a configuration that may be outdated"
+        reason = f"{failure.code}, by a configuration that may be old"
         return NOT_READY.because(reason, retry_after=1.0)
 
     def choose(self, *, service, adapter, prefix, digest, excluded, fingerprint, now):
@@ -438,7 +438,7 @@
         key = authorization[len(BEARER_PREFIX) :].strip()
         name = self.organisation_by_key.get(hashlib.sha256(key.encode()).hexdigest())
         if name is None:
-            return UNAUTHENTICATED.because("the key belongs to no organisation")
+            return UNAUTHENTICATED.because("the key is not one of an organisation")
         return name
 
     def _live_endpoints(self, service, adapter, digest):
--- a/hawthornspoke/entry/_pipeline.py
+++ b/hawthornspoke/entry/_pipeline.py
@@ -115,7 +115,7 @@
             return self._refuse(context, BAD_REQUEST.because(reason))
         if context.adapter and context.adapter not in service.adapters:
             known = ", ".join(sorted(service.adapters)) or "none"
-            reason = f"no adapter {context.adapter!r}; available adapters: {known}"
+            reason = f"no adapter {context.adapter!r}; there are: {known}"
             return self._refuse(context, BAD_REQUEST.because(reason))
         return None
 
@@ -124,7 +124,7 @@
             return None
         return self._refuse(
             context,
-            TOO_LATE.because("the deadline passed before the request was processed"),
+            TOO_LATE.because("the time was up on arrival"),
         )
 
     def _claim(self, context):
@@ -212,7 +212,7 @@
         if is_failure(stored):
             failure = Failure(
                 code="outcome_unknown",
-                reason="the request was run, but its stored answer cannot be read",
+                reason="the request was run; its answer can't be read now",
                 retry_after=1.0,
             )
             return self._refuse(context, failure, outcome=UNKNOWN)
--- a/hawthornspoke/entry/_suspects.py
+++ b/hawthornspoke/entry/_suspects.py
@@ -62,7 +62,7 @@
         until = self.quarantine.refused_until(fingerprint, now=now)
         if until is None:
             return None
-        reason = "engines exited while running this request"
+        reason = "engines ended under this request"
         return QUARANTINED.because(reason, retry_after=until - now)
 
     def record_engine_exit(self, exit_id, fingerprint, *, in_use, now):
--- a/hawthornspoke/gate/_gate.py
+++ b/hawthornspoke/gate/_gate.py
@@ -335,9 +335,7 @@
 
     def _admission_failure(self, message, *, now):
         if self._is_duplicate(message.request_id):
-            return DUPLICATE.because(
-                f"request {message.request_id} was already submitted"
-            )
+            return DUPLICATE.because(f"request {message.request_id} was seen before")
         if self.draining:
             return DRAINING.because("endpoint is leaving", retry_after=0.0)
         if self._has_wrong_digest(message):
@@ -346,7 +344,7 @@
             return self._deadline_failure()
         wait = self.expected_wait()
         if now + wait >= message.deadline:
-            reason = f"expected wait of {wait:.2f} s exceeds the deadline"
+            reason = f"expected wait {wait:.2f} s outlasts the deadline"
             return BUSY.because(reason, retry_after=wait)
         return None
 
@@ -365,7 +363,7 @@
     def _wrong_digest_failure(self, admit):
         live = self.live_by_service.get(admit.service)
         live_text = "nothing" if live is None else repr(live[:12])
-        return WRONG_DIGEST.because(f"{admit.service}: live weights are {live_text}")
+        return WRONG_DIGEST.because(f"{admit.service}: live here is {live_text}")
 
     def _deadline_failure(self):
         wait = self.expected_wait()
