--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -84,7 +84,7 @@
     Mutation(
         name="weights are checked on arrival only",
         file="gate/_gate.py",
-        old="            if self._mismatch(waiting.admit):",
+        old="            if self._has_wrong_digest(entry.admit):",
         new="            if False:",
         test="tests/test_traces.py -k switch_while_queued",
     ),
@@ -105,7 +105,7 @@
     Mutation(
         name="a broken connection counts as not run",
         file="entry/_attempt.py",
-        old="if failure in (NOT_SENT, TOO_LATE) or self._objection is not None:",
+        old="if failure in (NOT_SENT, TOO_LATE) or self._presend_failure is not None:",
         new="if True:",
         test="tests/test_promise_not_run.py -k killed_and_frozen",
     ),
@@ -119,8 +119,8 @@
     Mutation(
         name="claims without a condition",
         file="entry/_claims_runner.py",
-        old="        condition = Condition(absent=True)\n        if outcome.over",
-        new="        condition = None\n        if outcome.over",
+        old="        condition = Condition(absent=True)\n        if outcome.replaced",
+        new="        condition = None\n        if outcome.replaced",
         test="tests/test_promise_once.py -k all_entry_hosts_at_once",
     ),
     Mutation(
@@ -360,7 +360,7 @@
         file="protocol/_connection.py",
         old="        failure = objection() if objection is not None else None\n",
         new="        failure = None\n",
-        test="hawthornspoke/entry/tests/test_after_a_wait.py -k caller_that_left",
+        test="hawthornspoke/entry/tests/test_after_a_wait.py -k caller_disconnects",
     ),
     Mutation(
         name="after a wait: small calls are sent late",
