--- a/hawthornspoke/report/_plot.py
+++ b/hawthornspoke/report/_plot.py
@@ -38,9 +38,9 @@
     _plot_stacked(upper, report.requests_by_second, REQUESTS, "requests per second")
     _plot_stacked(lower, report.engines_by_second, ENGINES, "engines")
     for rollout in report.spreads:
-        moment = rollout.declared_at - report.started_at
+        time = rollout.declared_at - report.started_at
         for chart in (upper, lower):
-            chart.axvline(moment, color="black", linewidth=0.5)
+            chart.axvline(time, color="black", linewidth=0.5)
     lower.set_xlabel("seconds")
     figure.savefig(file)
 
