--- a/hawthornspoke/httpio/__init__.py
+++ b/hawthornspoke/httpio/__init__.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 on the event loop: a server for callers, a client for endpoints.
+"""Asyncio HTTP/1.1 server for callers and client for endpoints.
 
-cheroot and urllib3 give a thread to a connection and to a call. Measured on the
-same traffic of 140 requests a second with streams, threads took 0.048 of a core and
-29 MB an entry host, one event loop with httptools 0.031 and 19 MB; and a thread that
-waits for an endpoint can't notice that its caller has left.
+cheroot and urllib3 use a thread per connection and per call. At 140 requests per
+second including streams, threads used 0.048 of a core and 29 MB per entry host; a
+single event loop with httptools used 0.031 of a core and 19 MB. A thread blocked on an
+endpoint also can't detect that its caller has disconnected.
 """
 
 from hawthornspoke.httpio._client import (
--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -1,4 +1,4 @@
-"""The endpoints' side: an HTTP/1.1 client on the event loop."""
+"""Asyncio HTTP/1.1 client for connections to endpoints."""
 
 import asyncio
 import collections
@@ -10,27 +10,28 @@
 from hawthornspoke.base import Failure, contact_clock, has_hung_up
 from hawthornspoke.httpio._message import HOP_BY_HOP, Response, encode_head
 
-#: Milliseconds that sent bytes may stay unacknowledged. A connection can go silent
-#: for good without a reset; without this a request on it waits for its deadline.
-#: A round trip between regions takes a few milliseconds, a lost packet is sent
-#: again within 200 ms, so a second is several losses in a row.
+#: Milliseconds that sent bytes may stay unacknowledged before the connection fails.
+#: A peer can disappear without a reset; a request would then wait for its deadline.
+#: A round trip between regions takes a few milliseconds and a lost packet is
+#: retransmitted within 200 ms, so one second means several losses in a row.
 USER_TIMEOUT_MS = 1000
 
-#: Seconds of idleness before, and between, keep-alive probes, and probes lost.
+#: TCP keep-alive: idle seconds before the first probe, seconds between probes, and
+#: number of unanswered probes after which the connection is dropped.
 KEEPALIVE_IDLE = 2
-KEEPALIVE_EVERY = 1
-KEEPALIVE_LOST = 2
+KEEPALIVE_INTERVAL = 1
+KEEPALIVE_PROBES = 2
 
-#: Part of an endpoint's announced idle timeout during which a connection is used
-#: again: the endpoint may close it while a request is on its way to it.
-IDLE_SHARE = 0.7
+#: Fraction of the idle timeout announced by an endpoint during which a connection is
+#: reused. Closer to the timeout, the endpoint may close it with a request in transit.
+IDLE_TIMEOUT_FRACTION = 0.7
 
-#: Seconds of idleness after which a connection is not used again where the
-#: endpoint announces no whole second; its timeout is then below one.
-UNANNOUNCED_IDLE = 0.3
+#: Idle timeout in seconds of an endpoint that announces none. ``Keep-Alive`` holds
+#: whole seconds, so an endpoint with a timeout below one second can't announce it.
+DEFAULT_IDLE_TIMEOUT = 0.3
 
-#: Bytes read ahead of a slow caller.
-READ_AHEAD = 262144
+#: Bytes buffered for a slow caller.
+READ_BUFFER_BYTES = 262144
 
 CONNECT_FAILED = Failure(code="connect_failed")
 BROKEN = Failure(code="connection_broken")
@@ -41,68 +42,68 @@
 
 
 class Exchange:
-    """One request on a connection, and what comes back.
+    """One request on a connection and its response.
 
     Parameters
     ----------
     expected_id : str or None
-        Value that the response's id field must have.
+        Expected value of the response's id header; None accepts any.
     """
 
-    __slots__ = ("expected_id", "head", "complete", "failure", "_parts", "_waiter")
+    __slots__ = ("expected_id", "head", "complete", "failure", "_chunks", "_waiter")
 
     def __init__(self, *, expected_id):
         self.expected_id = expected_id
         self.head = None
         self.complete = False
         self.failure = None
-        self._parts = collections.deque()
+        self._chunks = collections.deque()
         self._waiter = None
 
     async def read_head(self):
-        """Return the response's head, or a Failure."""
+        """Wait for the response head; return it or a Failure."""
         while self.head is None and self.failure is None:
             await self._wait()
         return self.head if self.head is not None else self.failure
 
     async def read(self):
         """Return the next bytes of the body, ``b""`` at its end, or a Failure."""
-        while not self._parts and not self.complete and self.failure is None:
+        while not self._chunks and not self.complete and self.failure is None:
             await self._wait()
-        if self._parts:
-            data = b"".join(self._parts)
-            self._parts.clear()
+        if self._chunks:
+            data = b"".join(self._chunks)
+            self._chunks.clear()
             return data
         return self.failure if self.failure is not None else b""
 
     async def read_whole(self):
-        """Return the whole response, or a Failure."""
+        """Read the response with its body; return it or a Failure."""
         head = await self.read_head()
         if isinstance(head, Failure):
             return head
         body = bytearray()
         while True:
-            part = await self.read()
-            if isinstance(part, Failure):
-                return part
-            if not part:
+            chunk = await self.read()
+            if isinstance(chunk, Failure):
+                return chunk
+            if not chunk:
                 return Response(
                     status=head.status, headers=head.headers, body=bytes(body)
                 )
-            body += part
+            body += chunk
 
-    def take_head(self, head):
-        """Take the head from the connection."""
+    def receive_head(self, head):
+        """Store the response head and wake the reader."""
         self.head = head
         self._wake()
 
-    def take(self, data):
-        """Take a part of the body from the connection."""
-        self._parts.append(data)
+    def receive_body(self, data):
+        """Append received body data and wake the reader."""
+        self._chunks.append(data)
         self._wake()
 
     def end(self, failure=None):
-        """Take the end; a response that is complete stays complete."""
+        """End the exchange; no effect if it is complete or has failed."""
         if self.complete or self.failure is not None:
             return
         if failure is None:
@@ -124,12 +125,12 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection to one endpoint; one request at a time.
+    """Connection to one endpoint that carries one request at a time.
 
     Parameters
     ----------
     id_header : str or None
-        Field by which a response is matched to its request.
+        Header by which a response is matched to its request.
     """
 
     def __init__(self, *, id_header):
@@ -141,29 +142,29 @@
         self.reusable = True
         self._parser = None
         self._head = None
-        self._skipping = False
-        self._framed = False
-        self._idle_time = UNANNOUNCED_IDLE
+        self._discarding = False
+        self._has_framing = False
+        self._idle_timeout = DEFAULT_IDLE_TIMEOUT
         self._keep_alive = True
 
     @property
     def is_open(self):
-        """Whether a request can be sent, as far as the loop has seen."""
+        """Whether the transport is open, as far as the event loop knows."""
         return self.transport is not None and not self.transport.is_closing()
 
     def has_ended(self):
-        """Tell whether the endpoint has closed, also if the loop has yet to see it."""
+        """Check the socket itself for a close that the event loop hasn't seen yet."""
         if not self.is_open:
             return True
         return has_hung_up(self.transport.get_extra_info("socket"))
 
     def connection_made(self, transport):
-        """Set what detects a silent peer."""
+        """Store the transport and set the socket options."""
         self.transport = transport
         set_socket_options(transport.get_extra_info("socket"))
 
     def connection_lost(self, exc):
-        """End what is in progress."""
+        """Fail the exchange in progress."""
         self.transport = None
         self.reusable = False
         exchange, self.exchange = self.exchange, None
@@ -171,12 +172,12 @@
             exchange.end(BROKEN.because(str(exc) if exc else "closed"))
 
     def eof_received(self):
-        """Complete an answer that ends with its connection.
+        """Complete a response that is delimited by the end of its connection.
 
-        Only a clean end completes it: one that is reset on the way may lack bytes.
+        Only EOF completes it: after a reset, bytes may be missing.
         """
         exchange = self.exchange
-        if exchange is not None and exchange.head is not None and not self._framed:
+        if exchange is not None and exchange.head is not None and not self._has_framing:
             exchange.end()
         return False
 
@@ -186,7 +187,7 @@
         Parameters
         ----------
         data : bytes
-            Head and body.
+            Encoded head and body.
         expected_id : str or None
 
         Returns
@@ -197,15 +198,15 @@
         self.requests += 1
         self._parser = httptools.HttpResponseParser(self)
         self._head = None
-        self._skipping = False
+        self._discarding = False
         self.transport.write(data)
         return self.exchange
 
     def data_received(self, data):
-        """Read a response; bytes that belong to none end the connection."""
+        """Parse response data; unsolicited data aborts the connection."""
         if self.exchange is None:
-            # A second answer, or rubbish after a whole one: what would be read as
-            # the start of the next answer belongs to no request.
+            # A second response, or garbage after a complete one. It would be parsed
+            # as the start of the response to the next request.
             self.abort()
             return
         try:
@@ -218,30 +219,33 @@
             self.abort()
 
     def release(self):
-        """Tell whether the connection can carry another request.
+        """End the exchange; abort the connection if it can't be reused.
 
         Returns
         -------
         bool
+            Whether the connection can carry another request.
         """
         self.exchange = None
         if not self.reusable or not self.is_open:
             self.abort()
             return False
-        self.idle_deadline = contact_clock() + self._idle_time * IDLE_SHARE
+        self.idle_deadline = (
+            contact_clock() + self._idle_timeout * IDLE_TIMEOUT_FRACTION
+        )
         return True
 
     def abort(self):
-        """Close at once; an endpoint drops the request of a closed connection."""
+        """Close immediately, which makes the endpoint cancel the request."""
         self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
-    # Callbacks of the parser.
+    # httptools parser callbacks.
 
     def on_message_begin(self):
-        if self._head is not None and not self._skipping:
-            # A second response behind the one that was asked for.
+        if self._head is not None and not self._discarding:
+            # A second, unsolicited response.
             self.reusable = False
         self._headers = []
 
@@ -251,54 +255,62 @@
     def on_headers_complete(self):
         status = self._parser.get_status_code()
         head = Response(status=status, headers=self._headers)
-        if self._head is not None and not self._skipping:
+        if self._head is not None and not self._discarding:
             return
         if status < 200:
-            self._skipping = True
+            self._discarding = True
             return
-        expected = self.exchange.expected_id
-        seen = head.get(self.id_header) if self.id_header else None
-        # A late answer to an earlier request has that request's id.
-        self._skipping = expected is not None and seen is not None and seen != expected
-        if self._skipping:
+        wanted_id = self.exchange.expected_id
+        received_id = head.get(self.id_header) if self.id_header else None
+        # A late response to an earlier request carries the id of that request.
+        self._discarding = (
+            wanted_id is not None
+            and received_id is not None
+            and received_id != wanted_id
+        )
+        if self._discarding:
             return
         self._head = head
-        self._framed = (
+        self._has_framing = (
             head.get("content-length") is not None
             or "chunked" in head.get("transfer-encoding", "").lower()
         )
-        self._note_idle_time(head)
-        self.exchange.take_head(head)
+        self._update_keep_alive(head)
+        self.exchange.receive_head(head)
 
     def on_body(self, body):
-        if not self._skipping and self.exchange is not None and not self._is_done():
-            self.exchange.take(body)
+        if (
+            not self._discarding
+            and self.exchange is not None
+            and not self._is_complete()
+        ):
+            self.exchange.receive_body(body)
 
     def on_message_complete(self):
-        if self._skipping:
-            self._skipping = False
+        if self._discarding:
+            self._discarding = False
             self._head = None
             return
         if self.exchange is not None:
             self.exchange.end()
 
-    def _is_done(self):
+    def _is_complete(self):
         return self.exchange.complete
 
-    def _note_idle_time(self, head):
+    def _update_keep_alive(self, head):
         if "close" in head.get("connection", "").lower():
             self.reusable = False
-        if not self._framed:
+        if not self._has_framing:
             self.reusable = False
         announced = head.get("keep-alive", "")
-        for part in announced.split(","):
-            name, _, value = part.strip().partition("=")
+        for chunk in announced.split(","):
+            name, _, value = chunk.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit() and int(value) > 0:
-                self._idle_time = float(value)
+                self._idle_timeout = float(value)
 
 
 def set_socket_options(sock):
-    """Make a socket notice a silent peer, and send small messages at once.
+    """Enable detection of unresponsive peers and disable Nagle's algorithm.
 
     Parameters
     ----------
@@ -309,23 +321,23 @@
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_EVERY),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_LOST),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     )
     for level, name, value in options:
-        # A system without one of them still works, it only notices later.
+        # An operating system without one of the options only detects a failure later.
         with contextlib.suppress(OSError):
             sock.setsockopt(level, name, value)
 
 
 def encode_request(*, method, target, headers, body=b""):
-    """Return a request as bytes.
+    """Encode a request.
 
     Parameters
     ----------
     method, target : str
     headers : list of (str, str)
-        End-to-end fields.
+        Header fields; hop-by-hop fields are left out.
     body : bytes
 
     Returns
@@ -348,6 +360,7 @@
     timeout : float
         Seconds.
     id_header : str or None, default=None
+        Header by which responses are matched to requests.
 
     Returns
     -------
--- a/hawthornspoke/httpio/_fetch.py
+++ b/hawthornspoke/httpio/_fetch.py
@@ -1,4 +1,4 @@
-"""Small whole calls on kept connections."""
+"""Simple requests over pooled connections, with optional hedging."""
 
 import asyncio
 
@@ -22,30 +22,30 @@
     timeout,
     hedge_after=None,
 ):
-    """Make one small call and read its whole answer.
+    """Send one request and read the complete response.
 
-    A connection that a router on the way has forgotten stays open and never answers.
-    A hedged call is made once more where its answer is overdue, on a new connection:
-    without that what the caller knows would be as old as the whole timeout.
+    A connection whose state a router on the path has lost looks open but never gets a
+    response. A hedged request is repeated on a new connection when its response is
+    late; otherwise the caller's information would go stale for the whole timeout.
 
     Parameters
     ----------
     pool : ConnectionPool
     address : str
-        ``IP:PORT``, also the pool's key.
+        ``IP:PORT``, also the key within the pool.
     method, target : str
     headers : list of (str, str)
     body : bytes
     timeout : float
-        Seconds for all of it.
+        Seconds for the whole call, including the hedge.
     hedge_after : float or None, default=None
-        Seconds after which the call is made once more, None for never. Only for calls
-        that may be made twice.
+        Seconds after which the request is repeated; None disables hedging. Only for
+        idempotent requests.
 
     Returns
     -------
     Response or Failure
-        The first response; ``NOT_SENT`` if not a byte has left.
+        The first response, or ``NOT_SENT`` if no byte was sent.
     """
     call = {
         "method": method,
@@ -70,7 +70,7 @@
 
 
 async def _first_response(calls):
-    """Return the first response of some calls, a Failure if all fail."""
+    """Return the first successful response, or a Failure if all calls fail."""
     pending = set(calls)
     while True:
         done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
@@ -96,15 +96,17 @@
             if isinstance(connection, Failure):
                 return connection
             if contact_clock() >= deadline or not connection.is_open:
-                # The process stood still since: this task goes on before the timer
-                # of its limit, and an order would be carried out that was decided
-                # on what was true seconds ago.
-                return NOT_SENT.because(f"{method} {target}: too late")
+                # After the process was frozen, this task can resume before its
+                # timeout fires; it would then send a request that was decided on
+                # data that is seconds old.
+                return NOT_SENT.because(
+                    f"{method} {target}: deadline passed before sending"
+                )
             answer = await connection.send(data, expected_id=None).read_whole()
             complete = not isinstance(answer, Failure)
             return answer
     except TimeoutError:
-        return BROKEN.because(f"{method} {target}: no answer in {timeout:g} s")
+        return BROKEN.because(f"{method} {target}: no response within {timeout:g} s")
     finally:
         if isinstance(connection, ClientConnection):
             if complete:
--- a/hawthornspoke/httpio/_message.py
+++ b/hawthornspoke/httpio/_message.py
@@ -1,6 +1,6 @@
-"""Requests and responses as plain objects."""
+"""HTTP request and response objects and the encoding of heads."""
 
-#: Fields that concern one connection only (RFC 9110, section 7.6.1).
+#: Hop-by-hop header fields (RFC 9110, section 7.6.1), which are not forwarded.
 HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -40,12 +40,12 @@
 
 
 class Message:
-    """Fields that requests and responses share.
+    """Base class of requests and responses.
 
     Parameters
     ----------
     headers : list of (str, str)
-        As received, in order.
+        In the order received.
     body : bytes
     """
 
@@ -57,16 +57,16 @@
         self._value_by_name = {name.lower(): value for name, value in headers}
 
     def get(self, name, default=None):
-        """Return a field's value; names are compared without case."""
+        """Return the value of a header field; names are case-insensitive."""
         return self._value_by_name.get(name.lower(), default)
 
     def end_to_end(self, *, without=()):
-        """Return the fields that are passed on.
+        """Return the end-to-end header fields, which are forwarded.
 
         Parameters
         ----------
         without : collection of str
-            Names in lower case that are left out besides.
+            Additional lower-case names to leave out.
 
         Returns
         -------
@@ -84,7 +84,7 @@
 
 
 class Request(Message):
-    """One request, read whole.
+    """A complete request.
 
     Parameters
     ----------
@@ -93,9 +93,9 @@
     headers : list of (str, str)
     body : bytes
     arrived_at : float
-        Monotonic time of its first byte.
+        Time of its first byte on the monotonic clock.
     contact_arrived_at : float
-        The same on the clock that goes on while the host is suspended.
+        The same on the contact clock, which includes time the host is suspended.
     """
 
     __slots__ = ("method", "target", "arrived_at", "contact_arrived_at")
@@ -118,7 +118,7 @@
 
 
 class Response(Message):
-    """A response, whole or only its head.
+    """A response, or only its head.
 
     Parameters
     ----------
@@ -135,7 +135,7 @@
 
 
 def encode_head(first_line, headers):
-    """Return a message's head as bytes.
+    """Encode the head of a message.
 
     Parameters
     ----------
@@ -152,5 +152,5 @@
 
 
 def status_line(status):
-    """Return the first line of a response."""
+    """Return the status line of a response."""
     return f"HTTP/1.1 {status} {REASON_BY_STATUS.get(status, 'Status')}"
--- a/hawthornspoke/httpio/_operator.py
+++ b/hawthornspoke/httpio/_operator.py
@@ -1,4 +1,4 @@
-"""What operators ask a process: its metrics and its state."""
+"""Handler of the operators' HTTP port: metrics and process state."""
 
 import json
 
@@ -6,13 +6,13 @@
 
 
 class OperatorPort:
-    """Answers ``/metrics`` and ``/dump``.
+    """Request handler that serves ``/metrics`` and ``/dump``.
 
     Parameters
     ----------
     metrics : Metrics
     dump : callable
-        Returns the process's state as plain data.
+        Returns the state of the process as JSON-serializable data.
     """
 
     __slots__ = ("_metrics", "_dump")
@@ -22,7 +22,7 @@
         self._dump = dump
 
     async def __call__(self, request, reply):
-        """Answer one request."""
+        """Handle one request; unknown targets get status 404."""
         if request.target.startswith("/metrics"):
             body = self._metrics.render().encode()
             reply.send(200, [("Content-Type", METRICS_TYPE)], body)
--- a/hawthornspoke/httpio/_pool.py
+++ b/hawthornspoke/httpio/_pool.py
@@ -1,4 +1,4 @@
-"""Connections that are kept between requests."""
+"""Pool of persistent connections."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 from hawthornspoke.httpio._client import open_connection
 
 
-class _Idle:
-    """An idle connection and the start of the endpoint that it leads to."""
+class _IdleConnection:
+    """An idle connection and the incarnation of the endpoint it was opened to."""
 
     __slots__ = ("connection", "start")
 
@@ -17,18 +17,19 @@
 
 
 class ConnectionPool:
-    """Idle connections by key, the last used first.
+    """Idle connections by key; the most recently used is reused first.
 
     Parameters
     ----------
     id_header : str or None, default=None
+        Header by which responses are matched to requests.
     connect_timeout : float, default=0.3
-        Seconds. A round trip between regions is some milliseconds, and 0.2 s where
-        a link is full; an endpoint that is dark doesn't answer at all.
+        Seconds. A round trip between regions takes a few milliseconds, or 0.2 s over
+        a saturated link; an unreachable endpoint doesn't respond at all.
     closes_idle : bool, default=False
-        Whether connections are closed by themselves once they are idle for too long
-        to be used again. Without it whoever holds the pool calls ``sweep``; a pool
-        of many requests a second does so for all of them at once.
+        Whether to schedule the closing of each connection for its idle deadline.
+        Otherwise the owner calls ``sweep`` periodically, which is cheaper for a pool
+        with many requests per second.
     """
 
     __slots__ = (
@@ -47,28 +48,28 @@
         self._idle_by_key = {}
 
     async def acquire(self, key, address, *, start=None, fresh=False, timeout=None):
-        """Return a connection.
+        """Return an idle connection or open a new one.
 
         Parameters
         ----------
         key : str
-            Connections are shared only under one key: an address can pass to
-            another endpoint.
+            Connections are reused only under the same key, as an address can be
+            reassigned to another endpoint.
         address : str
         start : object, default=None
-            Which start of the endpoint is meant. Connections to others are closed:
-            one whose host lost power looks open, and a request that is sent on it
-            may have run for all that is known.
+            Incarnation of the endpoint. Idle connections to other incarnations are
+            closed: after a power loss such a connection still looks open, and a
+            request sent on it would have an unknown outcome.
         fresh : bool, default=False
-            Whether to open a new one in any case.
+            Whether to always open a new connection.
         timeout : float or None, default=None
-            Seconds to connect, if other than the pool's.
+            Connect timeout in seconds; None uses ``connect_timeout``.
 
         Returns
         -------
         ClientConnection or Failure
         """
-        idle = self._idle_at(key, start)
+        idle = self._idle_connections(key, start)
         now = contact_clock()
         while idle and not fresh:
             connection = idle.pop().connection
@@ -81,30 +82,30 @@
         )
 
     def put_back(self, key, connection, *, start=None):
-        """Keep a connection whose answer is complete; see ``acquire``."""
+        """Return a connection to the pool after a complete response."""
         if connection.release():
-            kept = _Idle(connection=connection, start=start)
-            self._idle_by_key.setdefault(key, []).append(kept)
+            entry = _IdleConnection(connection=connection, start=start)
+            self._idle_by_key.setdefault(key, []).append(entry)
             if self.closes_idle:
                 delay = max(0.0, connection.idle_deadline - contact_clock())
                 asyncio.get_running_loop().call_later(delay, self.sweep)
 
     def drop(self, key):
-        """Close the idle connections of an endpoint that is gone."""
+        """Close the idle connections of a removed endpoint."""
         for item in self._idle_by_key.pop(key, ()):
             item.connection.abort()
 
     def sweep(self):
-        """Close connections that are idle for too long to be used again."""
+        """Close connections that are past their idle deadline."""
         now = contact_clock()
         for idle in self._idle_by_key.values():
-            over = [item for item in idle if now >= item.connection.idle_deadline]
-            for item in over:
+            expired = [item for item in idle if now >= item.connection.idle_deadline]
+            for item in expired:
                 idle.remove(item)
                 item.connection.abort()
 
-    def _idle_at(self, key, start):
-        """Return the idle connections to one start, and close those to others."""
+    def _idle_connections(self, key, start):
+        """Return the idle connections to one incarnation and close all others."""
         idle = self._idle_by_key.get(key)
         if not idle:
             return idle
--- a/hawthornspoke/httpio/_probe.py
+++ b/hawthornspoke/httpio/_probe.py
@@ -1,10 +1,10 @@
-"""Whether a process still listens at an address."""
+"""Probe that tells whether a process listens at an address."""
 
 import asyncio
 
 
 async def refuses_connections(address, *, timeout):
-    """Tell whether an address's host says that no process listens there.
+    """Check whether a host refuses connections to an address.
 
     Parameters
     ----------
@@ -16,7 +16,8 @@
     Returns
     -------
     bool
-        False also if the host doesn't answer: then nothing is known of the process.
+        True if no process listens there. False if the connection succeeds, and also
+        if the host doesn't respond, as the state of the process is then unknown.
     """
     host, _, port = address.rpartition(":")
     try:
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -1,8 +1,8 @@
-"""The caller's side: an HTTP/1.1 server on the event loop.
+"""Asyncio HTTP/1.1 server for callers.
 
-A task a request owns it and its answer. A thread a connection, as cheroot has it,
-can't notice that a caller has left while it waits for an endpoint; here the loop
-tells, and the task is cancelled at once.
+Each request is handled by its own task. A thread per connection, as in cheroot, can't
+detect that a caller disconnects while the thread waits for an endpoint; here the event
+loop detects it and cancels the task.
 """
 
 import asyncio
@@ -13,31 +13,33 @@
 from hawthornspoke.base import contact_clock, has_hung_up, monotonic
 from hawthornspoke.httpio._message import Request, encode_head, status_line
 
-#: Bytes of further requests on a connection that are kept while one is answered.
-PIPELINED_BYTES = 65536
+#: Maximum bytes of pipelined requests buffered while a request is handled.
+MAX_PIPELINED_BYTES = 65536
 
-#: Seconds between two looks at connections that are idle or slow.
-SWEEP_EVERY = 0.5
+#: Seconds between checks for idle or slow connections.
+SWEEP_INTERVAL = 0.5
 
-#: Connections that wait to be accepted; a burst of new callers fits.
+#: Length of the accept queue, large enough for a burst of new callers.
 BACKLOG = 1024
 
-#: Bytes that wait for a slow caller before the endpoint is read no further.
+#: Bytes buffered for a slow caller before reading from the endpoint pauses.
 WRITE_HIGH_WATER = 65536
 
 
 class CallerGone(Exception):
-    """The caller closed the connection; nobody waits for the answer."""
+    """The caller closed the connection before the response was sent."""
 
 
 class ServerLimits:
-    """What callers may send; replaced as a whole when it changes.
+    """Size and time limits of requests; a change replaces the whole object.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
+        Maximum sizes of a request.
     header_time, idle_time : float
-        Seconds.
+        Seconds to receive the header; seconds that a connection may be idle or that a
+        body may take.
     """
 
     __slots__ = ("header_bytes", "body_bytes", "header_time", "idle_time")
@@ -52,12 +54,13 @@
 
 
 class Reply:
-    """The answer to one request; exactly one may be sent.
+    """Writer of the response to one request; only one response may be sent.
 
     Parameters
     ----------
     connection : ServerConnection
     keep_alive : bool
+        Whether the connection stays open after the response.
     """
 
     __slots__ = ("status", "started", "finished", "keep_alive", "_connection")
@@ -70,35 +73,35 @@
         self.finished = False
 
     def send(self, status, headers=(), body=b""):
-        """Send a whole answer."""
+        """Send a complete response."""
         self.started = self.finished = True
         self.status = status
         fields = list(headers) + [("Content-Length", str(len(body)))]
         self._connection.write(self._head(status, fields) + body)
 
     def start(self, status, headers=()):
-        """Begin an answer whose length is not known."""
+        """Start a chunked response of unknown length."""
         self.started = True
         self.status = status
         fields = list(headers) + [("Transfer-Encoding", "chunked")]
         self._connection.write(self._head(status, fields))
 
     async def write(self, data):
-        """Send a part of it, and wait while the caller reads too slowly."""
+        """Send a chunk; wait while the write buffer of a slow caller is full."""
         self._connection.write(b"%x\r\n%b\r\n" % (len(data), data))
         await self._connection.drained()
 
     def finish(self):
-        """End the answer as complete."""
+        """Send the last chunk, which marks the response as complete."""
         self.finished = True
         self._connection.write(b"0\r\n\r\n")
 
     def caller_gone(self):
-        """Tell whether the caller has closed, also if the loop has yet to see it."""
+        """Check whether the caller has closed the connection."""
         return self._connection.caller_gone()
 
     def abort(self):
-        """Close the connection, so that the answer can't look complete."""
+        """Abort the connection so that the response is seen as incomplete."""
         self.finished = True
         self._connection.abort()
 
@@ -111,7 +114,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller's connection.
+    """Connection of one caller.
 
     Parameters
     ----------
@@ -126,12 +129,12 @@
         self._parser = None
         self._pending = bytearray()
         self._pending_since = None
-        self._came_at = None
-        self._writable = None
+        self._received_at = None
+        self._drain_waiter = None
         self._reset_message()
 
     def connection_made(self, transport):
-        """Take the connection."""
+        """Configure the transport and register the connection."""
         self.transport = transport
         transport.set_write_buffer_limits(high=WRITE_HIGH_WATER)
         sock = transport.get_extra_info("socket")
@@ -140,126 +143,128 @@
         self.server.connections.add(self)
 
     def connection_lost(self, exc):
-        """Cancel the request's task: nobody waits for its answer."""
+        """Cancel the task of the request, as its response can't be delivered."""
         self.server.connections.discard(self)
         self.transport = None
-        if self._writable is not None and not self._writable.done():
-            self._writable.set_exception(CallerGone())
+        if self._drain_waiter is not None and not self._drain_waiter.done():
+            self._drain_waiter.set_exception(CallerGone())
         if self.task is not None:
             self.task.cancel()
 
     def eof_received(self):
-        """Take a half-close as leaving: callers don't shut down one way.
+        """Treat a half-close as a disconnect; callers don't half-close.
 
-        The transport is closed only when its bytes are sent, which may be never: the
-        caller has left with an answer unread, and its host's reset is behind the same
-        full link. Until then an endpoint would work on for nobody.
+        asyncio closes the transport only after its write buffer is sent. That may
+        never happen if the caller left a response unread and the reset by its host is
+        delayed by the same saturated link; the endpoint would keep working meanwhile.
         """
         if self.task is not None:
             self.task.cancel()
         return False
 
     def pause_writing(self):
-        """The caller reads too slowly."""
-        if self._writable is None:
-            self._writable = asyncio.get_running_loop().create_future()
+        """Make ``drained`` wait, as the write buffer is full."""
+        if self._drain_waiter is None:
+            self._drain_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self):
-        """The caller has caught up."""
-        waiting, self._writable = self._writable, None
-        if waiting is not None and not waiting.done():
-            waiting.set_result(None)
+        """Wake ``drained``, as the write buffer has room again."""
+        waiter, self._drain_waiter = self._drain_waiter, None
+        if waiter is not None and not waiter.done():
+            waiter.set_result(None)
 
     async def drained(self):
-        """Wait until the caller has read enough."""
+        """Wait until the write buffer has room."""
         if self.transport is None:
             raise CallerGone()
-        if self._writable is not None:
-            await self._writable
+        if self._drain_waiter is not None:
+            await self._drain_waiter
 
     def write(self, data):
-        """Hand bytes to the transport; nothing happens if the caller is gone."""
+        """Write to the transport; no effect after the caller has disconnected."""
         if self.transport is not None:
             self.transport.write(data)
 
     def abort(self):
-        """Close at once, unsent bytes are dropped."""
+        """Close immediately and drop unsent data."""
         if self.transport is not None:
             self.transport.abort()
 
     def caller_gone(self):
-        """Tell whether the caller has closed, also if the loop has yet to see it."""
+        """Check the socket itself for a close that the event loop hasn't seen yet."""
         if self.transport is None or self.transport.is_closing():
             return True
         return has_hung_up(self.transport.get_extra_info("socket"))
 
     def close(self):
-        """Close after what was written has been sent."""
+        """Close after buffered data has been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def data_received(self, data):
-        """Read; further requests wait until this one is answered."""
+        """Parse request data, or buffer it while a request is handled."""
         if self.task is not None:
             if not self._pending:
-                self._pending_since = _now()
+                self._pending_since = _current_times()
             self._pending += data
-            if len(self._pending) > PIPELINED_BYTES:
+            if len(self._pending) > MAX_PIPELINED_BYTES:
                 self.abort()
             return
         self._feed(data)
 
     def is_overdue(self, now):
-        """Tell whether the caller has been idle or slow for too long."""
+        """Check whether the idle or receive deadline has passed."""
         return self.task is None and now >= self.idle_deadline
 
-    # Callbacks of the parser.
+    # httptools parser callbacks.
 
     def on_message_begin(self):
         if self._complete:
-            # The next request, in the bytes of this one. It would take this one's
-            # place, and its answer be read as this one's. It is not looked at, and
-            # the connection ends behind this one's answer: the caller then knows
-            # that the rest has not run.
-            self._overrun = True
+            # A pipelined request in the same data. Parsing it would overwrite the
+            # current request, and the caller would match its response to the wrong
+            # request. It is ignored and the connection is closed after the current
+            # response, which tells the caller that the request was not executed.
+            self._has_pipelined = True
             return
         self._reset_message()
-        self._began_at, self._contact_began_at = self._came_at or _now()
+        self._started_at, self._contact_started_at = (
+            self._received_at or _current_times()
+        )
         self.idle_deadline = monotonic() + self.server.limits.header_time
 
     def on_url(self, url):
-        if self._overrun:
+        if self._has_pipelined:
             return
         self._target += url
-        self._count_header(len(url))
+        self._add_header_bytes(len(url))
 
     def on_header(self, name, value):
-        if self._overrun:
+        if self._has_pipelined:
             return
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
-        self._count_header(len(name) + len(value) + 4)
+        self._add_header_bytes(len(name) + len(value) + 4)
 
     def on_headers_complete(self):
-        if self._overrun:
+        if self._has_pipelined:
             return
         self._method = self._parser.get_method().decode("latin-1")
         names = [name.lower() for name, _ in self._headers]
-        # Two lengths, or two hosts, are read differently by different programs;
-        # a request hidden in the difference would reach an endpoint unseen.
+        # HTTP implementations disagree on ambiguous framing or duplicate Host fields,
+        # which allows request smuggling to an endpoint.
         both = "content-length" in names and "transfer-encoding" in names
         if both or names.count("host") != 1 or names.count("content-length") > 1:
-            self._refusal = 400
+            self._error_status = 400
         self._keep_alive = self._parser.should_keep_alive()
-        if "expect" in names and not self._refusal:
+        if "expect" in names and not self._error_status:
             self.write(encode_head(status_line(100), ()))
         self.idle_deadline = monotonic() + self.server.limits.idle_time
 
     def on_body(self, body):
-        if self._overrun:
+        if self._has_pipelined:
             return
         self._body += body
         if len(self._body) > self.server.limits.body_bytes:
-            self._refusal = self._refusal or 413
+            self._error_status = self._error_status or 413
 
     def on_message_complete(self):
         self._complete = True
@@ -270,37 +275,37 @@
         self._headers = []
         self._header_bytes = 0
         self._body = bytearray()
-        self._refusal = None
+        self._error_status = None
         self._keep_alive = True
         self._complete = False
-        self._overrun = False
-        self._began_at = 0.0
-        self._contact_began_at = 0.0
+        self._has_pipelined = False
+        self._started_at = 0.0
+        self._contact_started_at = 0.0
 
-    def _count_header(self, size):
+    def _add_header_bytes(self, size):
         self._header_bytes += size
         if self._header_bytes > self.server.limits.header_bytes:
-            self._refusal = self._refusal or 431
+            self._error_status = self._error_status or 431
 
     def _feed(self, data):
-        # One parser a request; bytes that come while it is answered wait for the next.
+        # One parser per request; data received while it is handled stays buffered.
         if self._parser is None:
             self._reset_message()
             self._parser = httptools.HttpRequestParser(self)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refusal = 400
+            self._error_status = 400
         except httptools.HttpParserError:
-            self._refusal = self._refusal or 400
-        if self._refusal:
-            self._refuse()
+            self._error_status = self._error_status or 400
+        if self._error_status:
+            self._send_error()
         elif self._complete:
             self._begin_task()
 
-    def _refuse(self):
+    def _send_error(self):
         reply = Reply(connection=self, keep_alive=False)
-        reply.send(self._refusal)
+        reply.send(self._error_status)
         self.close()
 
     def _begin_task(self):
@@ -309,11 +314,11 @@
             target=self._target.decode("latin-1"),
             headers=self._headers,
             body=bytes(self._body),
-            arrived_at=self._began_at,
-            contact_arrived_at=self._contact_began_at,
+            arrived_at=self._started_at,
+            contact_arrived_at=self._contact_started_at,
         )
         self._parser = None
-        keep_alive = self._keep_alive and not self._overrun
+        keep_alive = self._keep_alive and not self._has_pipelined
         reply = Reply(connection=self, keep_alive=keep_alive)
         loop = asyncio.get_running_loop()
         self.task = loop.create_task(self.server.handler(request, reply))
@@ -332,20 +337,20 @@
             self.close()
         elif self._pending:
             data, self._pending = bytes(self._pending), bytearray()
-            # They came while this request was answered, and their caller has waited
-            # since then.
-            self._came_at = self._pending_since
+            # The arrival time of a pipelined request is that of its data, not the
+            # time at which it is parsed.
+            self._received_at = self._pending_since
             self.data_received(data)
-            self._came_at = None
+            self._received_at = None
 
 
-def _now():
-    """Return this moment on the steady clock and on the one that goes on."""
+def _current_times():
+    """Return the current time on the monotonic clock and on the contact clock."""
     return monotonic(), contact_clock()
 
 
 class HttpServer:
-    """Listens on one address.
+    """HTTP server on one address.
 
     Parameters
     ----------
@@ -354,7 +359,7 @@
     handler : coroutine function
         Called with a Request and its Reply.
     on_broken : callable
-        Called with an exception that a handler let through.
+        Called with an exception that the handler raised.
     limits : ServerLimits or None, default=None
     """
 
@@ -401,26 +406,26 @@
 
     @property
     def bound_port(self):
-        """The port listened on, where 0 was asked for."""
+        """The bound port; differs from ``port`` if that is 0."""
         return self._server.sockets[0].getsockname()[1]
 
     def stop_listening(self):
-        """Take no new connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self):
-        """Close the connections on which no request is in progress."""
+        """Close the connections without a request in progress."""
         for connection in list(self.connections):
             if connection.task is None:
                 connection.close()
 
     def running(self):
-        """Return how many requests are in progress."""
+        """Return the number of requests in progress."""
         return sum(connection.task is not None for connection in self.connections)
 
     def close(self):
-        """Close everything at once."""
+        """Stop listening and abort all connections."""
         self.stop_listening()
         if self._sweeper is not None:
             self._sweeper.cancel()
@@ -429,7 +434,7 @@
 
     async def _sweep(self):
         while True:
-            await asyncio.sleep(SWEEP_EVERY)
+            await asyncio.sleep(SWEEP_INTERVAL)
             now = monotonic()
             for connection in list(self.connections):
                 if connection.is_overdue(now):
--- a/hawthornspoke/httpio/tests/test_after_a_wait.py
+++ b/hawthornspoke/httpio/tests/test_after_a_wait.py
@@ -1,8 +1,8 @@
-"""A small call is not sent when its time is over; no connection outlives a wait.
+"""Calls and pooled connections after the process was frozen or the host suspended.
 
-Symptom: an order and a read of the platform were sent 9 s after they were decided.
-Events: a connection is there; the process stands still; on waking the call goes on
-before the timer of its limit. Cause: the limit was only a timer.
+Guards against a call that is sent after its deadline: requests to the platform were
+sent 9 s late. The process froze after a connection was acquired, and on resuming the
+call continued before its timeout fired. The deadline was checked only by that timer.
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 from hawthornspoke.httpio import ConnectionPool, HttpServer, fetch
 
 
-class StallingPool(ConnectionPool):
-    """Runs something once a connection is there."""
+class HookedPool(ConnectionPool):
+    """Pool that runs an action after acquiring a connection."""
 
     __slots__ = ("action",)
 
@@ -25,11 +25,11 @@
         return connection
 
 
-async def serve(seen):
-    """Start a server that notes what it was asked."""
+async def serve(received_targets):
+    """Start a server that records the request targets."""
 
     async def handle(request, reply):
-        seen.append(request.target)
+        received_targets.append(request.target)
         reply.send(200, [("Keep-Alive", "timeout=10")])
 
     server = HttpServer(host="127.0.0.1", port=0, handler=handle, on_broken=print)
@@ -38,68 +38,71 @@
 
 
 async def call(pool, server, *, timeout):
-    """Make a call."""
+    """Send a request to the server."""
     address = f"127.0.0.1:{server.bound_port}"
     return await fetch(pool, address, method="GET", target="/x", timeout=timeout)
 
 
 @pytest.mark.parametrize("still", ["frozen", "suspended"])
-def test_call_whose_time_is_over_is_not_sent(monkeypatch, still):
-    suspended = [0.0]
+def test_call_is_not_sent_after_its_deadline(monkeypatch, still):
+    suspended_time = [0.0]
     real = time.clock_gettime
-    monkeypatch.setattr(time, "clock_gettime", lambda clock: real(clock) + suspended[0])
+    monkeypatch.setattr(
+        time, "clock_gettime", lambda clock: real(clock) + suspended_time[0]
+    )
 
-    def stand_still(connection):
+    def suspend_process(connection):
         if still == "frozen":
             time.sleep(0.3)
         else:
-            suspended[0] += 9.0
+            suspended_time[0] += 9.0
 
     async def scenario():
-        seen = []
-        server = await serve(seen)
-        pool = StallingPool()
-        pool.action = stand_still
+        received_targets = []
+        server = await serve(received_targets)
+        pool = HookedPool()
+        pool.action = suspend_process
         answer = await call(pool, server, timeout=0.2)
         await asyncio.sleep(0.05)
         assert is_failure(answer)
-        assert seen == []
+        assert received_targets == []
         pool.close()
         server.close()
 
     asyncio.run(scenario())
 
 
-def test_connection_that_was_lost_meanwhile_is_a_failure():
-    """Symptom: an agent's loop ended with an error of a connection that was None."""
+def test_lost_connection_is_a_failure():
+    """Guards against an exception in ``fetch`` when the transport is already None."""
 
-    def lose(connection):
+    def close_connection(connection):
         connection.abort()
         connection.connection_lost(None)
 
     async def scenario():
-        seen = []
-        server = await serve(seen)
-        pool = StallingPool()
-        pool.action = lose
+        received_targets = []
+        server = await serve(received_targets)
+        pool = HookedPool()
+        pool.action = close_connection
         assert is_failure(await call(pool, server, timeout=1.0))
-        assert seen == []
+        assert received_targets == []
         pool.close()
         server.close()
 
     asyncio.run(scenario())
 
 
-def test_connection_is_not_used_again_after_a_suspension(monkeypatch):
-    """Symptom: a request at most once was answered as one that may have run.
+def test_connection_is_not_reused_after_suspension(monkeypatch):
+    """Guards against an unknown outcome of the first request after a suspension.
 
-    Events: the host is suspended; endpoints close what is idle; the first request
-    after that goes out on such a connection. Cause: idle time was counted on the
-    clock that stands still with the host.
+    While the host is suspended, endpoints close idle connections. The idle time was
+    measured on a clock that excludes the suspension, so a closed one was reused.
     """
-    suspended = [0.0]
+    suspended_time = [0.0]
     real = time.clock_gettime
-    monkeypatch.setattr(time, "clock_gettime", lambda clock: real(clock) + suspended[0])
+    monkeypatch.setattr(
+        time, "clock_gettime", lambda clock: real(clock) + suspended_time[0]
+    )
 
     async def scenario():
         server = await serve([])
@@ -107,7 +110,7 @@
         assert not is_failure(await call(pool, server, timeout=1.0))
         assert not is_failure(await call(pool, server, timeout=1.0))
         assert pool.opened == 1
-        suspended[0] += 9.0
+        suspended_time[0] += 9.0
         assert not is_failure(await call(pool, server, timeout=1.0))
         assert pool.opened == 2
         pool.close()
--- a/hawthornspoke/httpio/tests/test_callers_that_leave.py
+++ b/hawthornspoke/httpio/tests/test_callers_that_leave.py
@@ -1,4 +1,4 @@
-"""A caller that leaves while its answer waits to be read."""
+"""A caller that disconnects with an unread response."""
 
 import asyncio
 import contextlib
@@ -9,8 +9,8 @@
 PART = b"e" * 65536
 
 
-async def serve(left):
-    """Start a server whose answers never end; note when a task is cancelled."""
+async def serve(cancelled):
+    """Start a server with endless responses; set an event when a task is cancelled."""
 
     async def handle(request, reply):
         reply.start(200)
@@ -18,7 +18,7 @@
             while True:
                 await reply.write(PART)
         finally:
-            left.set()
+            cancelled.set()
 
     server = HttpServer(
         host="127.0.0.1", port=0, handler=handle, on_broken=lambda error: None
@@ -27,35 +27,32 @@
     return server
 
 
-def test_caller_that_closes_before_it_has_read_what_was_sent():
-    """Engines worked on for callers that had left.
+def test_disconnect_with_unread_response_cancels_task():
+    """Guards against streams that continue after their caller has disconnected.
 
-    Symptom: a stream goes on at its engine more than half a second after its caller's
-    close has reached the entry host.
-    Events: the caller's link is full, so that its answer fills the kernel's buffer and
-    then the server's own; the caller closes; the reset by which its host answers what
-    still comes is behind the same full link, and only the end of the bytes is there.
-    Cause: the loop closes a transport with bytes to send only when they are sent, so
-    the request's task is not cancelled while nobody takes them.
+    The caller's link is saturated, so the response fills the buffers of kernel and
+    server. The caller closes, and its FIN arrives while the reset is delayed by the
+    same link. asyncio closes a transport only after its write buffer is sent, so
+    without ``eof_received`` the request's task isn't cancelled.
     """
 
     async def scenario():
-        left = asyncio.Event()
-        server = await serve(left)
+        cancelled = asyncio.Event()
+        server = await serve(cancelled)
         loop = asyncio.get_running_loop()
         caller = socket.socket()
         caller.setblocking(False)
         await loop.sock_connect(caller, ("127.0.0.1", server.bound_port))
         await loop.sock_sendall(caller, b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
         await asyncio.sleep(0.3)
-        # Only the end of the caller's bytes arrives, and no reset, as on such a link.
+        # Sends a FIN without a reset, as seen on a saturated link.
         caller.shutdown(socket.SHUT_WR)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(left.wait(), 0.5)
+            await asyncio.wait_for(cancelled.wait(), 0.5)
         caller.close()
-        was_told = left.is_set()
+        was_cancelled = cancelled.is_set()
         server.close()
         await asyncio.sleep(0.05)
-        assert was_told
+        assert was_cancelled
 
     asyncio.run(scenario())
--- a/hawthornspoke/httpio/tests/test_operator.py
+++ b/hawthornspoke/httpio/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' port: metrics, state, and nothing else."""
+"""The operators' port serves metrics and process state only."""
 
 import asyncio
 import json
--- a/hawthornspoke/httpio/tests/test_pipelined.py
+++ b/hawthornspoke/httpio/tests/test_pipelined.py
@@ -1,4 +1,4 @@
-"""Requests that a caller sends without waiting for the answer before."""
+"""Pipelined requests: sent before the previous response has arrived."""
 
 import asyncio
 import time
@@ -6,17 +6,17 @@
 from hawthornspoke.httpio import HttpServer
 
 
-def message(target, *, method="GET"):
-    """Return a request without a body."""
+def encode_request_head(target, *, method="GET"):
+    """Encode a request without a body."""
     return f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
 
 
 class Caller:
-    """A server that notes its requests, and a connection to it."""
+    """Server that records its requests, and a client connection to it."""
 
     async def __aenter__(self):
         self.requests = []
-        self.wait = 0.01
+        self.handler_delay = 0.01
         self.server = HttpServer(
             host="127.0.0.1", port=0, handler=self._handle, on_broken=print
         )
@@ -32,11 +32,11 @@
 
     async def _handle(self, request, reply):
         self.requests.append(request)
-        await asyncio.sleep(self.wait)
+        await asyncio.sleep(self.handler_delay)
         reply.send(200, [("Target", request.target)])
 
     async def read(self, seconds=0.5):
-        """Return all that is answered until the connection ends, or for a while."""
+        """Return the data received until the connection ends or the time is up."""
         raw = b""
         try:
             async with asyncio.timeout(seconds):
@@ -47,32 +47,34 @@
         return raw
 
     def targets(self):
-        """Return what was handled."""
+        """Return the method and target of each handled request."""
         return [(item.method, item.target) for item in self.requests]
 
 
 def test_two_requests_in_one_segment():
-    """Symptom: a caller read the answer to its second request as that to its first.
+    """Guards against a response that is matched to the wrong request.
 
-    Events: both requests come in one segment. Cause: the parser went on to the second
-    message before the task of the first had begun, so the first was lost.
+    Both requests arrive in one TCP segment. The parser continued with the second
+    before the task of the first was created, so the first was lost.
     """
 
     async def scenario():
         async with Caller() as caller:
-            caller.writer.write(message("/a", method="POST") + message("/b"))
+            caller.writer.write(
+                encode_request_head("/a", method="POST") + encode_request_head("/b")
+            )
             raw = await caller.read()
             assert caller.targets() == [("POST", "/a")]
             assert raw.count(b"HTTP/1.1 200") == 1
             assert b"Target: /a\r\n" in raw
-            # The rest is neither run nor answered, and the caller can see that.
+            # The second request is not executed; the close tells the caller so.
             assert b"Connection: close\r\n" in raw
             assert caller.reader.at_eof()
 
     asyncio.run(scenario())
 
 
-def test_body_of_the_first_is_not_that_of_the_second():
+def test_pipelined_bodies_are_not_merged():
     async def scenario():
         async with Caller() as caller:
             first = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi"
@@ -86,20 +88,20 @@
     asyncio.run(scenario())
 
 
-def test_request_that_waits_behind_another_has_come_when_its_bytes_came():
-    """Symptom: a request was sent on after its caller's deadline.
+def test_pipelined_request_arrives_with_its_data():
+    """Guards against forwarding a request after its caller's deadline.
 
-    Events: a second request comes while the first is answered, which takes 0.3 s.
-    Cause: its time began when it was looked at.
+    The second request arrives while the first is handled, which takes 0.3 s. Its
+    arrival time was taken when it was parsed.
     """
 
     async def scenario():
         async with Caller() as caller:
-            caller.wait = 0.3
-            caller.writer.write(message("/a"))
+            caller.handler_delay = 0.3
+            caller.writer.write(encode_request_head("/a"))
             await asyncio.sleep(0.05)
             sent_at = time.monotonic()
-            caller.writer.write(message("/b"))
+            caller.writer.write(encode_request_head("/b"))
             raw = await caller.read(1.5)
             assert caller.targets() == [("GET", "/a"), ("GET", "/b")]
             assert b"Target: /b\r\n" in raw
@@ -110,11 +112,11 @@
     asyncio.run(scenario())
 
 
-def test_requests_one_after_the_other_share_a_connection():
+def test_sequential_requests_share_a_connection():
     async def scenario():
         async with Caller() as caller:
             for target in ("/a", "/b"):
-                caller.writer.write(message(target))
+                caller.writer.write(encode_request_head(target))
                 await asyncio.sleep(0.1)
             raw = await caller.read()
             assert raw.count(b"HTTP/1.1 200") == 2
--- a/hawthornspoke/httpio/tests/test_pool.py
+++ b/hawthornspoke/httpio/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections kept for an endpoint, and what becomes of them when it restarts."""
+"""Pooled connections to an endpoint that restarts."""
 
 import asyncio
 
@@ -6,17 +6,17 @@
 
 
 async def _serve():
-    async def keep(reader, writer):
+    async def accept(reader, writer):
         await reader.read()
         writer.close()
 
-    server = await asyncio.start_server(keep, "127.0.0.1", 0)
+    server = await asyncio.start_server(accept, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     return server, f"127.0.0.1:{port}"
 
 
-def play(scenario):
-    """Run a scenario with a pool and a server that only accepts."""
+def run_scenario(scenario):
+    """Run a scenario with a pool and a server that only accepts connections."""
 
     async def run():
         server, address = await _serve()
@@ -30,12 +30,11 @@
     asyncio.run(run())
 
 
-def test_connection_to_the_earlier_start_is_closed():
-    """The first requests to an endpoint that was back failed, outcome unknown.
+def test_connection_to_earlier_incarnation_is_closed():
+    """Guards against an unknown outcome of the first requests after a restart.
 
-    Events: a connection is idle; the endpoint's host loses power, so that nobody
-    closes it; the endpoint starts again under its id. Cause: connections were kept
-    by id, and a request sent on this one may have run for all that is known.
+    The endpoint's host loses power, so idle connections are never closed, and the
+    endpoint restarts with the same id. The pool was keyed by id alone and reused them.
     """
 
     async def scenario(pool, address):
@@ -48,11 +47,11 @@
         assert first.transport is None or first.transport.is_closing()
         assert second.transport is None or second.transport.is_closing()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_connection_that_comes_back_after_the_restart_is_not_used():
-    """The same, and the connection was in use while the endpoint restarted."""
+def test_connection_returned_after_restart_is_not_reused():
+    """The same for a connection that is in use during the restart."""
 
     async def scenario(pool, address):
         late = await pool.acquire("one", address, start=1)
@@ -61,14 +60,14 @@
         pool.put_back("one", late, start=1)
         assert await pool.acquire("one", address, start=2) is not late
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_connection_to_the_same_start_is_used_again():
+def test_connection_to_same_incarnation_is_reused():
     async def scenario(pool, address):
         first = await pool.acquire("one", address, start=1)
         pool.put_back("one", first, start=1)
         assert await pool.acquire("one", address, start=1) is first
         assert pool.opened == 1
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -261,7 +261,7 @@
         file="httpio/_pool.py",
         old="[item for item in idle if item.start != start]",
         new="[]",
-        test="hawthornspoke/httpio/tests/test_pool.py -k earlier_start",
+        test="hawthornspoke/httpio/tests/test_pool.py -k earlier_incarnation",
     ),
     Mutation(
         name="a neighbour's older rows are taken",
@@ -366,7 +366,7 @@
         file="httpio/_fetch.py",
         old="            if contact_clock() >= deadline or not connection.is_open:",
         new="            if not connection.is_open:",
-        test="hawthornspoke/httpio/tests/test_after_a_wait.py -k time_is_over",
+        test="hawthornspoke/httpio/tests/test_after_a_wait.py -k its_deadline",
     ),
     Mutation(
         name="poison: nobody recognizes a repeat",
