--- a/hawthornspoke/fields/__init__.py
+++ b/hawthornspoke/fields/__init__.py
@@ -1,9 +1,9 @@
-"""Checked readers for fields of JSON that anyone may have written."""
+"""Validating accessors for fields of untrusted JSON."""
 
 from hawthornspoke.fields._fields import (
-    LARGEST_COUNT,
     LARGEST_VERSION,
-    LONGEST_TEXT,
+    MAX_COUNT,
+    MAX_TEXT_LENGTH,
     UNUSABLE,
     FieldError,
     address,
@@ -23,9 +23,9 @@
 )
 
 __all__ = [
-    "LARGEST_COUNT",
     "LARGEST_VERSION",
-    "LONGEST_TEXT",
+    "MAX_COUNT",
+    "MAX_TEXT_LENGTH",
     "UNUSABLE",
     "FieldError",
     "address",
--- a/hawthornspoke/fields/_fields.py
+++ b/hawthornspoke/fields/_fields.py
@@ -1,8 +1,8 @@
-"""Reads fields of JSON that anyone may have written.
+"""Validating accessors for fields of untrusted JSON.
 
-A value of another type than it should have passes through Python for a while and
-raises far from where it came in, in a task that can't know it. So each field is read
-by one of these, which either returns what it says or raises ``FieldError``.
+A value of the wrong type may raise only far from where it was read, in a task that
+can't handle the error. Each accessor therefore validates a field when it is read and
+returns its value or raises ``FieldError``.
 """
 
 import functools
@@ -13,29 +13,29 @@
 
 from hawthornspoke.base import Failure
 
-#: The outcome for what can't be used, with the reason.
+#: Result for data that fails validation; its reason names the field.
 UNUSABLE = Failure(code="unusable")
 
-#: Characters of the longest text: names, addresses and keys are some dozen long, and
-#: some of them go on to every agent.
-LONGEST_TEXT = 1000
+#: Maximum length of a text in characters. Names, addresses and keys have a few dozen,
+#: and some of them are sent to every agent.
+MAX_TEXT_LENGTH = 1000
 
-#: The largest count that fits the messages between processes, and the largest number
-#: that a 64-bit float holds exactly.
-LARGEST_COUNT = 2**31 - 1
+#: The largest count that fits an i32 field of the messages between processes, and the
+#: largest integer up to which a 64-bit float is exact.
+MAX_COUNT = 2**31 - 1
 LARGEST_VERSION = 2**53
 
-HIGHEST_PORT = 65535
+MAX_PORT = 65535
 
 REQUIRED = object()
 
 
 class FieldError(ValueError):
-    """A field is missing, or holds something else than it should."""
+    """A field is missing or its value is invalid."""
 
 
 def as_value(decode):
-    """Make a decoder return ``UNUSABLE`` where a field can't be read.
+    """Decorate a decoder to return ``UNUSABLE`` instead of raising ``FieldError``.
 
     Parameters
     ----------
@@ -47,17 +47,17 @@
     """
 
     @functools.wraps(decode)
-    def checked(*arguments):
+    def wrapper(*arguments):
         try:
             return decode(*arguments)
         except FieldError as error:
             return UNUSABLE.because(str(error))
 
-    return checked
+    return wrapper
 
 
 def object_of(data):
-    """Return the JSON object that some bytes hold.
+    """Parse a JSON object.
 
     Parameters
     ----------
@@ -70,24 +70,24 @@
     Raises
     ------
     FieldError
-        If they hold none. Deep nesting counts as unreadable too: the parser raises
-        RecursionError for it.
+        If the data isn't a JSON object or is nested too deeply, for which the parser
+        raises RecursionError.
     """
     try:
-        tree = json.loads(data)
+        obj = json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise FieldError(f"not readable: {type(error).__name__}")
-    if not isinstance(tree, dict):
-        raise FieldError(f"expected an object, got {_shown(tree)}")
-    return tree
+        raise FieldError(f"invalid JSON: {type(error).__name__}")
+    if not isinstance(obj, dict):
+        raise FieldError(f"expected an object, got {_abbreviate(obj)}")
+    return obj
 
 
-def text(tree, name, default=REQUIRED):
-    """Return a text that can be sent on.
+def text(obj, name, default=REQUIRED):
+    """Return a text of at most ``MAX_TEXT_LENGTH`` characters.
 
     Parameters
     ----------
-    tree : dict
+    obj : dict
     name : str
     default : object, default=REQUIRED
         For a field that is missing or null.
@@ -96,19 +96,19 @@
     -------
     str
     """
-    value = tree.get(name)
+    value = obj.get(name)
     if value is None:
-        return _default(name, default)
-    if not is_text(value) or len(value) > LONGEST_TEXT:
-        raise _unexpected(name, "a text", value)
+        return _default_or_raise(name, default)
+    if not is_text(value) or len(value) > MAX_TEXT_LENGTH:
+        raise _field_error(name, "a text", value)
     return value
 
 
 def is_text(value):
-    """Tell whether a value is a text with characters only.
+    """Check whether a value is a string that can be encoded as UTF-8.
 
-    JSON can hold one half of a surrogate pair; it is no character, and encoding it
-    for a message or a request fails.
+    JSON can contain a lone surrogate, which can't be encoded in a message or a
+    request.
 
     Parameters
     ----------
@@ -127,135 +127,136 @@
     return True
 
 
-def one_of(tree, name, value_by_word):
-    """Return what one of a few words stands for.
+def one_of(obj, name, value_by_key):
+    """Return the value that a field's key maps to.
 
     Parameters
     ----------
-    tree : dict
+    obj : dict
     name : str
-    value_by_word : dict of str to object
+    value_by_key : dict of str to object
 
     Returns
     -------
     object
     """
-    word = text(tree, name)
-    if word not in value_by_word:
-        raise FieldError(f"{name}: not one of {list(value_by_word)}: {_shown(word)}")
-    return value_by_word[word]
+    key = text(obj, name)
+    if key not in value_by_key:
+        raise FieldError(f"{name}: not one of {list(value_by_key)}: {_abbreviate(key)}")
+    return value_by_key[key]
 
 
-def address(tree, name):
-    """Return an ``IP:PORT`` that can be connected to."""
-    value = text(tree, name)
+def address(obj, name):
+    """Return an ``IP:PORT`` address with a valid IPv4 address and port."""
+    value = text(obj, name)
     ip, _, port = value.rpartition(":")
     if not _is_ip(ip) or not _is_port(port):
-        raise _unexpected(name, "IP:PORT", value)
+        raise _field_error(name, "IP:PORT", value)
     return value
 
 
-def number(tree, name, default=REQUIRED, *, low=0, high=LARGEST_VERSION):
+def number(obj, name, default=REQUIRED, *, low=0, high=LARGEST_VERSION):
     """Return a finite number within inclusive bounds.
 
     Parameters
     ----------
-    tree : dict
+    obj : dict
     name : str
     default : object, default=REQUIRED
         For a field that is missing or null.
     low, high : number
+        Inclusive bounds.
 
     Returns
     -------
     int or float
     """
-    value = tree.get(name)
+    value = obj.get(name)
     if value is None:
-        return _default(name, default)
+        return _default_or_raise(name, default)
     if not is_number(value) or not low <= value <= high:
-        raise _unexpected(name, f"a number from {low} to {high}", value)
+        raise _field_error(name, f"a number from {low} to {high}", value)
     return value
 
 
-def whole_number(tree, name, default=REQUIRED, *, low=0, high=LARGEST_COUNT):
-    """Return a whole number within inclusive bounds; 12.0 is the same as 12."""
-    value = number(tree, name, default, low=low, high=high)
+def whole_number(obj, name, default=REQUIRED, *, low=0, high=MAX_COUNT):
+    """Return an integer within inclusive bounds; 12.0 is read as 12."""
+    value = number(obj, name, default, low=low, high=high)
     if value is default:
         return value
     if value != int(value):
-        raise _unexpected(name, "a whole number", value)
+        raise _field_error(name, "a whole number", value)
     return int(value)
 
 
 def is_number(value):
-    """Tell whether a value is a finite number; True and False are none."""
+    """Check whether a value is a finite number; booleans are not numbers."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return False
     return isinstance(value, int) or math.isfinite(value)
 
 
-def flag(tree, name, default=False):
-    """Return True or False."""
-    value = tree.get(name)
+def flag(obj, name, default=False):
+    """Return a boolean."""
+    value = obj.get(name)
     if value is None:
         return default
     if not isinstance(value, bool):
-        raise _unexpected(name, "true or false", value)
+        raise _field_error(name, "true or false", value)
     return value
 
 
-def child(tree, name):
-    """Return an object within another, empty if it is missing or null."""
-    value = tree.get(name)
+def child(obj, name):
+    """Return a nested object, empty if it is missing or null."""
+    value = obj.get(name)
     if value is None:
         return {}
     if not isinstance(value, dict):
-        raise _unexpected(name, "an object", value)
+        raise _field_error(name, "an object", value)
     return value
 
 
-def items(tree, name, default=REQUIRED):
-    """Return a list, with items of any type."""
-    value = tree.get(name)
+def items(obj, name, default=REQUIRED):
+    """Return a list with items of any type."""
+    value = obj.get(name)
     if value is None:
-        return _default(name, default)
+        return _default_or_raise(name, default)
     if not isinstance(value, list):
-        raise _unexpected(name, "a list", value)
+        raise _field_error(name, "a list", value)
     return value
 
 
-def children(tree, name, default=REQUIRED):
+def children(obj, name, default=REQUIRED):
     """Return a list of objects."""
-    values = items(tree, name, default)
+    values = items(obj, name, default)
     if values is default:
         return values
     for value in values:
         if not isinstance(value, dict):
-            raise _unexpected(name, "a list of objects", value)
+            raise _field_error(name, "a list of objects", value)
     return values
 
 
-def texts(tree, name, default=REQUIRED):
+def texts(obj, name, default=REQUIRED):
     """Return a list of texts."""
-    values = items(tree, name, default)
+    values = items(obj, name, default)
     if values is default:
         return values
     return [text({name: value}, name) for value in values]
 
 
-def _default(name, default):
+def _default_or_raise(name, default):
     if default is REQUIRED:
         raise FieldError(f"{name}: missing")
     return default
 
 
-def _unexpected(name, expected, value):
-    return FieldError(f"{name}: expected {expected}, got {_shown(value)}")
+def _field_error(name, expected, value):
+    return FieldError(f"{name}: expected {expected}, got {_abbreviate(value)}")
 
 
-def _shown(value):
-    # Cut before it is printed: a row may hold hundreds of KB.
+def _abbreviate(value):
+    # Limits the length of the message, as a value may have hundreds of KB.
     return reprlib.repr(value)
 
 
@@ -269,4 +270,4 @@
 
 def _is_port(value):
     is_digits = value.isascii() and value.isdigit() and len(value) <= 5
-    return is_digits and 0 < int(value) <= HIGHEST_PORT
+    return is_digits and 0 < int(value) <= MAX_PORT
--- a/hawthornspoke/fields/tests/test_fields.py
+++ b/hawthornspoke/fields/tests/test_fields.py
@@ -1,4 +1,4 @@
-"""Each reader returns what a field says, or says what is wrong with it."""
+"""Each accessor returns a valid value or raises an error that names the field."""
 
 import pytest
 
@@ -21,7 +21,7 @@
         (fields.address, "10.0.0.1:80", "10.0.0.1:80"),
     ],
 )
-def test_field_of_the_right_type_is_read(read, value, expected):
+def test_valid_field_is_returned(read, value, expected):
     assert read({"x": value}, "x") == expected
 
 
@@ -30,7 +30,7 @@
     [
         (fields.text, 1),
         (fields.text, "\ud800"),
-        (fields.text, "a" * (fields.LONGEST_TEXT + 1)),
+        (fields.text, "a" * (fields.MAX_TEXT_LENGTH + 1)),
         (fields.number, True),
         (fields.number, "1"),
         (fields.number, float("nan")),
@@ -53,12 +53,12 @@
         (fields.address, ":80"),
     ],
 )
-def test_field_of_another_type_is_named(read, value):
+def test_invalid_field_is_named_in_error(read, value):
     with pytest.raises(fields.FieldError, match="^x: "):
         read({"x": value}, "x")
 
 
-def test_missing_field_is_its_default_or_named():
+def test_missing_field_returns_default_or_raises():
     assert fields.text({"x": None}, "x", "usual") == "usual"
     assert fields.whole_number({}, "x", None) is None
     with pytest.raises(fields.FieldError, match="x: missing"):
@@ -67,13 +67,13 @@
 
 @pytest.mark.parametrize("read", [fields.items, fields.children, fields.texts])
 @pytest.mark.parametrize("default", [None, ()])
-def test_missing_list_is_its_default(read, default):
+def test_missing_list_returns_default(read, default):
     assert read({"x": None}, "x", default) is default
     with pytest.raises(fields.FieldError, match="x: missing"):
         read({}, "x")
 
 
-def test_words_are_looked_up():
+def test_one_of_maps_keys_to_values():
     assert fields.one_of({"x": "on"}, "x", {"on": 1}) == 1
     with pytest.raises(fields.FieldError, match="not one of"):
         fields.one_of({"x": "off"}, "x", {"on": 1})
--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -303,8 +303,8 @@
         if not self._has_framing:
             self.reusable = False
         announced = head.get("keep-alive", "")
-        for chunk in announced.split(","):
-            name, _, value = chunk.strip().partition("=")
+        for directive in announced.split(","):
+            name, _, value = directive.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit() and int(value) > 0:
                 self._idle_timeout = float(value)
 
--- a/hawthornspoke/httpio/tests/test_after_a_wait.py
+++ b/hawthornspoke/httpio/tests/test_after_a_wait.py
@@ -43,8 +43,8 @@
     return await fetch(pool, address, method="GET", target="/x", timeout=timeout)
 
 
-@pytest.mark.parametrize("still", ["frozen", "suspended"])
-def test_call_is_not_sent_after_its_deadline(monkeypatch, still):
+@pytest.mark.parametrize("interruption", ["frozen", "suspended"])
+def test_call_is_not_sent_after_its_deadline(monkeypatch, interruption):
     suspended_time = [0.0]
     real = time.clock_gettime
     monkeypatch.setattr(
@@ -52,7 +52,7 @@
     )
 
     def suspend_process(connection):
-        if still == "frozen":
+        if interruption == "frozen":
             time.sleep(0.3)
         else:
             suspended_time[0] += 9.0
