--- a/hawthornspoke/cli/_app.py
+++ b/hawthornspoke/cli/_app.py
@@ -146,15 +146,15 @@
     """Show which file decides each key, and what would change in force."""
     from hawthornspoke.base import is_failure
     from hawthornspoke.cli._platform import platform_clients
-    from hawthornspoke.operator import PlanRefused, folder_plan, plan_changes
+    from hawthornspoke.operator import InvalidPlan, describe_key_sources, plan_changes
 
     clients, code = platform_clients(platform, overrides)
     if clients is None:
         return code
-    for line in folder_plan(folder):
+    for line in describe_key_sources(folder):
         print(line)
     lines = plan_changes(folder, clients)
-    if isinstance(lines, PlanRefused):
+    if isinstance(lines, InvalidPlan):
         return _print_failures(lines.failures)
     if is_failure(lines):
         return _print_platform_failure(lines)
--- a/hawthornspoke/cli/_apply.py
+++ b/hawthornspoke/cli/_apply.py
@@ -6,10 +6,10 @@
 from hawthornspoke.cli import _exit_codes as codes
 from hawthornspoke.operator import (
     Accepted,
-    ApplyLost,
-    ApplyRaced,
+    ApplyConflict,
+    ApplyOutcomeUnknown,
     apply_folder,
-    wait_in_force,
+    wait_until_in_force,
 )
 
 
@@ -34,9 +34,9 @@
         for failure in outcome:
             print(failure.reason, file=sys.stderr)
         return codes.FAILED
-    if isinstance(outcome, ApplyRaced):
+    if isinstance(outcome, ApplyConflict):
         return _print_race(outcome)
-    if isinstance(outcome, ApplyLost):
+    if isinstance(outcome, ApplyOutcomeUnknown):
         print(
             "the table's answer was lost and can't be read back; look for token "
             f"{outcome.token} in `hawthornspoke history` before applying again",
@@ -67,7 +67,7 @@
     print(f"revision {outcome.revision} {word}, document {outcome.digest[:12]}")
     if not wait:
         return codes.OK
-    behind = wait_in_force(
+    behind = wait_until_in_force(
         clients=clients,
         revision=outcome.revision,
         deadline=monotonic() + wait,
--- a/hawthornspoke/operator/__init__.py
+++ b/hawthornspoke/operator/__init__.py
@@ -1,35 +1,35 @@
-"""What operators do: check, plan, apply, watch, drain."""
+"""Implementation of the operators' commands: plan, apply, history, status, drain."""
 
 from hawthornspoke.operator._apply import (
     Accepted,
-    ApplyLost,
-    ApplyRaced,
+    ApplyConflict,
+    ApplyOutcomeUnknown,
     apply_folder,
-    wait_in_force,
+    wait_until_in_force,
 )
 from hawthornspoke.operator._fleet import HostStatus, call_host, read_fleet
 from hawthornspoke.operator._history import read_history
 from hawthornspoke.operator._plan import (
-    PlanRefused,
-    differences,
-    folder_plan,
+    InvalidPlan,
+    describe_key_sources,
+    diff_documents,
     plan_changes,
 )
 from hawthornspoke.operator._status import render_status
 
 __all__ = [
     "Accepted",
-    "ApplyLost",
-    "ApplyRaced",
+    "ApplyConflict",
+    "ApplyOutcomeUnknown",
     "HostStatus",
-    "PlanRefused",
+    "InvalidPlan",
     "apply_folder",
     "call_host",
-    "differences",
-    "folder_plan",
+    "describe_key_sources",
+    "diff_documents",
     "plan_changes",
     "read_fleet",
     "read_history",
     "render_status",
-    "wait_in_force",
+    "wait_until_in_force",
 ]
--- a/hawthornspoke/operator/_apply.py
+++ b/hawthornspoke/operator/_apply.py
@@ -1,4 +1,4 @@
-"""Accept a folder as the next revision."""
+"""Accept a folder of declarations as the next revision."""
 
 import time
 import uuid
@@ -17,28 +17,29 @@
 from hawthornspoke.operator._plan import (
     CONFIG_KEY,
     DOCUMENT_PREFIX,
-    differences,
+    diff_documents,
     read_in_force,
 )
 from hawthornspoke.store import CONFLICT, NOT_FOUND, UNSURE, Condition
 
 HISTORY_PREFIX = "history#"
 
-#: Times that a lost answer is read back, and seconds between.
+#: Attempts to read back a write whose response was lost, and seconds between polls.
 READ_BACK_TRIES = 5
-WAIT_POLL = 0.2
+POLL_INTERVAL = 0.2
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Accepted:
-    """The folder is the configuration now.
+    """The folder is the accepted configuration.
 
     Parameters
     ----------
     revision : int
     digest : str
+        Digest of the configuration document.
     changed : bool
-        False if it was in force already.
+        False if the same configuration was already in force.
     """
 
     revision: int
@@ -47,15 +48,15 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class ApplyRaced:
-    """Another operator was first; nothing was written.
+class ApplyConflict:
+    """Another revision was accepted first; the folder was not accepted.
 
     Parameters
     ----------
     row : dict
-        What is accepted now, and by whom.
+        Table row of the accepted revision, with its author.
     lines : list of str
-        What differs between that and the folder.
+        Differences between that revision and the folder.
     """
 
     row: dict
@@ -63,34 +64,34 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class ApplyLost:
-    """It is not known whether the folder was accepted.
+class ApplyOutcomeUnknown:
+    """It is unknown whether the folder was accepted.
 
     Parameters
     ----------
     token : str
-        Names the write in the history, if it was made.
+        Identifies the write in the history if it succeeded.
     """
 
     token: str
 
 
 def apply_folder(folder, *, clients, author, base=None):
-    """Check, pin and accept a folder.
+    """Validate a folder, pin its sources and accept it as the next revision.
 
     Parameters
     ----------
     folder : pathlib.Path
     clients : PlatformClients
     author : str
-        Named to whoever loses a race against this write.
+        Stored with the revision and shown to operators whose write conflicts with it.
     base : int or None, default=None
-        Revision that the folder was written for; None takes the one in force.
+        Revision on which the folder is based; None uses the current revision.
 
     Returns
     -------
-    Accepted, ApplyRaced, ApplyLost, list of Failure, or Failure
-        A list of failures if the folder can't be accepted as it is.
+    Accepted, ApplyConflict, ApplyOutcomeUnknown, list of Failure, or Failure
+        A list of failures if the folder is invalid.
     """
     declarations = load_folder(folder)
     failures = check_declarations(declarations)
@@ -99,23 +100,23 @@
     in_force = read_in_force(clients)
     if is_failure(in_force):
         return in_force
-    row, before = in_force
+    row, old_document = in_force
     digest_by_source = pin_sources(declarations.tree, clients)
     if is_failure(digest_by_source) or isinstance(digest_by_source, list):
         return digest_by_source
     document = build_document(
-        tree=declarations.tree, digest_by_source=digest_by_source, previous=before
+        tree=declarations.tree, digest_by_source=digest_by_source, previous=old_document
     )
     revision = row.get("revision", 0)
     if base is not None and base != revision:
-        return ApplyRaced(row=row, lines=differences(before, document))
-    if _without_previous(document) == _without_previous(before):
+        return ApplyConflict(row=row, lines=diff_documents(old_document, document))
+    if _without_previous(document) == _without_previous(old_document):
         return Accepted(revision=revision, digest=row["digest"], changed=False)
     return _accept(clients, row, document, author)
 
 
-def wait_in_force(*, clients, revision, deadline, report):
-    """Wait until every host that can be reached acts on a revision.
+def wait_until_in_force(*, clients, revision, deadline, report):
+    """Wait until a revision is in force on every listed host.
 
     Parameters
     ----------
@@ -124,26 +125,26 @@
     deadline : float
         On the monotonic clock.
     report : callable
-        Takes a line of progress.
+        Called with each line of progress.
 
     Returns
     -------
     list of str or Failure
-        Hosts that are not there yet, with the reason; empty when all are.
+        Hosts on which it is not in force, with the reason; empty if it is on all.
     """
     while True:
         fleet = read_fleet(clients)
         if is_failure(fleet):
             return fleet
         behind = [
-            f"{item.host} ({_why(item)})"
+            f"{item.host} ({_behind_reason(item)})"
             for item in fleet
             if item.status is None or (item.status.in_force or 0) < revision
         ]
         report(f"{len(fleet) - len(behind)} of {len(fleet)} hosts at {revision}")
         if not behind or monotonic() >= deadline:
             return behind
-        _pause()
+        _sleep()
 
 
 def _accept(clients, row, document, author):
@@ -181,32 +182,32 @@
 
 
 def _read_back(clients, new_row, document):
-    """Find out by the writer's token what became of a write."""
+    """Determine by its token whether a write with unknown outcome succeeded."""
     history_key = f"{HISTORY_PREFIX}{new_row['revision']}"
     for _ in range(READ_BACK_TRIES):
         written = clients.table.get(history_key)
         if written == NOT_FOUND:
-            # Not written so far. The lost request may still be on its way, so
-            # this is no proof that it never will be.
-            _pause()
+            # Not written yet. The request may still be in transit, so a missing row
+            # doesn't prove that the write failed.
+            _sleep()
             continue
         if is_failure(written):
-            _pause()
+            _sleep()
             continue
         if written["token"] == new_row["token"]:
             return Accepted(
                 revision=new_row["revision"], digest=new_row["digest"], changed=True
             )
-        return _raced(clients, document)
-    return ApplyLost(token=new_row["token"])
+        return _make_conflict(clients, document)
+    return ApplyOutcomeUnknown(token=new_row["token"])
 
 
-def _raced(clients, document):
+def _make_conflict(clients, document):
     in_force = read_in_force(clients)
     if is_failure(in_force):
         return in_force
-    row, before = in_force
-    return ApplyRaced(row=row, lines=differences(before, document))
+    row, old_document = in_force
+    return ApplyConflict(row=row, lines=diff_documents(old_document, document))
 
 
 def _without_previous(document):
@@ -221,11 +222,11 @@
     return {**document, "services": services}
 
 
-def _why(item):
+def _behind_reason(item):
     if item.status is None:
         return item.problem
     return f"at {item.status.in_force or 0}"
 
 
-def _pause():
-    time.sleep(WAIT_POLL)
+def _sleep():
+    time.sleep(POLL_INTERVAL)
--- a/hawthornspoke/operator/_fleet.py
+++ b/hawthornspoke/operator/_fleet.py
@@ -1,4 +1,4 @@
-"""Asking every listed host for its status."""
+"""Calls to the hosts of the platform's host list."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -7,12 +7,12 @@
 
 NO_SUCH_HOST = Failure(code="no_such_host")
 
-ASK_SECONDS = 2.0
-PARALLEL = 32
+CALL_TIMEOUT = 2.0
+MAX_PARALLEL_CALLS = 32
 
 
 class HostStatus:
-    """One listed host and what it answered.
+    """Status of one listed host.
 
     Parameters
     ----------
@@ -20,9 +20,9 @@
     role : str
     failure_domain : str
     status : hawthornspoke.protocol.Status or None
-        None if it did not answer.
+        None if the call failed.
     problem : str
-        Why it did not.
+        Reason of the failed call, empty if it succeeded.
     """
 
     __slots__ = ("host", "role", "failure_domain", "status", "problem")
@@ -36,7 +36,7 @@
 
 
 def read_fleet(clients):
-    """Ask every host of the platform's list for its status.
+    """Request the status of every host in the platform's host list.
 
     Parameters
     ----------
@@ -49,12 +49,12 @@
     entries = clients.hosts.read()
     if is_failure(entries):
         return entries
-    with ThreadPoolExecutor(max_workers=PARALLEL) as pool:
-        return list(pool.map(_ask, entries))
+    with ThreadPoolExecutor(max_workers=MAX_PARALLEL_CALLS) as pool:
+        return list(pool.map(_read_status, entries))
 
 
 def call_host(clients, host, method, *arguments):
-    """Call one host by name.
+    """Call a method of one host by the host's name.
 
     Parameters
     ----------
@@ -73,11 +73,13 @@
     for entry in entries:
         if entry.host == host:
             return _call(entry, method, *arguments)
-    known = ", ".join(sorted(entry.host for entry in entries))
-    return NO_SUCH_HOST.because(f"{host!r} is not listed; there are: {known}")
+    listed_hosts = ", ".join(sorted(entry.host for entry in entries))
+    return NO_SUCH_HOST.because(
+        f"{host!r} is not in the host list; listed hosts: {listed_hosts}"
+    )
 
 
-def _ask(entry):
+def _read_status(entry):
     status = _call(entry, "status")
     failed = is_failure(status)
     return HostStatus(
@@ -91,6 +93,6 @@
 
 def _call(entry, method, *arguments):
     connection = Connection(address=entry.address, port=entry.port)
-    answer = connection.call(method, *arguments, deadline=monotonic() + ASK_SECONDS)
+    answer = connection.call(method, *arguments, deadline=monotonic() + CALL_TIMEOUT)
     connection.close()
     return answer
--- a/hawthornspoke/operator/_history.py
+++ b/hawthornspoke/operator/_history.py
@@ -1,4 +1,4 @@
-"""Accepted revisions, newest first."""
+"""History of accepted revisions."""
 
 from hawthornspoke.base import is_failure
 from hawthornspoke.operator._plan import CONFIG_KEY
@@ -8,7 +8,7 @@
 
 
 def read_history(clients, *, count=10):
-    """Return the latest accepted revisions.
+    """Return the latest accepted revisions, newest first.
 
     Parameters
     ----------
--- a/hawthornspoke/operator/_pin.py
+++ b/hawthornspoke/operator/_pin.py
@@ -1,4 +1,4 @@
-"""Pin each declared source to the manifest it has now."""
+"""Pinning of declared sources to their current manifests."""
 
 from hawthornspoke.base import Failure, is_failure
 from hawthornspoke.config import parse_manifest
@@ -10,7 +10,7 @@
 
 
 def pin_sources(tree, clients):
-    """Read the manifest of each declared source and keep it in the object store.
+    """Copy the manifest of each declared source to the object store.
 
     Parameters
     ----------
@@ -20,14 +20,16 @@
     Returns
     -------
     dict of str to str, list of Failure, or Failure
-        Digest by source. What the origin has under that name later changes
-        nothing: hosts accept only chunks of this manifest.
+        Manifest digest by source. Later changes at the origin have no effect, as hosts
+        accept only chunks of this manifest. A list of failures if sources are invalid.
     """
     digests, failures = {}, []
     for source in sorted(_sources(tree)):
         data = clients.origin.manifest(source)
         if data == NOT_FOUND:
-            failures.append(BAD_SOURCE.because(f"the origin has no {source!r}"))
+            failures.append(
+                BAD_SOURCE.because(f"source {source!r} does not exist at the origin")
+            )
             continue
         if is_failure(data):
             return data
--- a/hawthornspoke/operator/_plan.py
+++ b/hawthornspoke/operator/_plan.py
@@ -1,4 +1,4 @@
-"""What a folder would change, and which file decides each key."""
+"""Changes that accepting a folder would make, and the source file of each key."""
 
 from hawthornspoke.base import is_failure
 from hawthornspoke.config import (
@@ -15,7 +15,7 @@
 
 
 def read_in_force(clients):
-    """Return the accepted row and its document.
+    """Return the row of the accepted revision and its document.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     Returns
     -------
     tuple of (dict, dict) or Failure
-        An empty row and document if nothing was ever accepted.
+        An empty row and document if no revision has been accepted.
     """
     row = clients.table.get(CONFIG_KEY)
     if row == NOT_FOUND:
@@ -38,13 +38,14 @@
     return document if is_failure(document) else (row, document)
 
 
-def flatten(tree, path=()):
-    """Return the leaves of nested tables by key path.
+def flatten_tree(tree, path=()):
+    """Return the leaves of a nested table by key path.
 
     Parameters
     ----------
     tree : dict
     path : tuple of str, default=()
+        Prefix of the key paths.
 
     Returns
     -------
@@ -52,16 +53,16 @@
     """
     leaves = {}
     for key, value in tree.items():
-        here = (*path, key)
+        key_path = (*path, key)
         if isinstance(value, dict) and value:
-            leaves.update(flatten(value, here))
+            leaves.update(flatten_tree(value, key_path))
         else:
-            leaves[here] = value
+            leaves[key_path] = value
     return leaves
 
 
-def differences(before, after):
-    """Return what differs between two documents.
+def diff_documents(old_document, new_document):
+    """Return the differences between two documents.
 
     Parameters
     ----------
@@ -70,23 +71,25 @@
     Returns
     -------
     list of str
-        One line a key: ``+`` new, ``-`` gone, ``~`` changed.
+        One line per key: ``+`` added, ``-`` removed, ``~`` changed.
     """
-    old, new = flatten(before), flatten(after)
+    old, new = flatten_tree(old_document), flatten_tree(new_document)
     lines = []
     for path in sorted(set(old) | set(new)):
         name = ".".join(path)
         if path not in old:
-            lines.append(f"+ {name} = {_short(new[path])}")
+            lines.append(f"+ {name} = {_abbreviate(new[path])}")
         elif path not in new:
-            lines.append(f"- {name} = {_short(old[path])}")
+            lines.append(f"- {name} = {_abbreviate(old[path])}")
         elif old[path] != new[path]:
-            lines.append(f"~ {name}: {_short(old[path])} -> {_short(new[path])}")
+            lines.append(
+                f"~ {name}: {_abbreviate(old[path])} -> {_abbreviate(new[path])}"
+            )
     return lines
 
 
-def folder_plan(folder):
-    """Return which file decides each key of a folder.
+def describe_key_sources(folder):
+    """Return the file that sets each key of a folder, and the files it overrides.
 
     Parameters
     ----------
@@ -100,20 +103,20 @@
     lines = []
     for path, file in sorted(declarations.file_by_key.items()):
         line = f"{'.'.join(path)}  <- {file}"
-        beaten = declarations.overridden_by_key.get(path)
-        if beaten:
-            line += f" (over {', '.join(beaten)})"
+        overridden = declarations.overridden_by_key.get(path)
+        if overridden:
+            line += f" (over {', '.join(overridden)})"
         lines.append(line)
     return lines
 
 
-def _short(value):
+def _abbreviate(value):
     text = repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-class PlanRefused:
-    """A folder that could not be accepted as it is.
+class InvalidPlan:
+    """The folder is invalid.
 
     Parameters
     ----------
@@ -127,7 +130,7 @@
 
 
 def plan_changes(folder, clients):
-    """Return what accepting a folder would change.
+    """Return the changes that accepting a folder would make.
 
     Parameters
     ----------
@@ -136,22 +139,22 @@
 
     Returns
     -------
-    list of str, PlanRefused or Failure
+    list of str, InvalidPlan or Failure
     """
     declarations = load_folder(folder)
     failures = check_declarations(declarations)
     if failures:
-        return PlanRefused(failures=failures)
+        return InvalidPlan(failures=failures)
     in_force = read_in_force(clients)
     if is_failure(in_force):
         return in_force
-    _, before = in_force
+    _, old_document = in_force
     pinned = pin_sources(declarations.tree, clients)
     if isinstance(pinned, list):
-        return PlanRefused(failures=pinned)
+        return InvalidPlan(failures=pinned)
     if is_failure(pinned):
         return pinned
-    after = build_document(
-        tree=declarations.tree, digest_by_source=pinned, previous=before
+    new_document = build_document(
+        tree=declarations.tree, digest_by_source=pinned, previous=old_document
     )
-    return differences(before, after)
+    return diff_documents(old_document, new_document)
--- a/hawthornspoke/operator/_status.py
+++ b/hawthornspoke/operator/_status.py
@@ -1,17 +1,17 @@
-"""The status page: replicas live of wanted, bursts, and hosts with problems."""
+"""Status page: live replicas, progress of weights, and unreachable hosts."""
 
 BAR_WIDTH = 20
-WHOLE = 1000
-SLOWEST_SHOWN = 3
+FULL_PROGRESS = 1000
+MAX_SLOWEST_HOSTS = 3
 
 
-class _Tally:
-    __slots__ = ("live", "wanted", "parts")
+class _ReplicaCount:
+    __slots__ = ("live", "wanted", "progress_values")
 
     def __init__(self):
         self.live = 0
         self.wanted = 0
-        self.parts = []
+        self.progress_values = []
 
 
 def render_status(fleet):
@@ -26,12 +26,12 @@
     list of str
     """
     lines = _revision_lines(fleet)
-    tallies = _tallies(fleet)
-    for key in sorted(tallies):
+    counts = _count_replicas(fleet)
+    for key in sorted(counts):
         lines.append(f"{key}:")
-        for domain in sorted(tallies[key]):
-            lines.append(_domain_line(domain, tallies[key][domain]))
-        lines += _slowest(fleet, key)
+        for domain in sorted(counts[key]):
+            lines.append(_domain_line(domain, counts[key][domain]))
+        lines += _slowest_lines(fleet, key)
     lines.append(_bytes_line(fleet))
     for item in fleet:
         if item.status is None:
@@ -51,41 +51,43 @@
     ]
 
 
-def _tallies(fleet):
-    tallies = {}
+def _count_replicas(fleet):
+    counts = {}
     for item in fleet:
         if item.status is None or item.role != "agent":
             continue
-        for key, part in (item.status.member.progress or {}).items():
-            tally = tallies.setdefault(key, {}).setdefault(
-                item.failure_domain, _Tally()
+        for key, progress_value in (item.status.member.progress or {}).items():
+            count = counts.setdefault(key, {}).setdefault(
+                item.failure_domain, _ReplicaCount()
             )
-            tally.wanted += 1
-            tally.live += part == WHOLE
-            tally.parts.append(max(0, part))
-    return tallies
+            count.wanted += 1
+            count.live += progress_value == FULL_PROGRESS
+            count.progress_values.append(max(0, progress_value))
+    return counts
 
 
-def _domain_line(domain, tally):
-    share = sum(tally.parts) / (WHOLE * tally.wanted)
-    filled = int(share * BAR_WIDTH)
+def _domain_line(domain, count):
+    mean_progress = sum(count.progress_values) / (FULL_PROGRESS * count.wanted)
+    filled = int(mean_progress * BAR_WIDTH)
     bar = "#" * filled + "." * (BAR_WIDTH - filled)
-    return f"  {domain:<16} [{bar}] {tally.live} of {tally.wanted} live"
+    return f"  {domain:<16} [{bar}] {count.live} of {count.wanted} live"
 
 
-def _slowest(fleet, key):
+def _slowest_lines(fleet, key):
     behind = []
     for item in fleet:
         if item.status is None:
             continue
-        part = (item.status.member.progress or {}).get(key)
-        if part is not None and part < WHOLE:
+        progress_value = (item.status.member.progress or {}).get(key)
+        if progress_value is not None and progress_value < FULL_PROGRESS:
             problem = (item.status.problem_by_key or {}).get(key, "")
-            behind.append((part, item.host, problem))
+            behind.append((progress_value, item.host, problem))
     lines = []
-    for part, host, problem in sorted(behind)[:SLOWEST_SHOWN]:
-        why = f" ({problem})" if problem else ""
-        lines.append(f"    slowest: {host} at {max(0, part) / 10:.0f}%{why}")
+    for progress_value, host, problem in sorted(behind)[:MAX_SLOWEST_HOSTS]:
+        suffix = f" ({problem})" if problem else ""
+        lines.append(
+            f"    slowest: {host} at {max(0, progress_value) / 10:.0f}%{suffix}"
+        )
     return lines
 
 
