--- a/hawthornspoke/settings/__init__.py
+++ b/hawthornspoke/settings/__init__.py
@@ -1,6 +1,6 @@
-"""Settings of a process: TOML, then environment, then flags."""
+"""Process settings from a TOML file, environment variables and flags."""
 
-from hawthornspoke.settings._schema import AGENT, ENTRY, PLATFORM, SCHEMAS, Key
+from hawthornspoke.settings._schema import AGENT, ENTRY, PLATFORM, SCHEMAS, Setting
 from hawthornspoke.settings._settings import BAD_SETTING, Settings, load_settings
 
 __all__ = [
@@ -9,7 +9,7 @@
     "ENTRY",
     "PLATFORM",
     "SCHEMAS",
-    "Key",
+    "Setting",
     "Settings",
     "load_settings",
 ]
--- a/hawthornspoke/settings/_reference.py
+++ b/hawthornspoke/settings/_reference.py
@@ -1,4 +1,4 @@
-"""The settings reference page, made from the schema."""
+"""Generate the settings reference page from the schema."""
 
 from hawthornspoke.settings._schema import AGENT, ENTRY, PLATFORM, REQUIRED
 
@@ -14,7 +14,7 @@
 
 
 def render_reference():
-    """Return the reference page.
+    """Render the reference page.
 
     Returns
     -------
--- a/hawthornspoke/settings/_settings.py
+++ b/hawthornspoke/settings/_settings.py
@@ -1,4 +1,4 @@
-"""Load and check settings."""
+"""Load and validate settings."""
 
 import tomllib
 
@@ -11,52 +11,54 @@
 
 
 class Settings:
-    """Checked values by key, of the role and of the platform.
+    """Validated settings of a process.
 
     Parameters
     ----------
     role : str
-    by_key : dict of str to object
+    value_by_key : dict of str to object
+        Settings of the role.
     platform : dict of str to object
+        Settings of the ``[platform]`` table.
     """
 
-    __slots__ = ("role", "by_key", "platform")
+    __slots__ = ("role", "value_by_key", "platform")
 
-    def __init__(self, *, role, by_key, platform):
+    def __init__(self, *, role, value_by_key, platform):
         self.role = role
-        self.by_key = by_key
+        self.value_by_key = value_by_key
         self.platform = platform
 
     def __getitem__(self, key):
-        return self.by_key[key]
+        return self.value_by_key[key]
 
 
 def load_settings(*, role, file, environment, flags):
-    """Merge and check the settings of a role.
+    """Merge and validate the settings of a role.
 
     Parameters
     ----------
     role : str
-        ``"entry"`` or ``"agent"``.
+        ``"entry"``, ``"agent"`` or ``"operator"``.
     file : pathlib.Path or None
-        TOML file with the role's keys at the top and a ``[platform]`` table.
+        TOML file with the role's keys at the top level and a ``[platform]`` table.
     environment : mapping of str to str
         ``HAWTHORNSPOKE_PORT=7700`` overrides ``port``;
         ``HAWTHORNSPOKE_PLATFORM_TIMEOUT`` overrides ``platform.timeout``.
     flags : list of str
-        ``key=value`` items, which override the rest.
+        ``key=value`` items, which override file and environment.
 
     Returns
     -------
     tuple of (Settings or None, list of Failure)
-        All errors at once, each naming the source, the key, the value and what
-        is accepted.
+        Settings, or None and all errors. Each error names the source and the key;
+        for an invalid value also the value and what is accepted.
     """
     loader = _Loader(role=role)
-    loader.take_file(file)
-    loader.take_environment(environment)
-    loader.take_flags(flags)
-    return loader.finish()
+    loader.read_file(file)
+    loader.read_environment(environment)
+    loader.read_flags(flags)
+    return loader.build_settings()
 
 
 class _Loader:
@@ -68,64 +70,64 @@
         self.source_by_key = {}
         self.failures = []
 
-    def take_file(self, file):
+    def read_file(self, file):
         if file is None:
             return
         try:
             table = tomllib.loads(file.read_text(encoding="utf-8"))
         except (OSError, ValueError) as error:
-            self._fail(str(file), "(file)", str(error))
+            self._add_failure(str(file), "(file)", str(error))
             return
         platform = table.pop("platform", {})
         for key, value in table.items():
             self._set(key, value, str(file))
         if not isinstance(platform, dict):
-            self._fail(str(file), "platform", "expected a table")
+            self._add_failure(str(file), "platform", "expected a table")
             return
         for key, value in platform.items():
             self._set("platform." + key, value, str(file))
 
-    def take_environment(self, environment):
+    def read_environment(self, environment):
         for name, text in sorted(environment.items()):
             if not name.startswith(ENVIRONMENT_PREFIX):
                 continue
             key = name[len(ENVIRONMENT_PREFIX) :].lower()
             if key.startswith("platform_"):
                 key = "platform." + key[len("platform_") :]
-            self._set(key, _parse(text), name)
+            self._set(key, _parse_value(text), name)
 
-    def take_flags(self, flags):
+    def read_flags(self, flags):
         for flag in flags:
             key, equals, text = flag.partition("=")
             if not equals:
-                self._fail("--set", flag, "expected key=value")
+                self._add_failure("--set", flag, "expected key=value")
                 continue
-            self._set(key, _parse(text), "--set")
+            self._set(key, _parse_value(text), "--set")
 
-    def finish(self):
+    def build_settings(self):
         role = self._collect(SCHEMAS[self.role], "")
         platform = self._collect(PLATFORM, "platform.")
         for key in self.values:
-            known = ", ".join(sorted(SCHEMAS[self.role]))
-            reason = f"unknown key; accepted: {known}, platform.*"
-            self._fail(self.source_by_key[key], key, reason)
+            known_keys = ", ".join(sorted(SCHEMAS[self.role]))
+            reason = f"unknown key; accepted: {known_keys}, platform.*"
+            self._add_failure(self.source_by_key[key], key, reason)
         if self.failures:
             return None, self.failures
-        return Settings(role=self.role, by_key=role, platform=platform), []
+        return Settings(role=self.role, value_by_key=role, platform=platform), []
 
     def _collect(self, schema, prefix):
         collected = {}
         for name, key in schema.items():
-            full = prefix + name
-            if full in self.values:
-                value = self.values.pop(full)
+            full_key = prefix + name
+            if full_key in self.values:
+                value = self.values.pop(full_key)
                 complaint = key.bounds.complaint(value)
                 if complaint:
-                    self._fail(self.source_by_key[full], full, complaint)
+                    self._add_failure(self.source_by_key[full_key], full_key, complaint)
                 collected[name] = value
             elif key.default is REQUIRED:
                 accepted = key.bounds.describe()
-                self._fail("settings", full, f"missing; expected {accepted}")
+                self._add_failure("settings", full_key, f"missing; expected {accepted}")
             else:
                 collected[name] = key.default
         return collected
@@ -134,12 +136,12 @@
         self.values[key] = value
         self.source_by_key[key] = source
 
-    def _fail(self, source, key, reason):
+    def _add_failure(self, source, key, reason):
         self.failures.append(BAD_SETTING.because(f"{source}: {key}: {reason}"))
 
 
-def _parse(text):
-    """Read a value as TOML would, or take it as a string."""
+def _parse_value(text):
+    """Parse a TOML value; anything else is a string."""
     try:
         return tomllib.loads(f"value = {text}")["value"]
     except tomllib.TOMLDecodeError:
--- a/hawthornspoke/settings/tests/test_settings.py
+++ b/hawthornspoke/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: order of sources, errors, and the reference page."""
+"""Settings: precedence of sources, errors, and the reference page."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 
 PAGE = Path(__file__).parents[3] / "docs" / "SETTINGS.md"
 
-NEEDED = [
+REQUIRED_FLAGS = [
     "node=e",
     "failure_domain=d",
     'address="127.0.0.1"',
@@ -15,14 +15,14 @@
 ]
 
 
-def test_later_sources_win(tmp_path):
+def test_later_sources_override_earlier_ones(tmp_path):
     file = tmp_path / "entry.toml"
     file.write_text("port = 1\nhttp_port = 1\noperator_port = 1\n")
     settings, failures = load_settings(
         role="entry",
         file=file,
         environment={"HAWTHORNSPOKE_HTTP_PORT": "2", "HAWTHORNSPOKE_PORT": "2"},
-        flags=[*NEEDED, "port=3"],
+        flags=[*REQUIRED_FLAGS, "port=3"],
     )
     assert failures == []
     assert [settings[key] for key in ("operator_port", "http_port", "port")] == [
@@ -32,7 +32,7 @@
     ]
 
 
-def test_all_errors_at_once_name_source_key_and_what_is_accepted(tmp_path):
+def test_all_errors_name_source_key_and_accepted_values(tmp_path):
     file = tmp_path / "agent.toml"
     file.write_text('slots = 0\nnonsense = 1\nport = true\n[platform]\ntimeout = "x"\n')
     settings, failures = load_settings(
@@ -48,5 +48,5 @@
     assert "settings: engine_url: missing; expected str" in text
 
 
-def test_reference_page_is_the_schemas():
+def test_reference_page_matches_schema():
     assert PAGE.read_text() == render_reference()
