--- a/hawthornspoke/cli/__init__.py
+++ b/hawthornspoke/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one program, a subcommand for each role and each task."""
+"""Command-line interface with a subcommand for each role and operator task."""
 
 from hawthornspoke.cli._app import main
 
--- a/hawthornspoke/cli/_app.py
+++ b/hawthornspoke/cli/_app.py
@@ -1,4 +1,4 @@
-"""Subcommands and their options."""
+"""Subcommands of the command-line interface."""
 
 import getpass
 import os
@@ -16,12 +16,15 @@
     help="Weight distribution system for bursts.",
     version=__version__,
 )
-standin = App(name="standin", help="Stand-ins for tests and trials; no product.")
+standin = App(
+    name="standin", help="Simulated services for tests and trials; not for production."
+)
 app.command(standin)
 
-#: ``--set key=value``, as often as wanted.
+#: ``--set key=value``; may be repeated.
 Overrides = Annotated[
-    list[str], Parameter(name="--set", help="key=value over file and environment.")
+    list[str],
+    Parameter(name="--set", help="key=value; overrides file and environment."),
 ]
 PlatformFile = Annotated[
     Path | None,
@@ -30,13 +33,13 @@
 
 
 def main():
-    """Run the command line and exit with its code."""
+    """Run the command line and exit with the exit code of the command."""
     sys.exit(app(result_action="return_value") or codes.OK)
 
 
 @app.command
 def entry(settings: Path | None = None, overrides: Overrides | None = None):
-    """Run an entry host: callers' HTTP, admission, routing, retries.
+    """Run an entry host, which serves callers and forwards their requests.
 
     Parameters
     ----------
@@ -64,12 +67,12 @@
 
 @app.command
 def explain(request: str, logs: list[Path]):
-    """Show what the collected logs tell of one request, over all hosts, in order.
+    """Show the log lines of one request from all hosts in order of time.
 
     Parameters
     ----------
     request
-        Id that the caller sent with the request.
+        Request id that the caller sent.
     logs
         Files, or folders of files, of structured log lines.
     """
@@ -79,7 +82,7 @@
     for line in lines:
         print(line)
     if not lines:
-        print(f"no line of {request} in {len(logs)} places", file=sys.stderr)
+        print(f"no log line of request {request} in {len(logs)} paths", file=sys.stderr)
         return codes.FAILED
     return codes.OK
 
@@ -91,19 +94,19 @@
     json: bool = False,
     plot: Path | None = None,
 ):
-    """Show what a fleet did, second by second, from the collected logs of all hosts.
+    """Show the activity of a fleet per second, from the collected logs of all hosts.
 
     Parameters
     ----------
     logs
         Files, or folders of files, of structured log lines.
     version_bound
-        Seconds after a declaration within which its weights must be in place; as
-        the logs tell it where it is left out.
+        Seconds after a declaration within which its weights must be in place; taken
+        from the logs by default.
     json
-        Print a JSON object in place of a table.
+        Print a JSON object instead of a table.
     plot
-        Also draw it into this file, PNG or SVG.
+        Also plot the report to this PNG or SVG file.
     """
     from hawthornspoke.report import (
         BoundUnknown,
@@ -127,7 +130,7 @@
 
 @app.command
 def check(folder: Path):
-    """Check a folder of declarations without any network; show all errors."""
+    """Check a folder of declarations offline and show all errors."""
     from hawthornspoke.config import check_declarations, load_folder
 
     failures = check_declarations(load_folder(folder))
@@ -143,7 +146,7 @@
     platform: PlatformFile = None,
     overrides: Overrides | None = None,
 ):
-    """Show which file decides each key, and what would change in force."""
+    """Show the file that sets each key, and the changes to the current revision."""
     from hawthornspoke.base import is_failure
     from hawthornspoke.cli._platform import platform_clients
     from hawthornspoke.operator import InvalidPlan, describe_key_sources, plan_changes
@@ -178,9 +181,9 @@
     Parameters
     ----------
     base
-        Revision the folder was written for; another one in force loses.
+        Revision on which the folder is based; fails if another one is current.
     author
-        Named in the history; the login name if not given.
+        Author shown in the history; the login name by default.
     wait
         Seconds to wait until the revision is in force on all hosts.
     """
@@ -225,12 +228,12 @@
     overrides: Overrides | None = None,
     watch: float = 0.0,
 ):
-    """Show replicas live of wanted, bursts on their way, and silent hosts.
+    """Show live and wanted replicas, weight progress, and unreachable hosts.
 
     Parameters
     ----------
     watch
-        Seconds between two pages; 0 shows one.
+        Seconds between updates; 0 prints the status once.
     """
     import time
 
@@ -257,7 +260,7 @@
     platform: PlatformFile = None,
     overrides: Overrides | None = None,
 ):
-    """Print the whole state of one host's process as JSON."""
+    """Print the state of the process on one host as JSON."""
     return _call_host(host, platform, overrides, "dump")
 
 
@@ -268,18 +271,18 @@
     overrides: Overrides | None = None,
     reason: str = "drain by an operator",
 ):
-    """Let a host take no new work; what runs there is finished."""
+    """Stop new work on a host; requests in progress are completed."""
     return _call_host(host, platform, overrides, "drain", reason)
 
 
 @app.command
 def demo(once: bool = False, port: int = 18080):
-    """Run the whole system in this process, with stand-ins, on loopback.
+    """Run the whole system with simulated services in one process on loopback.
 
     Parameters
     ----------
     once
-        Make one request and one burst, say what happened, and end.
+        Make one request and one burst, print the results, and exit.
     port
         Port of the callers' API.
     """
@@ -296,7 +299,7 @@
     chunk_size: int = 16384,
     origin_rate: float = 0.0,
 ):
-    """Play the platform: table, objects, host list, origin of weights."""
+    """Simulate the platform: table, object store, host list, origin of weights."""
     from hawthornspoke.standins import Platform
 
     return _serve(
@@ -320,7 +323,7 @@
     memory: int = 0,
     checks_fencing: bool = True,
 ):
-    """Play a model engine."""
+    """Simulate a model engine."""
     from hawthornspoke.standins import Engine
 
     return _serve(
@@ -338,7 +341,7 @@
 
 @standin.command(name="engines")
 def standin_engines(addresses: list[str], *, port: int, slots: int = 8):
-    """Play several model engines in one process, one at each address."""
+    """Simulate several model engines in one process, one at each address."""
     from hawthornspoke.standins import Engine
 
     engines = [Engine(address=item, port=port, slots=slots) for item in addresses]
@@ -349,7 +352,7 @@
 
 @standin.command(name="plain")
 def standin_plain(address: str, port: int, seconds: float = 0.01):
-    """Play a plain service."""
+    """Simulate a plain service."""
     from hawthornspoke.standins import PlainService
 
     return _serve(PlainService(address=address, port=port, seconds=seconds))
@@ -379,11 +382,11 @@
     import signal
     import threading
 
-    woken = threading.Event()
-    signal.signal(signal.SIGTERM, lambda *_: woken.set())
-    signal.signal(signal.SIGINT, lambda *_: woken.set())
+    stop_requested = threading.Event()
+    signal.signal(signal.SIGTERM, lambda *_: stop_requested.set())
+    signal.signal(signal.SIGINT, lambda *_: stop_requested.set())
     server.open()
-    woken.wait()
+    stop_requested.wait()
     server.close()
     return codes.OK
 
@@ -412,4 +415,4 @@
 
 def _print_platform_failure(failure):
     print(f"hawthornspoke: platform: {failure.reason}", file=sys.stderr)
-    return codes.PLATFORM_DOWN
+    return codes.PLATFORM_UNAVAILABLE
--- a/hawthornspoke/cli/_apply.py
+++ b/hawthornspoke/cli/_apply.py
@@ -1,4 +1,4 @@
-"""``hawthornspoke apply``: outcomes to words and exit codes."""
+"""``hawthornspoke apply``: messages and exit codes for its outcomes."""
 
 import sys
 
@@ -14,7 +14,7 @@
 
 
 def run_apply(folder, clients, author, base, wait):
-    """Apply a folder and say what became of it.
+    """Apply a folder and print the outcome.
 
     Parameters
     ----------
@@ -23,6 +23,7 @@
     author : str
     base : int or None
     wait : float
+        Seconds to wait until the revision is in force on all hosts; 0 for none.
 
     Returns
     -------
@@ -35,21 +36,21 @@
             print(failure.reason, file=sys.stderr)
         return codes.FAILED
     if isinstance(outcome, ApplyConflict):
-        return _print_race(outcome)
+        return _print_conflict(outcome)
     if isinstance(outcome, ApplyOutcomeUnknown):
         print(
-            "the table's answer was lost and can't be read back; look for token "
+            "the table's response was lost and can't be read back; look for token "
             f"{outcome.token} in `hawthornspoke history` before applying again",
             file=sys.stderr,
         )
         return codes.OUTCOME_UNKNOWN
     if is_failure(outcome):
         print(f"hawthornspoke: platform: {outcome.reason}", file=sys.stderr)
-        return codes.PLATFORM_DOWN
+        return codes.PLATFORM_UNAVAILABLE
     return _print_accepted(outcome, clients, wait)
 
 
-def _print_race(outcome):
+def _print_conflict(outcome):
     row = outcome.row
     print(
         f"not accepted: revision {row.get('revision', 0)} by "
@@ -58,13 +59,13 @@
     )
     for line in outcome.lines:
         print(line, file=sys.stderr)
-    return codes.RACED
+    return codes.REVISION_CONFLICT
 
 
 def _print_accepted(outcome, clients, wait):
     assert isinstance(outcome, Accepted)
-    word = "accepted" if outcome.changed else "in force already"
-    print(f"revision {outcome.revision} {word}, document {outcome.digest[:12]}")
+    state = "accepted" if outcome.changed else "in force already"
+    print(f"revision {outcome.revision} {state}, document {outcome.digest[:12]}")
     if not wait:
         return codes.OK
     behind = wait_until_in_force(
@@ -75,7 +76,7 @@
     )
     if is_failure(behind):
         print(f"hawthornspoke: platform: {behind.reason}", file=sys.stderr)
-        return codes.PLATFORM_DOWN
+        return codes.PLATFORM_UNAVAILABLE
     if behind:
         print("not there yet: " + ", ".join(behind), file=sys.stderr)
         return codes.NOT_IN_FORCE
--- a/hawthornspoke/cli/_exit_codes.py
+++ b/hawthornspoke/cli/_exit_codes.py
@@ -1,10 +1,10 @@
-"""Exit codes, as documented on the operators' page."""
+"""Exit codes, documented for operators."""
 
 OK = 0
 FAILED = 1
 BAD_USAGE = 2
-RACED = 3
-PLATFORM_DOWN = 4
+REVISION_CONFLICT = 3
+PLATFORM_UNAVAILABLE = 4
 OUTCOME_UNKNOWN = 5
 NOT_IN_FORCE = 6
 ADDRESS_TAKEN = 7
--- a/hawthornspoke/cli/_logs.py
+++ b/hawthornspoke/cli/_logs.py
@@ -1,4 +1,4 @@
-"""Logs: lines for changes of state only, on standard error."""
+"""Logging to standard error; only state changes are logged."""
 
 import logging
 import sys
@@ -16,7 +16,7 @@
     level : str
     """
     logger.remove()
-    # Libraries log through the standard module: their lines of routine failures
-    # (a refused connection, say) are counted here already.
+    # Libraries use the logging module. Their routine failures, such as a refused
+    # connection, are already counted in metrics.
     logging.basicConfig(level=logging.CRITICAL)
     logger.add(sys.stderr, level=level, format=FORMAT, backtrace=False, diagnose=False)
--- a/hawthornspoke/cli/_platform.py
+++ b/hawthornspoke/cli/_platform.py
@@ -1,4 +1,4 @@
-"""Clients of the platform for operators' commands."""
+"""Platform clients for the operators' commands."""
 
 import os
 import sys
@@ -9,7 +9,7 @@
 
 
 def platform_clients(file, overrides):
-    """Return clients by the platform's settings.
+    """Create the platform clients from the settings.
 
     Parameters
     ----------
@@ -19,7 +19,8 @@
     Returns
     -------
     tuple of (PlatformClients or None, int)
-        None and an exit code if the settings are bad, after printing why.
+        Clients and exit code; None if the settings are invalid, after printing the
+        errors.
     """
     settings, failures = load_settings(
         role="operator", file=file, environment=os.environ, flags=overrides or []
