--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -303,8 +303,8 @@
         if not self._has_framing:
             self.reusable = False
         announced = head.get("keep-alive", "")
-        for directive in announced.split(","):
-            name, _, value = directive.strip().partition("=")
+        for part in announced.split(","):
+            name, _, value = part.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit() and int(value) > 0:
                 self._idle_timeout = float(value)
 
