--- a/hawthornspoke/cli/_app.py
+++ b/hawthornspoke/cli/_app.py
@@ -374,7 +374,7 @@
     except OSError as error:
         where = f"{settings['address']}:{settings['port']}"
         print(f"hawthornspoke: {where}: {error}", file=sys.stderr)
-        return codes.ADDRESS_TAKEN
+        return codes.ADDRESS_IN_USE
     return codes.OK
 
 
--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -83,14 +83,14 @@
             return head
         body = bytearray()
         while True:
-            chunk = await self.read()
-            if isinstance(chunk, Failure):
-                return chunk
-            if not chunk:
+            part = await self.read()
+            if isinstance(part, Failure):
+                return part
+            if not part:
                 return Response(
                     status=head.status, headers=head.headers, body=bytes(body)
                 )
-            body += chunk
+            body += part
 
     def receive_head(self, head):
         """Store the response head and wake the reader."""
