--- a/hawthornspoke/agent/__init__.py
+++ b/hawthornspoke/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent process: the only path to the engine of its host."""
+"""Agent process: all requests and weights for the engine of a host pass through it."""
 
 from hawthornspoke.agent._engines import ENGINES
 from hawthornspoke.agent._process import AgentProcess
--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -1,4 +1,4 @@
-"""The agent's control actor: gate, transfers and deployment."""
+"""Control actor of the agent: admission gate, weight transfers and deployment."""
 
 import struct
 import threading
@@ -9,17 +9,17 @@
 from hawthornspoke.agent._engine_actor import (
     DropStaged,
     EngineActor,
-    LookAtEngine,
+    ReadEngineState,
     RunEnded,
     StageChunk,
     run_request,
 )
-from hawthornspoke.agent._engine_ends import EngineEnds
+from hawthornspoke.agent._engine_ends import EngineExits
 from hawthornspoke.agent._fetch_actor import (
     FetchActor,
     GetManifest,
     ManifestFound,
-    WorkerFree,
+    WorkerIdle,
 )
 from hawthornspoke.agent._wanted import declared_items, transfer_options
 from hawthornspoke.base import Failure, is_failure
@@ -79,19 +79,19 @@
     Want,
 )
 
-#: Seconds between two looks at the engine. A restarted engine refuses requests
-#: for weights it has not loaded by itself; the look makes it whole again.
-LOOK_EVERY = 1.0
+#: Seconds between reads of the engine's state. A restarted engine rejects requests
+#: for weights that it has not loaded; reading its state triggers loading them again.
+ENGINE_STATE_INTERVAL = 1.0
 
-#: Seconds after which a manifest that could not be had is tried again.
-MANIFEST_RETRY = 1.0
+#: Seconds before a failed fetch of a manifest is retried.
+MANIFEST_RETRY_DELAY = 1.0
 
 STATE_BY_WARMING = {1: WAITING, 2: CHANGING}
 SWARM_EVENTS = (ChunkVerified, ChunkFailed, Announced, PeerUnreachable)
 
 
 class AgentControl(ControlActor):
-    """Owns gate, swarm and deployment of one endpoint host.
+    """Owns the admission gate, chunk transfers and deployment of one endpoint host.
 
     Parameters
     ----------
@@ -101,7 +101,7 @@
     store : ChunkStore
     engine : object
     link : Link
-        Inward.
+        Rate limiter for incoming chunks.
     """
 
     def __init__(self, *, settings, socket, metrics, store, engine, link):
@@ -110,7 +110,7 @@
         )
         self.store = store
         self.engine = engine
-        self.engine_ends = EngineEnds(name=f"{settings['node']}@{self.incarnation}")
+        self.engine_exits = EngineExits(name=f"{settings['node']}@{self.incarnation}")
         self.link = link
         self.gate = Gate(slots=settings["slots"], queue_limit=settings["queue_limit"])
         self.swarm = Swarm(
@@ -128,16 +128,16 @@
         self.start_by_digest = {}
         self.engine_actor = None
         self.idle_workers = deque()
-        self.waiting_work = deque()
-        self.look_deadline = 0.0
-        self.looking = False
+        self.pending_fetches = deque()
+        self.engine_state_deadline = 0.0
+        self.reading_engine_state = False
         self.manifest_deadline_by_digest = {}
         self.live_since_by_key = {}
         self.static_fields = None
         self.static_seq = 0
 
     def on_start(self):
-        """Start the actors that wait for engine, peers and platform."""
+        """Start the actors that make blocking calls to engine, peers and platform."""
         super().on_start()
         self.engine_actor = EngineActor.start(
             engine=self.engine, store=self.store, control=self.actor_ref
@@ -157,33 +157,35 @@
             self.idle_workers.append(worker)
 
     def on_role_message(self, message, *, now):
-        """Take what engine, transfers and requests report."""
+        """Handle messages of the engine actor, the fetch actors and request threads."""
         if isinstance(message, SWARM_EVENTS):
             if isinstance(message, ChunkVerified):
-                # The engine has it long before the last chunk is here.
+                # Stage each chunk at once, while the others are still transferred.
                 staged = StageChunk(digest=message.digest, index=message.index)
                 self.engine_actor.tell(staged)
             self._step_swarm(message, now)
-        elif isinstance(message, WorkerFree):
+        elif isinstance(message, WorkerIdle):
             self.idle_workers.append(message.worker)
-            self._assign()
+            self._dispatch_fetches()
         elif isinstance(message, RunEnded):
             self._step_gate(Finish(request_id=message.request_id), now)
         elif isinstance(message, EngineSeen):
-            self.looking = False
+            self.reading_engine_state = False
             self._step_deployment(message, now)
         elif isinstance(message, OrderEnded):
             self._step_deployment(message, now)
         elif isinstance(message, ManifestFound):
             self._manifest_found(message, now)
 
-    # Calls of the request tasks.
+    # Called through Call messages by the Thrift handler and the process.
 
     def submit(self, *, run, now):
-        """Pass a request through the gate; return the revision heard of."""
+        """Submit a request to the gate; return the highest known revision."""
         request_id = run.submit.request_id
         if request_id in self.run_by_id:
-            run.refuse(Failure(code="duplicate", reason="request id seen before"))
+            run.refuse(
+                Failure(code="duplicate", reason="request id was already submitted")
+            )
             return self.core.holder.heard_revision
         self.run_by_id[request_id] = run
         admit = Admit(
@@ -197,22 +199,22 @@
         return self.core.holder.heard_revision
 
     def cancel(self, *, request_id, now):
-        """Forget a request whose caller is gone."""
+        """Cancel a request whose caller has disconnected."""
         run = self.run_by_id.pop(request_id, None)
         if run is not None:
             run.cancel()
         self._step_gate(Cancel(request_id=request_id), now)
 
     def forget_run(self, *, request_id, now):
-        """Forget a request whose last event has been handed over."""
+        """Remove a request whose last event has been returned to the entry host."""
         self.run_by_id.pop(request_id, None)
 
     def load_counts(self, *, now):
-        """Return running and waiting requests."""
+        """Return the numbers of running and queued requests."""
         return len(self.gate.running_by_id), len(self.gate.waiting_by_id)
 
     def problems(self):
-        """Return what keeps this host from its declared state, by key."""
+        """Return why weights of the declared state were refused, by live key."""
         refused = self.deployment.refused_by_digest
         return {
             key: refused[item.digest]
@@ -221,21 +223,21 @@
         }
 
     def is_idle(self, *, now):
-        """Tell whether nothing runs and all events have been handed over."""
+        """Return whether nothing runs and all events have been returned."""
         return not self.gate.running_by_id and not self.run_by_id
 
     def is_ready(self, *, now):
-        """Tell whether everything declared for this host is live."""
+        """Return whether all weights declared for this host are live."""
         declared = self.deployment.declared_by_key
         live = self.gate.live_by_service
         confirmed = self.core.holder.confirmed(now=now)
         whole = all(live.get(key) == item.digest for key, item in declared.items())
         return confirmed and whole and not self.leaving
 
-    # What the base calls.
+    # Overrides of ControlActor.
 
     def put_in_force(self, document, *, now):
-        """Take what is declared for this host."""
+        """Apply the services that a document declares for this host."""
         self.document = document
         node = self.settings["node"]
         views = [
@@ -250,13 +252,13 @@
         for item in items:
             if item.source:
                 self.source_by_digest[item.digest] = item.source
-        self._drop_unneeded()
+        self._evict_unneeded()
         self._step_deployment(SetDeclared(items=tuple(items)), now)
         self._set_plain_live(now)
         self.hosts_changed(now=now)
 
     def hosts_changed(self, *, now):
-        """Take changed hosts into running transfers."""
+        """Update the participants of running transfers."""
         for digest in list(self.swarm.by_digest):
             message = Participants(
                 digest=digest,
@@ -266,15 +268,15 @@
             self._step_swarm(message, now)
 
     def role_tick(self, *, now):
-        """Look at the engine, and let the machines see the time."""
-        if now >= self.look_deadline and not self.looking:
-            self.look_deadline = now + LOOK_EVERY
-            self.looking = True
-            self.engine_actor.tell(LookAtEngine())
+        """Read the engine's state if it is due and advance the state machines."""
+        if now >= self.engine_state_deadline and not self.reading_engine_state:
+            self.engine_state_deadline = now + ENGINE_STATE_INTERVAL
+            self.reading_engine_state = True
+            self.engine_actor.tell(ReadEngineState())
         self._step_gate(GateTick(), now)
         self._step_swarm(SwarmTick(), now)
         if self.deployment.phase:
-            self._step_deployment(PermitRead(allowed=self._is_permitted()), now)
+            self._step_deployment(PermitRead(allowed=self._is_change_allowed()), now)
         running = {}
         for item in self.gate.running_by_id.values():
             digest = item.admit.digest
@@ -284,7 +286,7 @@
         self._cancel_unread(now)
 
     def send_heartbeat(self, *, now):
-        """Report to the relays of the own failure domain."""
+        """Send this node's state to the gossip relays of its failure domain."""
         entries = self.core.reachable_entries()
         targets = relay_targets(
             node=self.settings["node"],
@@ -295,7 +297,7 @@
         self.socket.send(datagram, [(view.address, view.port) for view in targets])
 
     def on_announce(self, announce, *, now):
-        """Take a peer's news of chunks."""
+        """Handle a peer's announcement of chunks."""
         indices = struct.unpack(
             f"<{len(announce.indices or b'') // 4}I", announce.indices or b""
         )
@@ -308,12 +310,12 @@
         self._step_swarm(message, now)
 
     def drain(self, reason, *, now):
-        """Refuse new work from now on; tell the entry hosts at once."""
+        """Reject new requests and announce it to the entry hosts immediately."""
         super().drain(reason, now=now)
         self._step_gate(Drain(), now)
 
     def dump(self, *, now):
-        """Return the whole state as plain data."""
+        """Return the state as JSON-serializable data."""
         return {
             **super().dump(now=now),
             "gate": self.gate.dump(now=now),
@@ -325,7 +327,7 @@
             "link_bytes_in": self.link.sent,
         }
 
-    # Acting on outcomes.
+    # Outcomes of the state machines.
 
     def _step_gate(self, message, now):
         for outcome in self.gate.step(message, now=now):
@@ -344,7 +346,7 @@
             kwargs={
                 "run": run,
                 "engine": self.engine,
-                "ends": self.engine_ends,
+                "exits": self.engine_exits,
                 "control": self.actor_ref,
             },
             name="run",
@@ -361,27 +363,27 @@
             elif isinstance(outcome, (OrderLoad, OrderUnload)):
                 self.engine_actor.tell(outcome)
             elif isinstance(outcome, SwitchLive):
-                self._switch(outcome, now)
+                self._switch_live(outcome, now)
 
-    def _switch(self, outcome, now):
-        shown = "nothing" if outcome.digest is None else outcome.digest[:12]
-        logger.info("{} is answered by {}", outcome.key, shown)
+    def _switch_live(self, outcome, now):
+        live_digest = "nothing" if outcome.digest is None else outcome.digest[:12]
+        logger.info("{}: live weights are now {}", outcome.key, live_digest)
         self.metrics.count("live_switches_total")
         self.live_since_by_key[outcome.key] = now
         message = SetLive(service=outcome.key, digest=outcome.digest)
         self._step_gate(message, now)
-        # The entry hosts should know now, not at the next heartbeat.
+        # Send a heartbeat immediately, so that entry hosts route by the new state.
         self.core.heartbeat_deadline = now
 
     def _step_swarm(self, message, now):
         for outcome in self.swarm.step(message, now=now):
             if isinstance(outcome, (FetchFromOrigin, FetchFromPeer, AskHoldings)):
-                self._give_work(outcome)
+                self._enqueue_fetch(outcome)
             elif isinstance(outcome, AnnounceChunks):
                 self._announce(outcome)
             elif isinstance(outcome, Complete):
                 logger.info(
-                    "weights {} are whole after {:.2f} s",
+                    "weights {}: all chunks verified after {:.2f} s",
                     outcome.digest[:12],
                     outcome.elapsed,
                 )
@@ -389,13 +391,13 @@
                 message = TransferComplete(digest=outcome.digest, size=size)
                 self._step_deployment(message, now)
 
-    def _give_work(self, work):
-        self.waiting_work.append(work)
-        self._assign()
+    def _enqueue_fetch(self, fetch):
+        self.pending_fetches.append(fetch)
+        self._dispatch_fetches()
 
-    def _assign(self):
-        while self.waiting_work and self.idle_workers:
-            self.idle_workers.popleft().tell(self.waiting_work.popleft())
+    def _dispatch_fetches(self):
+        while self.pending_fetches and self.idle_workers:
+            self.idle_workers.popleft().tell(self.pending_fetches.popleft())
 
     def _announce(self, outcome):
         announce = Announce(
@@ -411,7 +413,7 @@
     # Transfers.
 
     def _get_manifest(self, digest, now):
-        self.manifest_deadline_by_digest[digest] = now + MANIFEST_RETRY
+        self.manifest_deadline_by_digest[digest] = now + MANIFEST_RETRY_DELAY
         if self.store.is_complete(digest):
             size = self.store.manifest(digest).size
             message = TransferComplete(digest=digest, size=size)
@@ -423,7 +425,7 @@
             for name, entry in self._participants(digest).items()
             if name != self.settings["node"]
         )
-        self._give_work(GetManifest(digest=digest, peers=peers))
+        self._enqueue_fetch(GetManifest(digest=digest, peers=peers))
 
     def _retry_manifests(self, now):
         for digest, deadline in list(self.manifest_deadline_by_digest.items()):
@@ -437,10 +439,10 @@
         if is_failure(message.manifest):
             return
         del self.manifest_deadline_by_digest[digest]
-        refusal = self._make_room(message.manifest)
-        if refusal is not None:
-            logger.warning("weights {}: {}", digest[:12], refusal)
-            message = TransferRefused(digest=digest, reason=refusal.reason)
+        rejection = self._reserve_memory(message.manifest)
+        if rejection is not None:
+            logger.warning("weights {}: transfer refused: {}", digest[:12], rejection)
+            message = TransferRefused(digest=digest, reason=rejection.reason)
             self._step_deployment(message, now)
             return
         start = self.start_by_digest[digest]
@@ -456,51 +458,51 @@
         )
         self._step_swarm(want, now)
 
-    def _make_room(self, manifest):
-        """Reserve memory, giving up weights that are only kept for a rollback."""
-        refusal = self.store.reserve(manifest)
-        needed = self._needed()
+    def _reserve_memory(self, manifest):
+        """Reserve memory, evicting weights that are only kept for a rollback."""
+        rejection = self.store.reserve(manifest)
+        needed = self._needed_digests()
         for digest in self.store.digests():
-            if refusal is None:
+            if rejection is None:
                 return None
             if digest not in needed:
-                self._forget(digest)
-                refusal = self.store.reserve(manifest)
-        return refusal
+                self._evict(digest)
+                rejection = self.store.reserve(manifest)
+        return rejection
 
-    def _needed(self):
+    def _needed_digests(self):
         needed = {item.digest for item in self.deployment.declared_by_key.values()}
         needed |= set(self.gate.live_by_service.values())
         return needed
 
-    def _forget(self, digest):
+    def _evict(self, digest):
         self.store.drop(digest)
         self.swarm.by_digest.pop(digest, None)
         self.deployment.forget_digest(digest)
 
     def _drop_transfer(self, digest, now):
-        """Stop a superseded transfer at once; whole weights are kept."""
+        """Cancel a superseded transfer; complete weights are kept."""
         self.manifest_deadline_by_digest.pop(digest, None)
         self._step_swarm(Drop(digest=digest), now)
-        self.waiting_work = deque(
-            work for work in self.waiting_work if work.digest != digest
+        self.pending_fetches = deque(
+            fetch for fetch in self.pending_fetches if fetch.digest != digest
         )
         if not self.store.is_complete(digest):
             self.store.drop(digest)
         self.engine_actor.tell(DropStaged(digest=digest))
 
-    def _drop_unneeded(self):
-        """Keep only the weights that a rollback may name."""
+    def _evict_unneeded(self):
+        """Evict complete weights that are not declared, live or kept for a rollback."""
         kept = set()
         for view in self.services:
             kept |= {*view.wanted_digests(), *view.previous}
         kept |= set(self.gate.live_by_service.values())
         for digest in self.store.digests():
             if digest not in kept and self.store.is_complete(digest):
-                self._forget(digest)
+                self._evict(digest)
 
     def _participants(self, digest):
-        """Return all hosts that have to load some weights, this one too."""
+        """Return all hosts that have to load the weights, including this one."""
         views = [view for view in self.services if digest in view.wanted_digests()]
         settings = self.settings
         own = HostEntry(
@@ -523,7 +525,7 @@
         domains = (self.document or {}).get("failure_domains", {})
         return {name: table["region"] for name, table in domains.items()}
 
-    # Own state.
+    # Local state.
 
     def _set_plain_live(self, now):
         if self.settings["engine_kind"] != "plain":
@@ -534,14 +536,14 @@
         for name in names:
             self._step_gate(SetLive(service=name, digest=""), now)
 
-    def _is_permitted(self):
+    def _is_change_allowed(self):
         node = self.settings["node"]
         phase = self.deployment.phase
         states = [HostState(node=node, state=STATE_BY_WARMING[phase])]
         limit = min(view.table.get("max_unavailable", 1) for view in self.services)
-        mine = set(self._progress())
+        own_digests = set(self._progress())
         for view in self.core.membership.nodes(role="agent"):
-            if mine & set(view.member.progress or {}):
+            if own_digests & set(view.member.progress or {}):
                 state = STATE_BY_WARMING.get(view.member.warming or 0, OLD)
                 states.append(HostState(node=view.node, state=state))
         return may_change_over(
@@ -557,13 +559,13 @@
     def _cancel_unread(self, now):
         for request_id, run in list(self.run_by_id.items()):
             if run.is_unread(now=now):
-                # The entry host died or was cut off: nobody will read the rest,
-                # and the engine's slot is needed.
+                # The entry host died or is unreachable. Cancelling frees the slot
+                # of the engine.
                 self.metrics.count("runs_unread_total")
                 self.cancel(request_id=request_id, now=now)
 
     def own_member(self, *, now):
-        """Return this node's state as it is gossiped."""
+        """Return this node's state for gossip messages."""
         settings = self.settings
         live = [
             Live(service_name=name, digest=digest)
--- a/hawthornspoke/agent/_engine_actor.py
+++ b/hawthornspoke/agent/_engine_actor.py
@@ -1,4 +1,4 @@
-"""The actor that gives orders to the engine, and the tasks that run requests."""
+"""Actor that controls the engine, and the function that runs a request."""
 
 from dataclasses import dataclass
 
@@ -12,13 +12,13 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class LookAtEngine:
+class ReadEngineState:
     """Read the engine's state."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StageChunk:
-    """Stream one verified chunk to the engine ahead of the load order."""
+    """Send one verified chunk to the engine ahead of the load order."""
 
     digest: str
     index: int
@@ -26,33 +26,33 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class DropStaged:
-    """Let the engine throw away chunks of weights that are not wanted now."""
+    """Make the engine discard staged chunks of weights that are not needed."""
 
     digest: str
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class RunEnded:
-    """A started request came to its end."""
+    """A started request has ended."""
 
     request_id: str
 
 
 class EngineActor(pykka.ThreadingActor):
-    """Reads the engine's state and gives it orders, one at a time.
+    """Reads the engine's state and sends it orders, one at a time.
 
     Parameters
     ----------
     engine : object
-        From the registry of engines.
+        Driver of the registry ``ENGINES``.
     store : ChunkStore
     control : pykka.ActorRef
 
     Notes
     -----
-    Orders have one writer: this actor, in the one process that holds the host's
-    port. The fencing number is taken over from the engine and raised by one, so
-    that an engine that checks it refuses what an earlier agent still sends.
+    This actor is the only writer of orders, in the only process that has bound the
+    host's port. The fencing token is the one reported by the engine plus one, so an
+    engine that checks it rejects delayed orders of an earlier agent.
     """
 
     use_daemon_thread = True
@@ -67,9 +67,9 @@
         self.staged_by_digest = {}
 
     def on_receive(self, message):
-        """Look at the engine or give an order."""
-        if isinstance(message, LookAtEngine):
-            self._tell(self._look())
+        """Read the engine's state, stage or discard chunks, or send an order."""
+        if isinstance(message, ReadEngineState):
+            self._tell(self._read_state())
             return
         if isinstance(message, StageChunk):
             self._stage(message.digest, message.index)
@@ -80,10 +80,10 @@
             return
         outcome = self._order(message)
         if is_failure(outcome):
-            logger.warning("order {}: {}", type(message).__name__, outcome)
+            logger.warning("order {} failed: {}", type(message).__name__, outcome)
         self._tell(OrderEnded(digest=message.digest, ok=not is_failure(outcome)))
 
-    def _look(self):
+    def _read_state(self):
         state = self.engine.state()
         if state is None:
             return EngineSeen(instance="")
@@ -107,19 +107,19 @@
                 failure = self._stage(message.digest, index)
                 if failure is not None:
                     return failure
-            # The engine keeps nothing staged after a load, good or bad.
+            # The engine discards staged chunks after a load order, successful or not.
             self.staged_by_digest.pop(message.digest, None)
             outcome = self.engine.load(manifest, base=message.base, fence=self.fence)
         else:
             outcome = self.engine.unload(message.digest, fence=self.fence)
         if outcome == FENCED:
-            # Another writer has raised the number: take the engine over again
-            # only after a fresh look at what it holds.
+            # Another writer has used a higher token. The next read of the state
+            # gets a new token and the set of loaded weights.
             self.instance = ""
         return outcome
 
     def _stage(self, digest, index):
-        """Send a chunk that the engine does not have yet; return a failure."""
+        """Send a chunk unless it is staged already; return None or a Failure."""
         staged = self.staged_by_digest.setdefault(digest, set())
         if index in staged:
             return None
@@ -136,14 +136,14 @@
             self.control.tell(message)
 
 
-def run_request(*, run, engine, ends, control):
-    """Run one started request and push its events.
+def run_request(*, run, engine, exits, control):
+    """Run a request that the gate has started, and queue its events.
 
     Parameters
     ----------
     run : Run
     engine : object
-    ends : EngineEnds
+    exits : EngineExits
     control : pykka.ActorRef
     """
     request_id = run.submit.request_id
@@ -160,12 +160,12 @@
         run.push(Event(kind=EventKind.DONE))
     except CutAnswer as error:
         if engine.has_ended():
-            run.fail(f"{ENGINE_ENDED.code}: {ends.note()}")
+            run.fail(f"{ENGINE_ENDED.code}: {exits.record()}")
         else:
             run.fail(str(error))
     except Exception as error:
-        # The caller must get an end whatever the engine's answer did here.
-        logger.exception("request {} failed in the agent", request_id)
+        # The caller needs a final event after any error in a driver.
+        logger.exception("request {}: unexpected error in the agent", request_id)
         run.fail(repr(error))
     finally:
         if control.is_alive():
--- a/hawthornspoke/agent/_engine_ends.py
+++ b/hawthornspoke/agent/_engine_ends.py
@@ -1,41 +1,42 @@
-"""Names for the ends of an engine, so that all requests it ran tell the same one."""
+"""Identifiers of engine process exits, shared by all requests that one interrupted."""
 
 import threading
 
 from hawthornspoke.base import monotonic
 
-#: Seconds within which broken answers are of one end: an engine takes longer to start.
-SAME_END = 0.5
+#: Seconds within which interrupted responses are attributed to the same exit. An
+#: engine takes longer than this to start again.
+SAME_EXIT_SECONDS = 0.5
 
 
-class EngineEnds:
-    """Counts the ends of an engine's process.
+class EngineExits:
+    """Counts the exits of an engine process.
 
     Parameters
     ----------
     name : str
-        Of this agent's process, another one after each start.
+        Prefix of the identifiers, unique to each start of the agent process.
     """
 
-    __slots__ = ("_name", "_number", "_noted_at", "_lock")
+    __slots__ = ("_name", "_exit_count", "_last_exit_at", "_lock")
 
     def __init__(self, *, name):
         self._name = name
-        self._number = 0
-        self._noted_at = float("-inf")
+        self._exit_count = 0
+        self._last_exit_at = float("-inf")
         self._lock = threading.Lock()
 
-    def note(self):
-        """Take that a request was broken off by an engine that has ended.
+    def record(self):
+        """Record that a request was interrupted by the exit of the engine.
 
         Returns
         -------
         str
-            A name of that end.
+            Identifier of that exit.
         """
         with self._lock:
             now = monotonic()
-            if now >= self._noted_at + SAME_END:
-                self._number += 1
-            self._noted_at = now
-            return f"{self._name}#{self._number}"
+            if now >= self._last_exit_at + SAME_EXIT_SECONDS:
+                self._exit_count += 1
+            self._last_exit_at = now
+            return f"{self._name}#{self._exit_count}"
--- a/hawthornspoke/agent/_engines.py
+++ b/hawthornspoke/agent/_engines.py
@@ -1,4 +1,4 @@
-"""Drivers of what runs beside the agent, by kind."""
+"""Drivers for the engine or service on the agent's host, by kind."""
 
 import json
 import socket
@@ -11,12 +11,13 @@
 
 ENGINES = Registry(kind="engine")
 
-#: Proof that the engine did not run a request: nothing reached it, or it said so.
+#: Failures which guarantee that the engine did not run a request: it received
+#: nothing, or it rejected the request.
 ENGINE_DOWN = Failure(code="engine_down")
 ENGINE_BUSY = Failure(code="busy")
 NOT_LOADED = Failure(code="wrong_digest")
 
-#: An order was refused for its fencing number.
+#: The engine rejected an order because of its fencing token.
 FENCED = Failure(code="fenced")
 ORDER_FAILED = Failure(code="order_failed")
 
@@ -25,21 +26,21 @@
 ORDER_TIMEOUT = 600.0
 READ_BYTES = 64 * 1024
 
-EVENT_END = b"\n\n"
-STREAM_END = b"data: [DONE]"
+EVENT_DELIMITER = b"\n\n"
+DONE_EVENT = b"data: [DONE]"
 
-#: Headers of an answer that belong to one connection (RFC 9110, section 7.6.1).
-HOP_HEADERS = frozenset(
+#: Response headers that are not forwarded (RFC 9110, section 7.6.1).
+HOP_BY_HOP_HEADERS = frozenset(
     ["connection", "keep-alive", "transfer-encoding", "content-length", "date"]
 )
 
 
 class CutAnswer(Exception):
-    """The engine's answer broke off; only used inside a driver's iteration."""
+    """The engine's response ended early; raised only while a driver iterates."""
 
 
-class _Http:
-    """Requests to one engine; each open answer belongs to one task."""
+class _EngineClient:
+    """HTTP client of one engine; each open response is read by one thread."""
 
     __slots__ = ("url", "pool")
 
@@ -48,7 +49,7 @@
         self.pool = urllib3.PoolManager(maxsize=64)
 
     def open(self, method, path, *, body, headers, timeout, objection=None):
-        """Return an open answer, ``ENGINE_DOWN`` if nothing was sent.
+        """Send a request and return the response with its body unread.
 
         Parameters
         ----------
@@ -58,16 +59,18 @@
         timeout : float
             Seconds.
         objection : callable or None, default=None
-            Looked at last; returns a Failure if nothing may be sent any more.
+            Called just before sending; returns a Failure if the request must not
+            be sent any more, otherwise None.
 
         Returns
         -------
         urllib3.response.BaseHTTPResponse or Failure
+            ``ENGINE_DOWN`` if nothing was sent.
 
         Raises
         ------
         CutAnswer
-            If bytes left and no answer came.
+            If the request was sent, at least in part, and no response arrived.
         """
         failure = objection() if objection is not None else None
         if failure is not None:
@@ -92,7 +95,7 @@
             raise CutAnswer(str(error))
 
     def has_ended(self):
-        """Tell whether no process listens at the engine's address."""
+        """Return whether no process listens at the engine's address."""
         parts = urlsplit(self.url)
         try:
             address = (parts.hostname, parts.port or 80)
@@ -104,7 +107,7 @@
         return False
 
     def state(self):
-        """Return the engine's state as JSON, or None."""
+        """Return the engine's decoded JSON state, or None."""
         try:
             answer = self.open(
                 "GET", "/state", body=None, headers=None, timeout=STATE_TIMEOUT
@@ -116,24 +119,24 @@
             return None
 
 
-def _read_pieces(answer):
+def _iter_body(answer):
     try:
         while True:
-            piece = answer.read1(READ_BYTES)
-            if not piece:
+            part = answer.read1(READ_BYTES)
+            if not part:
                 return
-            yield piece
+            yield part
     except (urllib3.exceptions.HTTPError, OSError, ValueError, AttributeError) as error:
-        # AttributeError: urllib3 meets it when the answer is shut down by a
-        # cancel while another thread reads it.
+        # urllib3 raises AttributeError when a cancel shuts the response down while
+        # another thread reads it.
         raise CutAnswer(repr(error))
 
 
-def _head(answer, digest):
+def _head_event(answer, digest):
     headers = {
         name.lower(): value
         for name, value in answer.headers.items()
-        if name.lower() not in HOP_HEADERS
+        if name.lower() not in HOP_BY_HOP_HEADERS
     }
     return Event(
         kind=EventKind.HEAD, status=answer.status, headers=headers, digest=digest
@@ -142,17 +145,17 @@
 
 @ENGINES.register("model")
 class ModelEngine:
-    """An OpenAI-style engine that takes weight orders.
+    """An engine with an OpenAI-style API that loads weights on request.
 
     Parameters
     ----------
     url : str
     """
 
-    __slots__ = ("_http",)
+    __slots__ = ("_client",)
 
     def __init__(self, *, url):
-        self._http = _Http(url=url)
+        self._client = _EngineClient(url=url)
 
     def state(self):
         """Return the engine's state.
@@ -160,18 +163,18 @@
         Returns
         -------
         dict or None
-            None if it does not answer.
+            None if the engine does not respond.
         """
-        return self._http.state()
+        return self._client.state()
 
     def has_ended(self):
-        """Tell whether the engine's process is gone.
+        """Return whether no process listens at the engine's address.
 
         Returns
         -------
         bool
         """
-        return self._http.has_ended()
+        return self._client.has_ended()
 
     def answer(self, run, *, timeout):
         """Run a request.
@@ -184,26 +187,26 @@
         Yields
         ------
         Event or Failure
-            A failure proves that the request was not run.
+            A failure guarantees that the request was not run.
 
         Raises
         ------
         CutAnswer
-            If it may have run and the answer is not whole.
+            If the request may have run and the response is incomplete.
         """
         submit = run.submit
-        tree = json.loads(submit.body)
-        tree["model"] = submit.digest
+        payload = json.loads(submit.body)
+        payload["model"] = submit.digest
         if submit.resume_from:
-            tree["resume_from"] = submit.resume_from
+            payload["resume_from"] = submit.resume_from
         headers = {
             "Content-Type": "application/json",
             "X-Request-Id": submit.request_id,
         }
-        answer = self._http.open(
+        answer = self._client.open(
             "POST",
             submit.path,
-            body=json.dumps(tree).encode(),
+            body=json.dumps(payload).encode(),
             headers=headers,
             timeout=timeout,
             objection=run.objection,
@@ -212,23 +215,23 @@
             yield answer
             return
         run.attach(answer)
-        refusal = self._refusal(answer)
-        if refusal is not None:
+        rejection = self._rejection(answer)
+        if rejection is not None:
             answer.read()
-            yield refusal
+            yield rejection
             return
         if answer.status >= 500:
-            raise CutAnswer(f"engine answered {answer.status}")
-        yield _head(answer, submit.digest)
-        if tree.get("stream") is True:
+            raise CutAnswer(f"engine responded with status {answer.status}")
+        yield _head_event(answer, submit.digest)
+        if payload.get("stream") is True:
             yield from self._events(answer)
         else:
-            for piece in _read_pieces(answer):
-                yield Event(kind=EventKind.TOKENS, data=piece, count=0)
+            for part in _iter_body(answer):
+                yield Event(kind=EventKind.TOKENS, data=part, count=0)
         answer.release_conn()
 
     def stage(self, digest, index, data):
-        """Stream one chunk to the engine, which keeps it until the load order.
+        """Send one chunk to the engine, which keeps it until the load order.
 
         Parameters
         ----------
@@ -243,14 +246,14 @@
         return self._put(f"/weights/{digest}/{index}", data)
 
     def drop_staged(self, digest):
-        """Let the engine throw away staged chunks.
+        """Make the engine discard staged chunks.
 
         Parameters
         ----------
         digest : str
         """
         try:
-            answer = self._http.open(
+            answer = self._client.open(
                 "DELETE",
                 f"/weights/{digest}",
                 body=None,
@@ -258,7 +261,7 @@
                 timeout=STATE_TIMEOUT,
             )
         except CutAnswer:
-            # Staged chunks that stay are thrown away by the next load order.
+            # The next load order discards the remaining staged chunks.
             return
         if not isinstance(answer, Failure):
             answer.read()
@@ -286,7 +289,7 @@
         return self._order(order)
 
     def unload(self, digest, *, fence):
-        """Order the engine to drop some weights.
+        """Order the engine to unload weights.
 
         Parameters
         ----------
@@ -299,32 +302,32 @@
         """
         return self._order({"kind": "unload", "digest": digest, "fence": fence})
 
-    def _refusal(self, answer):
+    def _rejection(self, answer):
         if answer.status == 404:
             return NOT_LOADED.because("the engine has not loaded these weights")
         if answer.status == 429:
-            return ENGINE_BUSY.because("the engine is full", retry_after=1.0)
+            return ENGINE_BUSY.because("the engine has no free slot", retry_after=1.0)
         return None
 
     def _events(self, answer):
-        """Yield whole server-sent events; the last one has to be the end mark."""
+        """Yield complete server-sent events; the last must be ``[DONE]``."""
         rest = b""
         ended = False
-        for piece in _read_pieces(answer):
-            whole, mark, rest = (rest + piece).rpartition(EVENT_END)
-            if not mark:
+        for part in _iter_body(answer):
+            complete, delimiter, rest = (rest + part).rpartition(EVENT_DELIMITER)
+            if not delimiter:
                 continue
-            whole += mark
-            ended = whole.rstrip().endswith(STREAM_END)
-            count = whole.count(EVENT_END) - (1 if ended else 0)
-            yield Event(kind=EventKind.TOKENS, data=whole, count=count)
+            complete += delimiter
+            ended = complete.rstrip().endswith(DONE_EVENT)
+            count = complete.count(EVENT_DELIMITER) - (1 if ended else 0)
+            yield Event(kind=EventKind.TOKENS, data=complete, count=count)
         if rest or not ended:
-            # A stream cut at an event's edge reads like a short answer.
-            raise CutAnswer("the stream ended without its end mark")
+            # A stream that ends after a complete event looks like a short response.
+            raise CutAnswer("the stream ended without [DONE]")
 
     def _put(self, path, data):
         try:
-            answer = self._http.open(
+            answer = self._client.open(
                 "PUT", path, body=data, headers=None, timeout=STATE_TIMEOUT * 5
             )
         except CutAnswer as error:
@@ -333,12 +336,12 @@
             return answer
         answer.read()
         if answer.status >= 300:
-            return ORDER_FAILED.because(f"engine answered {answer.status}")
+            return ORDER_FAILED.because(f"engine responded with status {answer.status}")
         return None
 
     def _order(self, order):
         try:
-            answer = self._http.open(
+            answer = self._client.open(
                 "POST",
                 "/orders",
                 body=json.dumps(order).encode(),
@@ -353,23 +356,25 @@
         if answer.status == 409 and "fenc" in text:
             return FENCED.because(text)
         if answer.status >= 300:
-            return ORDER_FAILED.because(f"engine answered {answer.status}: {text}")
+            return ORDER_FAILED.because(
+                f"engine responded with status {answer.status}: {text}"
+            )
         return None
 
 
 @ENGINES.register("plain")
 class PlainEngine:
-    """A service that is only routed to.
+    """A service without managed weights; requests are only forwarded to it.
 
     Parameters
     ----------
     url : str
     """
 
-    __slots__ = ("_http",)
+    __slots__ = ("_client",)
 
     def __init__(self, *, url):
-        self._http = _Http(url=url)
+        self._client = _EngineClient(url=url)
 
     def state(self):
         """Return the service's state.
@@ -377,25 +382,25 @@
         Returns
         -------
         dict or None
-            Any HTTP answer shows that it is there.
+            None if the service does not respond with JSON and status 200.
         """
-        return self._http.state()
+        return self._client.state()
 
     def has_ended(self):
-        """Tell whether the engine's process is gone.
+        """Return whether no process listens at the service's address.
 
         Returns
         -------
         bool
         """
-        return self._http.has_ended()
+        return self._client.has_ended()
 
     def answer(self, run, *, timeout):
         """Run a request; see :meth:`ModelEngine.answer`."""
         submit = run.submit
         headers = dict(submit.headers or {})
         headers["x-request-id"] = submit.request_id
-        answer = self._http.open(
+        answer = self._client.open(
             submit.method,
             submit.path,
             body=submit.body or None,
@@ -407,22 +412,22 @@
             yield answer
             return
         run.attach(answer)
-        yield _head(answer, "")
-        for piece in _read_pieces(answer):
-            yield Event(kind=EventKind.TOKENS, data=piece, count=0)
+        yield _head_event(answer, "")
+        for part in _iter_body(answer):
+            yield Event(kind=EventKind.TOKENS, data=part, count=0)
         answer.release_conn()
 
     def stage(self, digest, index, data):
-        """Refuse: a plain service has no weights."""
-        return ORDER_FAILED.because("a plain service takes no weights")
+        """Return a failure: a plain service has no weights."""
+        return ORDER_FAILED.because("a plain service has no weights")
 
     def drop_staged(self, digest):
         """Do nothing: a plain service has no weights."""
 
     def load(self, manifest, *, base, fence):
-        """Refuse: a plain service has no weights."""
-        return ORDER_FAILED.because("a plain service takes no weights")
+        """Return a failure: a plain service has no weights."""
+        return ORDER_FAILED.because("a plain service has no weights")
 
     def unload(self, digest, *, fence):
-        """Refuse: a plain service has no weights."""
-        return ORDER_FAILED.because("a plain service takes no weights")
+        """Return a failure: a plain service has no weights."""
+        return ORDER_FAILED.because("a plain service has no weights")
--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -1,4 +1,4 @@
-"""Actors that move chunks and manifests to this host."""
+"""Actors that fetch chunks and manifests to this host."""
 
 import time
 from dataclasses import dataclass
@@ -24,26 +24,26 @@
 
 NO_MANIFEST = Failure(code="no_manifest")
 
-#: Seconds that a peer may take for one chunk.
-PEER_SECONDS = 10.0
+#: Seconds within which a peer has to return one chunk.
+PEER_TIMEOUT = 10.0
 
-#: Seconds without a byte from the origin: on its narrow link many hosts queue.
-ORIGIN_SECONDS = 20.0
+#: Seconds without a byte from the origin. Many hosts queue on its slow link.
+ORIGIN_TIMEOUT = 20.0
 
-ASK_SECONDS = 1.0
+QUERY_TIMEOUT = 1.0
 MANIFEST_INDEX = -1
 MANIFEST_PREFIX = "manifests/"
 
-#: Peers asked for a manifest when the platform has no answer.
-MANIFEST_PEERS = 3
+#: Peers queried for a manifest that the object store does not return.
+MAX_MANIFEST_PEERS = 3
 
-#: Connections kept open by one actor.
+#: Connections that one actor keeps open.
 MAX_CONNECTIONS = 32
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class GetManifest:
-    """Find the manifest of some weights.
+    """Fetch the manifest of weights from the object store or from peers.
 
     Parameters
     ----------
@@ -57,31 +57,31 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ManifestFound:
-    """A manifest, or a failure."""
+    """Result of ``GetManifest``: a Manifest or a Failure."""
 
     digest: str
     manifest: object
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class WorkerFree:
-    """A fetch actor is free again."""
+class WorkerIdle:
+    """A fetch actor can take the next fetch."""
 
     worker: object
 
 
 class FetchActor(pykka.ThreadingActor):
-    """Does one fetch at a time and owns its connections.
+    """Executes one fetch at a time, over connections of its own.
 
     Parameters
     ----------
     node : str
     store : ChunkStore
     link : Link
-        Inward.
+        Rate limiter for incoming chunks.
     clients : PlatformClients
     source_by_digest : dict of str to str
-        Where the origin has each digest; written by the control actor.
+        Location of each digest at the origin; written by the control actor.
     metrics : Metrics
     control : pykka.ActorRef
     """
@@ -102,64 +102,64 @@
         self.connection_by_address = {}
 
     def on_receive(self, message):
-        """Do one piece of work."""
+        """Execute one fetch and report its result to the control actor."""
         try:
-            answer = self._work(message)
+            answer = self._execute(message)
             if self.control.is_alive():
                 self.control.tell(answer)
         finally:
             if self.control.is_alive():
-                self.control.tell(WorkerFree(worker=self.actor_ref))
+                self.control.tell(WorkerIdle(worker=self.actor_ref))
 
-    def _work(self, message):
+    def _execute(self, message):
         if isinstance(message, GetManifest):
-            return self._manifest(message)
+            return self._find_manifest(message)
         if isinstance(message, AskHoldings):
-            return self._holdings(message)
+            return self._fetch_holdings(message)
         if isinstance(message, FetchFromOrigin):
-            return self._from_origin(message)
-        return self._from_peer(message)
+            return self._fetch_from_origin(message)
+        return self._fetch_from_peer(message)
 
-    def _from_origin(self, message):
+    def _fetch_from_origin(self, message):
         manifest = self.store.manifest(message.digest)
         source = self.source_by_digest.get(message.digest)
         if manifest is None or source is None:
-            return _failed(message, "missing")
+            return _chunk_failed(message, "missing")
         start, stop = manifest.span(message.index)
         data = self.clients.origin.chunk(
-            source, start=start, stop=stop, timeout=ORIGIN_SECONDS
+            source, start=start, stop=stop, timeout=ORIGIN_TIMEOUT
         )
         if is_failure(data):
-            return _failed(message, "failed")
+            return _chunk_failed(message, "failed")
         self.metrics.count("origin_bytes_total", len(data))
-        return self._keep(message, data)
+        return self._store_chunk(message, data)
 
-    def _from_peer(self, message):
+    def _fetch_from_peer(self, message):
         ask = ChunkAsk(
             version=PROTOCOL_VERSION,
             digest=message.digest,
             index=message.index,
             node=self.node,
         )
-        deadline = monotonic() + PEER_SECONDS
+        deadline = monotonic() + PEER_TIMEOUT
         reply = self._connection(message).call("chunk", ask, deadline=deadline)
         if is_failure(reply):
             unreachable = reply == NOT_SENT
-            return _failed(message, "unreachable" if unreachable else "failed")
+            return _chunk_failed(message, "unreachable" if unreachable else "failed")
         if reply.data is None:
-            return _failed(message, reply.reason or "missing")
+            return _chunk_failed(message, reply.reason or "missing")
         self.metrics.count("peer_bytes_total", len(reply.data))
-        return self._keep(message, reply.data)
+        return self._store_chunk(message, reply.data)
 
-    def _keep(self, message, data):
+    def _store_chunk(self, message, data):
         time.sleep(self.link.reserve(len(data)))
         if is_failure(self.store.add(message.digest, message.index, data)):
-            return _failed(message, "corrupt")
+            return _chunk_failed(message, "corrupt")
         return ChunkVerified(digest=message.digest, index=message.index)
 
-    def _holdings(self, message):
+    def _fetch_holdings(self, message):
         reply = self._connection(message).call(
-            "holdings", message.digest, deadline=monotonic() + ASK_SECONDS
+            "holdings", message.digest, deadline=monotonic() + QUERY_TIMEOUT
         )
         if is_failure(reply):
             return PeerUnreachable(digest=message.digest, node=message.node)
@@ -170,23 +170,23 @@
             held=reply.held or 0,
         )
 
-    def _manifest(self, message):
+    def _find_manifest(self, message):
         data = self.clients.objects.get(MANIFEST_PREFIX + message.digest)
-        manifest = _checked(data, message.digest)
-        for address, port in message.peers[:MANIFEST_PEERS]:
+        manifest = _parse_verified(data, message.digest)
+        for address, port in message.peers[:MAX_MANIFEST_PEERS]:
             if manifest is not None:
                 break
-            manifest = self._manifest_from(address, port, message.digest)
+            manifest = self._fetch_manifest_from(address, port, message.digest)
         if manifest is None:
             manifest = NO_MANIFEST.because(message.digest[:12])
         return ManifestFound(digest=message.digest, manifest=manifest)
 
-    def _manifest_from(self, address, port, digest):
+    def _fetch_manifest_from(self, address, port, digest):
         connection = Connection(address=address, port=port)
         ask = ChunkAsk(version=PROTOCOL_VERSION, digest=digest, index=MANIFEST_INDEX)
-        reply = connection.call("chunk", ask, deadline=monotonic() + ASK_SECONDS)
+        reply = connection.call("chunk", ask, deadline=monotonic() + QUERY_TIMEOUT)
         connection.close()
-        return None if is_failure(reply) else _checked(reply.data, digest)
+        return None if is_failure(reply) else _parse_verified(reply.data, digest)
 
     def _connection(self, message):
         key = (message.address, message.port)
@@ -201,7 +201,7 @@
 
 
 def pack_bitmap(indices):
-    """Return chunk indices as a bitmap.
+    """Encode chunk indices as a little-endian bitmap.
 
     Parameters
     ----------
@@ -218,7 +218,7 @@
 
 
 def unpack_bitmap(data):
-    """Return the chunk indices of a bitmap.
+    """Decode a bitmap to chunk indices.
 
     Parameters
     ----------
@@ -229,15 +229,15 @@
     tuple of int
     """
     return tuple(
-        place * 8 + bit
-        for place, byte in enumerate(data)
+        offset * 8 + bit
+        for offset, byte in enumerate(data)
         if byte
         for bit in range(8)
         if byte >> bit & 1
     )
 
 
-def _checked(data, digest):
+def _parse_verified(data, digest):
     if not isinstance(data, bytes):
         return None
     manifest = parse_manifest(data)
@@ -246,5 +246,5 @@
     return manifest
 
 
-def _failed(message, cause):
+def _chunk_failed(message, cause):
     return ChunkFailed(digest=message.digest, index=message.index, cause=cause)
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -1,4 +1,4 @@
-"""The parts of an agent process, put together."""
+"""Assembly of an agent process and its Thrift handler."""
 
 import threading
 import time
@@ -20,20 +20,20 @@
 )
 from hawthornspoke.swarm import ChunkStore, Link
 
-#: Seconds that a submit waits for the first event, which is most often there.
-FIRST_WAIT = 0.02
+#: Seconds that a submit waits for the first events, which usually arrive in time.
+FIRST_EVENT_TIMEOUT = 0.02
 
 
 class _Handler(NodeHandler):
-    """The Thrift service of an agent."""
+    """Handler of an agent's Thrift service."""
 
     __slots__ = (
         "store",
         "link_out",
         "metrics",
         "run_by_id",
-        "_serving",
-        "_revision_seen",
+        "_upload_slots",
+        "_known_revision",
     )
 
     def __init__(self, *, actor, store, link_out, metrics, serve_slots):
@@ -42,65 +42,66 @@
         self.link_out = link_out
         self.metrics = metrics
         self.run_by_id = {}
-        self._serving = threading.BoundedSemaphore(serve_slots)
-        self._revision_seen = 0
+        self._upload_slots = threading.BoundedSemaphore(serve_slots)
+        self._known_revision = 0
 
     def running(self):
-        """Return how many requests are in progress here."""
+        """Return the number of running requests."""
         return self.ask("load_counts")[0]
 
     def submit(self, request):
-        """Pass a request to the gate and return its first events."""
+        """Submit a request to the gate and return its first events."""
         remaining = (request.remaining_ms or 0) / 1000
         run = Run(
             submit=request,
             deadline=monotonic() + remaining,
-            contact_deadline=contact_clock() + remaining,
-            caller_gone=RpcServer.look_at_caller(),
+            boottime_deadline=contact_clock() + remaining,
+            caller_gone=RpcServer.caller_check(),
         )
         if RpcServer.caller_gone():
-            # This process was paused between the arrival of the request and
-            # now, and the entry host has given it up meanwhile. Run now, it
-            # would be work whose caller has been told something else.
+            # The process was paused after the request arrived, and the entry host
+            # has given up on it. The caller has already been given another result.
             self.metrics.count("stale_submits_total")
             refused = Event(kind=EventKind.REFUSED, reason="busy: caller is gone")
             return self._events(request.request_id, [refused])
-        self._hear(request.revision)
+        self._report_revision(request.revision)
         self.run_by_id[request.request_id] = run
-        self._revision_seen = self.ask("submit", run=run)
-        return self._take(request.request_id, run, FIRST_WAIT)
+        self._known_revision = self.ask("submit", run=run)
+        return self._read_events(request.request_id, run, FIRST_EVENT_TIMEOUT)
 
     def read(self, request_id, max_wait_ms):
         """Return further events of a request."""
         run = self.run_by_id.get(request_id)
         if run is None:
-            failed = Event(kind=EventKind.FAILED, reason="request is not known here")
+            failed = Event(
+                kind=EventKind.FAILED, reason="request is unknown to this agent"
+            )
             return self._events(request_id, [failed])
-        return self._take(request_id, run, max_wait_ms / 1000)
+        return self._read_events(request_id, run, max_wait_ms / 1000)
 
     def cancel(self, request_id):
-        """End a request whose caller is gone."""
+        """Cancel a request whose caller has disconnected."""
         self.run_by_id.pop(request_id, None)
         self.ask("cancel", request_id=request_id)
 
     def chunk(self, ask):
-        """Return one verified chunk, or the manifest."""
+        """Return one verified chunk, or the manifest for ``MANIFEST_INDEX``."""
         if ask.index == MANIFEST_INDEX:
             return self._manifest(ask.digest)
         data = self.store.get(ask.digest, ask.index)
         if data is None:
             return Chunk(version=PROTOCOL_VERSION, reason="missing")
-        if not self._serving.acquire(blocking=False):
+        if not self._upload_slots.acquire(blocking=False):
             return Chunk(version=PROTOCOL_VERSION, reason="busy")
         try:
             time.sleep(self.link_out.reserve(len(data)))
         finally:
-            self._serving.release()
+            self._upload_slots.release()
         self.metrics.count("chunk_bytes_sent_total", len(data))
         return Chunk(version=PROTOCOL_VERSION, data=data)
 
     def holdings(self, digest):
-        """Return which chunks of some weights are held."""
+        """Return which chunks of the weights this host holds."""
         indices = self.store.indices(digest)
         return Holdings(
             version=PROTOCOL_VERSION, bitmap=pack_bitmap(indices), held=len(indices)
@@ -112,7 +113,7 @@
             return Chunk(version=PROTOCOL_VERSION, reason="missing")
         return Chunk(version=PROTOCOL_VERSION, data=manifest.to_bytes())
 
-    def _take(self, request_id, run, wait):
+    def _read_events(self, request_id, run, wait):
         events = run.take(wait)
         if run.ended:
             self.run_by_id.pop(request_id, None)
@@ -122,18 +123,18 @@
     def _events(self, request_id, events):
         return Events(
             version=PROTOCOL_VERSION,
-            revision=self._revision_seen,
+            revision=self._known_revision,
             request_id=request_id,
             events=events,
         )
 
-    def _hear(self, revision):
+    def _report_revision(self, revision):
         if revision:
             self.tell("hear_revision", revision=revision)
 
 
 class AgentProcess(NodeProcess):
-    """An endpoint host's process.
+    """Agent process of an endpoint host.
 
     Parameters
     ----------
@@ -147,7 +148,7 @@
         self.store = ChunkStore(capacity=settings["memory"])
 
     def start_control(self):
-        """Start the control actor."""
+        """Start the control actor and return its reference."""
         settings = self.settings
         engine = ENGINES.get(settings["engine_kind"])(url=settings["engine_url"])
         return AgentControl.start(
@@ -170,5 +171,5 @@
         )
 
     def is_idle(self):
-        """Tell whether nothing runs and every last event was handed over."""
+        """Return whether nothing runs and all events have been returned."""
         return self.ask("is_idle") is True
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -1,4 +1,4 @@
-"""One request on this host: its events on their way to the entry host."""
+"""A request on this host, with a queue of its events for the entry host."""
 
 import queue
 import threading
@@ -6,81 +6,82 @@
 from hawthornspoke.base import Failure, contact_clock, monotonic
 from hawthornspoke.protocol import Event, EventKind
 
-CALLER_GONE = Failure(code="busy", reason="caller is gone")
+CALLER_DISCONNECTED = Failure(code="busy", reason="caller is gone")
 DEADLINE_PASSED = Failure(code="deadline_passed", reason="not started in time")
 
-#: Events that wait for the entry host at most. When it does not read, because
-#: its caller is slow, the engine's stream is not read either.
-MAX_EVENTS = 256
+#: Maximum number of queued events. While the queue is full, because the caller of the
+#: entry host reads slowly, the engine's stream is not read either (backpressure).
+MAX_QUEUED_EVENTS = 256
 
-#: Events handed over in one reply at most.
-BATCH = 64
+#: Maximum number of events in one reply.
+MAX_REPLY_EVENTS = 64
 
-#: Seconds without a read after which the entry host counts as gone.
-UNREAD_SECONDS = 10.0
+#: Seconds without a read after which the entry host is considered disconnected.
+UNREAD_TIMEOUT = 10.0
 
 
 class Run:
-    """Events of one request.
+    """Bounded queue of the events of one request.
 
     Parameters
     ----------
     submit : hawthornspoke.protocol.Submit
     deadline : float
-        On this process's clock.
-    contact_deadline : float or None, default=None
-        The same on the clock that goes on while the host is suspended.
+        On the monotonic clock.
+    boottime_deadline : float or None, default=None
+        The same on the boot-time clock, which includes time in suspension.
     caller_gone : callable or None, default=None
-        Tells whether the entry host has closed its connection.
+        Returns whether the entry host has closed its connection.
     """
 
     __slots__ = (
         "submit",
         "deadline",
-        "contact_deadline",
+        "boottime_deadline",
         "caller_gone",
         "read_at",
         "ended",
         "cancelled",
         "_events",
-        "_call",
+        "_response",
         "_lock",
     )
 
-    def __init__(self, *, submit, deadline, contact_deadline=None, caller_gone=None):
+    def __init__(self, *, submit, deadline, boottime_deadline=None, caller_gone=None):
         self.submit = submit
         self.deadline = deadline
-        self.contact_deadline = contact_deadline
+        self.boottime_deadline = boottime_deadline
         self.caller_gone = caller_gone
         self.read_at = monotonic()
         self.ended = False
         self.cancelled = threading.Event()
-        self._events = queue.Queue(maxsize=MAX_EVENTS)
-        self._call = None
+        self._events = queue.Queue(maxsize=MAX_QUEUED_EVENTS)
+        self._response = None
         self._lock = threading.Lock()
 
     def objection(self):
-        """Say what stands against calling the engine at this moment.
+        """Check whether the engine may still be called.
 
-        Between the request's arrival and the engine lie the gate and the start of a
-        thread. A host that stood still there would run what its entry host has given
-        up, and told the caller to be not run.
+        The request has passed the gate and the start of a thread since it arrived. If
+        the host stalled meanwhile, the entry host may have given up on the request and
+        reported to the caller that it was not run.
 
         Returns
         -------
         None or Failure
+            The reason not to call the engine, or None.
         """
         if self.cancelled.is_set():
-            return CALLER_GONE
+            return CALLER_DISCONNECTED
         if self.caller_gone is not None and self.caller_gone():
-            return CALLER_GONE
-        is_over = monotonic() >= self.deadline
-        if self.contact_deadline is not None:
-            is_over = is_over or contact_clock() >= self.contact_deadline
-        return DEADLINE_PASSED if is_over else None
+            return CALLER_DISCONNECTED
+        is_expired = monotonic() >= self.deadline
+        if self.boottime_deadline is not None:
+            is_expired = is_expired or contact_clock() >= self.boottime_deadline
+        return DEADLINE_PASSED if is_expired else None
 
     def push(self, event):
-        """Add an event; wait while the entry host does not read.
+        """Queue an event; blocks while the queue is full.
 
         Parameters
         ----------
@@ -89,7 +90,7 @@
         Returns
         -------
         bool
-            False if the request was cancelled meanwhile.
+            False if the request was cancelled.
         """
         while not self.cancelled.is_set():
             try:
@@ -100,13 +101,13 @@
         return False
 
     def refuse(self, failure, *, live=None):
-        """End the request as not run.
+        """End the request with the guarantee that it was not run.
 
         Parameters
         ----------
         failure : Failure
         live : str or None, default=None
-            Digest that the service is answered with here now.
+            Digest of the weights that are live for the service on this host.
         """
         retry_after = None
         if failure.retry_after is not None:
@@ -121,7 +122,7 @@
         )
 
     def fail(self, reason):
-        """End the request with an unknown outcome.
+        """End the request with an unknown outcome; it may have run.
 
         Parameters
         ----------
@@ -130,12 +131,12 @@
         self.push(Event(kind=EventKind.FAILED, reason=reason))
 
     def take(self, wait):
-        """Return the next events.
+        """Remove and return the next events.
 
         Parameters
         ----------
         wait : float
-            Seconds to wait for the first.
+            Seconds to wait for the first event.
 
         Returns
         -------
@@ -145,7 +146,7 @@
         events = []
         try:
             events.append(self._events.get(block=wait > 0, timeout=wait))
-            while len(events) < BATCH:
+            while len(events) < MAX_REPLY_EVENTS:
                 events.append(self._events.get_nowait())
         except queue.Empty:
             pass
@@ -159,7 +160,7 @@
         return events
 
     def is_unread(self, *, now):
-        """Tell whether the entry host has stopped reading.
+        """Return whether the entry host has stopped reading.
 
         Parameters
         ----------
@@ -169,34 +170,34 @@
         -------
         bool
         """
-        return now - self.read_at > UNREAD_SECONDS
+        return now - self.read_at > UNREAD_TIMEOUT
 
-    def attach(self, call):
-        """Remember the engine call, so that a cancel can break it off.
+    def attach(self, response):
+        """Store the engine's response, so that a cancel can shut it down.
 
         Parameters
         ----------
-        call : object
-            With a ``shutdown`` method.
+        response : object
+            Response with a ``shutdown`` method.
         """
         with self._lock:
-            self._call = call
+            self._response = response
             cancelled = self.cancelled.is_set()
         if cancelled:
-            _shut_down(call)
+            _shut_down(response)
 
     def cancel(self):
-        """Break the engine call off, if there is one."""
+        """Cancel the request and shut the engine's response down, if there is one."""
         with self._lock:
             self.cancelled.set()
-            call = self._call
-        if call is not None:
-            _shut_down(call)
+            response = self._response
+        if response is not None:
+            _shut_down(response)
 
 
-def _shut_down(call):
+def _shut_down(response):
     try:
-        call.shutdown()
+        response.shutdown()
     except (RuntimeError, OSError):
-        # The answer was read to its end meanwhile; there is nothing to break off.
+        # The response has already been read to its end.
         return
--- a/hawthornspoke/agent/_wanted.py
+++ b/hawthornspoke/agent/_wanted.py
@@ -1,4 +1,4 @@
-"""From the document in force to what one host has to hold."""
+"""Weights that the active document requires on one host."""
 
 from hawthornspoke.deployment import Declared
 
@@ -6,7 +6,7 @@
 
 
 def declared_items(services):
-    """Return the weights that a host's services need, bases first.
+    """Return the weights that a host's services need, base before adapters.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
 
 
 def transfer_options(document):
-    """Return the declared ways of a transfer.
+    """Return the transfer options that the document declares.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
     Returns
     -------
     dict
-        Arguments of :class:`hawthornspoke.swarm.Want`.
+        Keyword arguments of :class:`hawthornspoke.swarm.Want`.
     """
     rollout = document["rollout"]
     return {
--- a/hawthornspoke/protocol/_server.py
+++ b/hawthornspoke/protocol/_server.py
@@ -87,7 +87,7 @@
         return connection is not None and has_hung_up(connection)
 
     @staticmethod
-    def look_at_caller():
+    def caller_check():
         """Return, inside a handler, a look at its caller for other threads.
 
         Returns
