--- a/hawthornspoke/agent/tests/test_after_a_wait.py
+++ b/hawthornspoke/agent/tests/test_after_a_wait.py
@@ -1,12 +1,9 @@
-"""An agent that stood still starts nothing that nobody waits for any more.
-
-Symptom: an agent that woke ran a request that its entry host had given up seconds
-before; the caller had been told that it had not run.
-Events: the request comes and its sender is still there; the host stands still before
-the engine is called: in the gate, or while a thread starts; the entry host closes
-its connection; the host wakes. Cause: the sender was looked at when the request came,
-and not when the engine was called; and a request whose time was over was given
-50 ms.
+"""An agent that resumes after a stall doesn't run requests that were given up.
+
+Guards against running a request seconds after the entry host closed its connection and
+told the caller that the request had not run. The host stalls between the arrival of the
+request and the call of the engine, in the gate or at the start of a thread. The sender
+was only checked on arrival, and a request past its deadline was given another 50 ms.
 """
 
 import random
@@ -16,7 +13,7 @@
 import pytest
 
 from hawthornspoke.agent._engine_actor import run_request
-from hawthornspoke.agent._engine_ends import EngineEnds
+from hawthornspoke.agent._engine_ends import EngineExits
 from hawthornspoke.agent._engines import ENGINES
 from hawthornspoke.agent._process import _Handler
 from hawthornspoke.agent._runs import Run
@@ -29,17 +26,17 @@
 
 
 class Engine:
-    """An engine that notes what it is asked."""
+    """An HTTP engine that records the paths of its requests."""
 
     def __init__(self, kind):
-        self.seen = []
+        self.requested_paths = []
         port = random.randrange(12000, 15000)
         self._server = HttpServer(address=ADDRESS, port=port, handler=self._answer)
         self._server.open()
         self.driver = ENGINES.get(kind)(url=f"http://{ADDRESS}:{port}")
 
     def _answer(self, request):
-        self.seen.append(request.path)
+        self.requested_paths.append(request.path)
         return Response(headers={"Content-Type": "application/json"}, body=b"{}")
 
     def close(self):
@@ -53,8 +50,8 @@
     item.close()
 
 
-class NoControl:
-    """The control actor of a process that is about to end."""
+class StoppedControl:
+    """Reference to a control actor that has stopped."""
 
     @staticmethod
     def is_alive():
@@ -72,38 +69,38 @@
     )
 
 
-def events_of(run, engine):
-    """Start a run; return the kinds of its events."""
+def run_event_kinds(run, engine):
+    """Run a request and return the kinds of its events."""
     run_request(
         run=run,
         engine=engine.driver,
-        ends=EngineEnds(name="a"),
-        control=NoControl(),
+        exits=EngineExits(name="a"),
+        control=StoppedControl(),
     )
     return [event.kind for event in run.take(0.1)]
 
 
-def test_run_that_is_still_wanted(engine):
+def test_run_before_its_deadline_reaches_the_engine(engine):
     run = Run(submit=submit(), deadline=monotonic() + 5)
-    assert events_of(run, engine)[-1] == EventKind.DONE
-    assert engine.seen == ["/v1/completions"]
+    assert run_event_kinds(run, engine)[-1] == EventKind.DONE
+    assert engine.requested_paths == ["/v1/completions"]
 
 
-def test_run_whose_time_is_over(engine):
+def test_run_past_its_deadline_is_rejected(engine):
     run = Run(submit=submit(), deadline=monotonic() - 1)
-    assert events_of(run, engine)[-1] == EventKind.REFUSED
-    assert engine.seen == []
+    assert run_event_kinds(run, engine)[-1] == EventKind.REFUSED
+    assert engine.requested_paths == []
 
 
-def test_run_that_was_cancelled_before_it_started(engine):
+def test_run_cancelled_before_its_start_is_not_sent(engine):
     run = Run(submit=submit(), deadline=monotonic() + 5)
     run.cancel()
-    events_of(run, engine)
-    assert engine.seen == []
+    run_event_kinds(run, engine)
+    assert engine.requested_paths == []
 
 
 class StallingHandler(_Handler):
-    """Stands still where the gate is asked, then starts the run."""
+    """Stalls before the call of the gate, then starts the run."""
 
     __slots__ = ("engine", "stall", "started")
 
@@ -112,8 +109,8 @@
         run_request(
             run=arguments["run"],
             engine=self.engine,
-            ends=EngineEnds(name="a"),
-            control=NoControl(),
+            exits=EngineExits(name="a"),
+            control=StoppedControl(),
         )
         self.started.set()
         return 0
@@ -122,8 +119,8 @@
         pass
 
 
-def stalled(engine, stall, *, remaining_ms=5000, wait=0.2):
-    """Send a request to an agent that stands still; return what is replied."""
+def submit_to_stalled(engine, stall, *, remaining_ms=5000, wait=0.2):
+    """Send a request to an agent that stalls; return the reply."""
     handler = StallingHandler(
         actor=None, store=None, link_out=None, metrics=Metrics(), serve_slots=1
     )
@@ -141,18 +138,18 @@
     return reply
 
 
-def test_entry_host_that_left_while_the_agent_stood_still(engine):
-    reply = stalled(engine, lambda: time.sleep(0.4))
+def test_entry_host_disconnected_while_the_agent_stalled(engine):
+    reply = submit_to_stalled(engine, lambda: time.sleep(0.4))
     assert reply == REPLY_LOST
-    assert engine.seen == []
+    assert engine.requested_paths == []
 
 
-def test_deadline_that_passed_while_the_host_was_suspended(engine, monkeypatch):
+def test_deadline_passed_while_the_host_was_suspended(engine, monkeypatch):
     real = time.clock_gettime
 
     def suspend():
         monkeypatch.setattr(time, "clock_gettime", lambda clock: real(clock) + 9.0)
 
-    reply = stalled(engine, suspend, wait=2.0)
+    reply = submit_to_stalled(engine, suspend, wait=2.0)
     assert [event.kind for event in reply.events][-1] == EventKind.REFUSED
-    assert engine.seen == []
+    assert engine.requested_paths == []
--- a/hawthornspoke/agent/tests/test_runs.py
+++ b/hawthornspoke/agent/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""Events of a request on their way to the entry host."""
+"""Event queue of a request."""
 
 from hawthornspoke.agent._runs import Run
 from hawthornspoke.base import Failure
@@ -9,18 +9,18 @@
     return Run(submit=Submit(request_id="r"), deadline=0.0)
 
 
-def test_read_without_time_to_wait_and_without_events():
-    """Symptom: a request in its last millisecond ends as "reply lost".
+def test_read_without_timeout_and_without_events_is_empty():
+    """A read without a timeout and without events returns an empty list.
 
-    Events: the entry host reads with no time left to wait; nothing is there yet.
-    Cause: an empty reply that was not empty but held a None.
+    It returned a list with None, so a request in its last millisecond ended as
+    "reply lost".
     """
     run = make_run()
     assert run.take(0) == []
     assert not run.ended
 
 
-def test_events_come_in_order_and_the_last_one_ends_the_run():
+def test_events_keep_their_order_and_the_last_one_ends_the_run():
     run = make_run()
     run.push(Event(kind=EventKind.STARTED))
     run.push(Event(kind=EventKind.DONE))
@@ -28,7 +28,7 @@
     assert run.ended
 
 
-def test_refusal_carries_reason_time_and_live_weights():
+def test_refusal_carries_reason_retry_time_and_live_weights():
     run = make_run()
     run.refuse(Failure(code="busy", reason="full", retry_after=0.25), live="d2")
     (event,) = run.take(0.1)
@@ -40,8 +40,8 @@
     )
 
 
-def test_cancelled_run_takes_no_more_events():
-    """Symptom: a task fills a queue that nobody will read."""
+def test_cancelled_run_rejects_further_events():
+    """A thread must not fill a queue that is never read."""
     run = make_run()
     run.cancel()
     assert run.push(Event(kind=EventKind.STARTED)) is False
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -352,7 +352,7 @@
         file="agent/_engines.py",
         old="        failure = objection() if objection is not None else None\n",
         new="        failure = None\n",
-        test="hawthornspoke/agent/tests/test_after_a_wait.py -k stood_still",
+        test="hawthornspoke/agent/tests/test_after_a_wait.py -k agent_stalled",
     ),
     Mutation(
         name="after a wait: submits are sent unseen",
