--- a/hawthornspoke/node/__init__.py
+++ b/hawthornspoke/node/__init__.py
@@ -1,20 +1,20 @@
-"""What entry and agent processes share: control actor, gossip, platform reads."""
+"""Common base of entry and agent processes: control actor, gossip, platform reads."""
 
 from hawthornspoke.node._control import ControlActor
 from hawthornspoke.node._core import NodeCore
 from hawthornspoke.node._handler import NodeHandler
 from hawthornspoke.node._messages import (
     Call,
-    DatagramArrived,
-    DocumentArrived,
-    DrainOrdered,
-    DumpAsked,
-    FetchDocumentNow,
+    DatagramReceived,
+    DocumentFetched,
+    DocumentFetchRequested,
+    DrainRequested,
+    DumpRequested,
     HostsRead,
     ReadHosts,
     ReadTable,
     TableRowRead,
-    TimePassed,
+    TimerTick,
 )
 from hawthornspoke.node._operator import OperatorServer
 from hawthornspoke.node._platform_actor import (
@@ -23,17 +23,17 @@
     connect_platform,
 )
 from hawthornspoke.node._process import NodeProcess
-from hawthornspoke.node._pumps import DatagramPump, Ticker
+from hawthornspoke.node._pumps import DatagramReceiver, Ticker
 
 __all__ = [
     "Call",
     "ControlActor",
-    "DatagramArrived",
-    "DatagramPump",
-    "DocumentArrived",
-    "DrainOrdered",
-    "DumpAsked",
-    "FetchDocumentNow",
+    "DatagramReceived",
+    "DatagramReceiver",
+    "DocumentFetched",
+    "DrainRequested",
+    "DumpRequested",
+    "DocumentFetchRequested",
     "HostsRead",
     "NodeCore",
     "NodeHandler",
@@ -45,6 +45,6 @@
     "ReadTable",
     "TableRowRead",
     "Ticker",
-    "TimePassed",
+    "TimerTick",
     "connect_platform",
 ]
--- a/hawthornspoke/node/_control.py
+++ b/hawthornspoke/node/_control.py
@@ -1,4 +1,4 @@
-"""The actor that owns a node's state."""
+"""Actor that owns the state of a node."""
 
 import os
 
@@ -10,35 +10,35 @@
 from hawthornspoke.node._core import NodeCore
 from hawthornspoke.node._messages import (
     Call,
-    DatagramArrived,
-    DocumentArrived,
-    DrainOrdered,
-    DumpAsked,
-    FetchDocumentNow,
+    DatagramReceived,
+    DocumentFetched,
+    DocumentFetchRequested,
+    DrainRequested,
+    DumpRequested,
     HostsRead,
     ReadHosts,
     ReadTable,
     TableRowRead,
-    TimePassed,
+    TimerTick,
 )
 from hawthornspoke.node._platform_actor import PlatformActor, connect_platform
 from hawthornspoke.protocol import PROTOCOL_VERSION, Status
 from hawthornspoke.revision import FetchDocument, InForce
 
-#: Part of an interval by which it is varied, so that nodes started together
-#: don't read the table together for ever.
-JITTER = 0.1
+#: Fraction of an interval by which it varies, so that nodes started together don't
+#: keep reading the table at the same time.
+JITTER_FRACTION = 0.1
 
-#: Seconds between two looks at all members' deadlines. Each looks at every node
-#: of the failure domain, and a timeout of seconds needs no finer clock.
-MEMBERSHIP_EVERY = 0.3
+#: Seconds between checks of the members' deadlines. Each check visits every node of
+#: the failure domain, and timeouts of several seconds need no finer resolution.
+MEMBERSHIP_INTERVAL = 0.3
 
-#: Exit code of a process whose state broke an invariant (EX_SOFTWARE).
-EXIT_BROKEN = 70
+#: Exit code of a process whose state violates an invariant (EX_SOFTWARE).
+EXIT_SOFTWARE_ERROR = 70
 
 
 class ControlActor(pykka.ThreadingActor):
-    """Owns membership and revision; subclasses add their role's state.
+    """Owns membership and revision; subclasses add the state of their role.
 
     Parameters
     ----------
@@ -62,104 +62,110 @@
         self.leaving = False
         self.membership_deadline = 0.0
         self.platform = None
-        self.documents = None
-        # One read of each kind at a time: while the platform is slow, asking
-        # again and again would queue reads that are all stale when they end.
+        self.document_reader = None
+        # One read of each kind at a time: while the platform is slow, repeated
+        # requests would queue reads whose results are stale when they complete.
         self.reading_table = False
-        # On the clock that goes on while the host is suspended.
-        self.table_asked_at = float("-inf")
+        # On the boot-time clock, which includes time in suspension.
+        self.table_requested_at = float("-inf")
         self.reading_hosts = False
         self.reading_document = False
 
     def on_start(self):
-        """Start the actors that wait for the platform."""
+        """Start the actors that make blocking calls to the platform."""
         clients = connect_platform(self.settings.platform)
         self.platform = PlatformActor.start(clients=clients, control=self.actor_ref)
-        self.documents = PlatformActor.start(clients=clients, control=self.actor_ref)
+        self.document_reader = PlatformActor.start(
+            clients=clients, control=self.actor_ref
+        )
 
     def on_failure(self, exception_type, exception_value, traceback):
-        """End the process: an exception here is a broken invariant.
+        """Exit the process: an exception here is a violated invariant.
 
-        Going on with half a state would answer callers by it, and a process
-        whose control actor is gone looks alive to its supervisor. Ended, it is
-        started anew within seconds.
+        Continuing would serve callers from an inconsistent state, and a process
+        without its control actor looks alive to its supervisor. After an exit the
+        supervisor restarts it within seconds.
         """
         details = (exception_type, exception_value, traceback)
-        logger.opt(exception=details).critical("control actor failed")
-        os._exit(EXIT_BROKEN)
+        logger.opt(exception=details).critical(
+            "unhandled exception in the control actor; exiting"
+        )
+        os._exit(EXIT_SOFTWARE_ERROR)
 
     def on_receive(self, message):
-        """Take one message."""
+        """Dispatch one message."""
         now = monotonic()
-        if isinstance(message, TimePassed):
-            return self._on_time(now)
-        if isinstance(message, DatagramArrived):
+        if isinstance(message, TimerTick):
+            return self._on_tick(now)
+        if isinstance(message, DatagramReceived):
             return self._on_datagram(message, now)
         if isinstance(message, Call):
             return getattr(self, message.method)(now=now, **message.arguments)
-        return self._on_rare(message, now)
+        return self._on_other_message(message, now)
 
-    def _on_rare(self, message, now):
+    def _on_other_message(self, message, now):
         if isinstance(message, TableRowRead):
             self.reading_table = False
-            interval = self._vary(self.core.poll_interval())
+            interval = self._jittered(self.core.poll_interval())
             self.core.table_deadline = now + interval
-            taken = self.core.take_table_row(
-                message.row, contact_asked_at=self.table_asked_at, now=now
+            row_outcomes = self.core.apply_table_row(
+                message.row, contact_asked_at=self.table_requested_at, now=now
             )
-            self._act(taken, now)
+            self._process_outcomes(row_outcomes, now)
         elif isinstance(message, HostsRead):
             self.reading_hosts = False
-            every = self.settings.platform["hosts_every"]
-            self.core.hosts_deadline = now + self._vary(every)
-            self._act(self.core.take_hosts(message.entries, now=now), now)
+            hosts_interval = self.settings.platform["hosts_every"]
+            self.core.hosts_deadline = now + self._jittered(hosts_interval)
+            self._process_outcomes(
+                self.core.apply_host_list(message.entries, now=now), now
+            )
             self.hosts_changed(now=now)
-        elif isinstance(message, DocumentArrived):
+        elif isinstance(message, DocumentFetched):
             self.reading_document = False
-            self._act(self.core.take_document(message, now=now), now)
-        elif isinstance(message, DrainOrdered):
+            self._process_outcomes(self.core.accept_document(message, now=now), now)
+        elif isinstance(message, DrainRequested):
             self.drain(message.reason, now=now)
-        elif isinstance(message, DumpAsked):
+        elif isinstance(message, DumpRequested):
             return self.dump(now=now)
         else:
             return self.on_role_message(message, now=now)
         return None
 
-    # What a role adds.
+    # Hooks for subclasses.
 
     def on_role_message(self, message, *, now):
-        """Take a message that only this role knows."""
+        """Handle a message that is specific to this role."""
 
     def on_announce(self, announce, *, now):
-        """Take a chunk announcement."""
+        """Handle a chunk announcement."""
 
     def put_in_force(self, document, *, now):
-        """Act on a new document."""
+        """Apply a document that has become active."""
 
     def hosts_changed(self, *, now):
-        """Act on a newly read host list."""
+        """React to a new host list."""
 
     def member_changed(self, change, *, now):
-        """Act on a node's new status."""
+        """React to a changed member status."""
 
     def role_tick(self, *, now):
-        """Do what is due in this role."""
+        """Run the periodic work of this role."""
 
     def send_heartbeat(self, *, now):
-        """Send this node's state to those who need it."""
+        """Send this node's state to the nodes that need it."""
 
     def answer_heartbeat(self, gossip, source, *, now):
-        """Answer a heartbeat that wants a reply."""
+        """Reply to a heartbeat that requests it."""
 
     def drain(self, reason, *, now):
-        """Take no new work from now on."""
+        """Reject new work from now on."""
         if not self.leaving:
-            logger.info("leaving: {}", reason)
+            logger.info("draining: {}", reason)
         self.leaving = True
         self.core.heartbeat_deadline = now
 
     def dump(self, *, now):
-        """Return the whole state as plain data."""
+        """Return the state as JSON-serializable data."""
         return {
             **self.core.dump(now=now),
             "leaving": self.leaving,
@@ -170,13 +176,13 @@
         }
 
     def document_bytes(self, digest, *, now):
-        """Return the packed document in force if it has this digest."""
+        """Return the packed active document if it has this digest, otherwise None."""
         if self.core.holder.digest == digest:
             return self.core.document_data
         return None
 
     def status(self, *, now):
-        """Return what an operator is told of this node."""
+        """Return the status of this node for operators."""
         return Status(
             version=PROTOCOL_VERSION,
             revision=self.core.holder.heard_revision,
@@ -188,21 +194,23 @@
         )
 
     def own_member(self, *, now):
-        """Return this node's state as it is gossiped."""
+        """Return this node's state for gossip messages."""
         raise NotImplementedError
 
     def problems(self):
-        """Return what keeps this node from its declared state, by key."""
+        """Return the reasons why declared state is not reached, by key."""
         return {}
 
     def revision_seen(self, *, now):
-        """Return the highest revision that this node has heard of."""
+        """Return the highest revision known to this node."""
         return self.core.holder.heard_revision
 
     def hear_revision(self, revision, *, now):
-        """Take the revision of a message between processes."""
+        """Handle a revision carried by a message of another process."""
         if revision and revision > self.core.holder.heard_revision:
-            self._act(self.core.hear_revision(revision, "", "", now=now), now)
+            self._process_outcomes(
+                self.core.hear_revision(revision, "", "", now=now), now
+            )
 
     # Shared handling.
 
@@ -213,41 +221,41 @@
         gossip = datagram.gossip
         if gossip is None:
             return
-        self._act(self.core.hear(gossip, now=now), now)
+        self._process_outcomes(self.core.apply_gossip(gossip, now=now), now)
         if gossip.reply_wanted and gossip.sender is not None:
             self.answer_heartbeat(gossip, message.source, now=now)
 
-    def _on_time(self, now):
+    def _on_tick(self, now):
         core = self.core
         if now >= self.membership_deadline:
-            self.membership_deadline = now + MEMBERSHIP_EVERY
-            self._act(core.tick(now=now), now)
+            self.membership_deadline = now + MEMBERSHIP_INTERVAL
+            self._process_outcomes(core.tick(now=now), now)
         if now >= core.table_deadline and not self.reading_table:
             self.reading_table = True
-            self.table_asked_at = contact_clock()
+            self.table_requested_at = contact_clock()
             self.platform.tell(ReadTable())
         if now >= core.hosts_deadline and not self.reading_hosts:
             self.reading_hosts = True
             self.platform.tell(ReadHosts())
-        wanted = core.due_document(now=now)
-        if wanted is not None:
-            self._fetch(wanted, now)
+        due_fetch = core.next_document_fetch(now=now)
+        if due_fetch is not None:
+            self._fetch(due_fetch, now)
         if now >= core.heartbeat_deadline:
             core.heartbeat_deadline = now + self.settings["heartbeat_every"]
-            # A node that has just become a poller must not wait out the long
-            # interval that it had before.
-            soon = now + core.poll_interval()
-            core.table_deadline = min(core.table_deadline, soon)
+            # A node that has just become a poller must not wait for the end of its
+            # previous, longer interval.
+            next_poll = now + core.poll_interval()
+            core.table_deadline = min(core.table_deadline, next_poll)
             self.seq += 1
             self.send_heartbeat(now=now)
         self.role_tick(now=now)
 
-    def _act(self, outcomes, now):
+    def _process_outcomes(self, outcomes, now):
         for outcome in outcomes:
             if isinstance(outcome, FetchDocument):
                 self._fetch(outcome, now)
             elif isinstance(outcome, InForce):
-                self._in_force(outcome, now)
+                self._activate(outcome, now)
             elif isinstance(outcome, MemberChanged):
                 logger.info(
                     "node {}: {} -> {}", outcome.node, outcome.before, outcome.after
@@ -260,15 +268,17 @@
             return
         self.reading_document = True
         address, port = self.core.document_source(fetch, now=now)
-        message = FetchDocumentNow(digest=fetch.digest, address=address, port=port)
-        self.documents.tell(message)
+        message = DocumentFetchRequested(
+            digest=fetch.digest, address=address, port=port
+        )
+        self.document_reader.tell(message)
 
-    def _in_force(self, outcome, now):
-        logger.info("revision {} in force", outcome.revision)
+    def _activate(self, outcome, now):
+        logger.info("revision {} is active", outcome.revision)
         self.metrics.count("revisions_in_force_total")
         self.put_in_force(outcome.document, now=now)
-        # Tell the neighbours now instead of at the next heartbeat.
+        # Send a heartbeat immediately, so that other nodes learn the revision.
         self.core.heartbeat_deadline = now
 
-    def _vary(self, seconds):
-        return seconds * (1 + JITTER * (self.core.rng.random() - 0.5))
+    def _jittered(self, seconds):
+        return seconds * (1 + JITTER_FRACTION * (self.core.rng.random() - 0.5))
--- a/hawthornspoke/node/_core.py
+++ b/hawthornspoke/node/_core.py
@@ -1,4 +1,4 @@
-"""State and decisions that entry and agent have in common."""
+"""State and decisions common to entry hosts and agents."""
 
 import random
 
@@ -15,21 +15,21 @@
 from hawthornspoke.store import NOT_FOUND
 
 #: Entry hosts of a failure domain that read the table at the short interval.
-POLLERS = 2
+POLLER_COUNT = 2
 
-#: Seconds after a read of the table at which a node that leaves it to others may
-#: read it again because of a request that it can't judge: as often as a poller.
-HASTENED_EVERY = 1.0
+#: Minimum seconds between reads of the table by a node that is not a poller, if it
+#: reads early because of a request that it can't decide. The same as for a poller.
+EARLY_READ_INTERVAL = 1.0
 
-#: Seconds between two tries to get a document that is known of.
-FETCH_EVERY = 0.5
+#: Seconds between attempts to fetch a known document.
+FETCH_RETRY_INTERVAL = 0.5
 
 DEAD = "dead"
 SUSPECT = "suspect"
 
 
 class NodeCore:
-    """Membership, revision and the times at which things are due.
+    """Membership, revision and the deadlines of periodic work.
 
     Parameters
     ----------
@@ -73,8 +73,8 @@
         self.table_failures = 0
         self.host_entries = []
 
-    def hear(self, gossip, *, now):
-        """Take a gossip datagram.
+    def apply_gossip(self, gossip, *, now):
+        """Apply a gossip datagram.
 
         Parameters
         ----------
@@ -89,12 +89,12 @@
         outcomes = []
         sender = gossip.sender
         if sender is not None:
-            heard = MemberHeard(member=sender)
-            outcomes += self.membership.step(heard, now=now)
+            update = MemberHeard(member=sender)
+            outcomes += self.membership.step(update, now=now)
         for member in gossip.members or ():
             age = (member.age_ms or 0) / 1000
-            heard = MemberHeard(member=member, age=age)
-            outcomes += self.membership.step(heard, now=now)
+            update = MemberHeard(member=member, age=age)
+            outcomes += self.membership.step(update, now=now)
         if gossip.revision:
             source = sender.node if sender is not None else ""
             outcomes += self.hear_revision(
@@ -103,7 +103,7 @@
         return outcomes
 
     def hear_revision(self, revision, digest, source, *, now):
-        """Take a revision named in any message.
+        """Handle a revision number carried by any message.
 
         Parameters
         ----------
@@ -117,15 +117,15 @@
         list of FetchDocument
         """
         if revision > self.holder.heard_revision and not digest:
-            # The message had no room for the document's digest: look it up.
+            # The message carries no digest of the document: read it from the table.
             self.table_deadline = min(self.table_deadline, now)
-        heard = Heard(revision=revision, digest=digest, source=source)
-        return self.holder.step(heard, now=now)
+        update = Heard(revision=revision, digest=digest, source=source)
+        return self.holder.step(update, now=now)
 
     def hasten_table(self, *, now):
-        """Read the table soon, but not more often than the pollers do.
+        """Schedule an early read of the table, at most as often as a poller.
 
-        A node that leaves the table to others knows its age by no other means.
+        A node that is not a poller has no other way to learn the age of the table.
 
         Parameters
         ----------
@@ -133,18 +133,18 @@
         """
         earliest = now
         if self.table_read_at is not None:
-            earliest = max(now, self.table_read_at + HASTENED_EVERY)
+            earliest = max(now, self.table_read_at + EARLY_READ_INTERVAL)
         self.table_deadline = min(self.table_deadline, earliest)
 
-    def take_table_row(self, row, *, contact_asked_at, now):
-        """Take the configuration's row, or a failure to read it.
+    def apply_table_row(self, row, *, contact_asked_at, now):
+        """Apply the configuration row, or a failure to read it.
 
         Parameters
         ----------
         row : dict or Failure
         contact_asked_at : float
-            When it was asked for, on the clock that goes on while the host is
-            suspended.
+            Time of the read request on the boot-time clock, which includes time in
+            suspension.
         now : float
 
         Returns
@@ -166,8 +166,8 @@
         )
         return self.holder.step(read, now=now)
 
-    def take_hosts(self, entries, *, now):
-        """Take the host list, or a failure to read it.
+    def apply_host_list(self, entries, *, now):
+        """Apply the host list, or a failure to read it.
 
         Parameters
         ----------
@@ -183,12 +183,12 @@
         self.host_entries = entries
         return self.membership.step(HostListed(entries=entries), now=now)
 
-    def take_document(self, message, *, now):
-        """Take a document that arrived.
+    def accept_document(self, message, *, now):
+        """Process a fetched document.
 
         Parameters
         ----------
-        message : DocumentArrived
+        message : DocumentFetched
         now : float
 
         Returns
@@ -202,7 +202,7 @@
         return outcomes
 
     def tick(self, *, now):
-        """Compare membership's deadlines with the time.
+        """Check the deadlines of all members.
 
         Parameters
         ----------
@@ -214,8 +214,8 @@
         """
         return self.membership.step(Tick(), now=now)
 
-    def due_document(self, *, now):
-        """Return a document that is known of and due to be tried again.
+    def next_document_fetch(self, *, now):
+        """Return the fetch of a known document if its next attempt is due.
 
         Parameters
         ----------
@@ -230,7 +230,7 @@
         return self.holder.wanted()
 
     def document_source(self, fetch, *, now):
-        """Return the address of the peer that may have a document.
+        """Return the address of a peer that may hold a document.
 
         Parameters
         ----------
@@ -240,29 +240,29 @@
         Returns
         -------
         tuple of (str, int)
-            An empty address to read the object store.
+            Address and port; an empty address means the object store.
         """
-        self.fetch_deadline = now + FETCH_EVERY
+        self.fetch_deadline = now + FETCH_RETRY_INTERVAL
         view = self.membership.by_id.get(fetch.source)
         if view is None:
             entries = self.membership.nodes(role="entry")
-            known = [
+            candidates = [
                 item
                 for item in entries
                 if item.member is not None
                 and (item.member.revision or 0) >= fetch.revision
             ]
-            view = self.rng.choice(known) if known else None
+            view = self.rng.choice(candidates) if candidates else None
         return ("", 0) if view is None else (view.address, view.port)
 
     def poll_interval(self):
-        """Return the seconds between this node's reads of the table.
+        """Return the interval between this node's reads of the table.
 
         Returns
         -------
         float
-            Short for the few entry hosts of the failure domain that read for
-            all others, and for a node that hears no entry host at all.
+            Seconds. Short for the pollers of the failure domain and for an agent that
+            knows no entry host in it.
         """
         platform = self.settings.platform
         names = [
@@ -274,13 +274,13 @@
             names.append(self.settings["node"])
         elif names:
             return platform["idle_poll_every"]
-        order = rendezvous_order(key="poll", nodes=names)[:POLLERS]
-        if self.role == "agent" or self.settings["node"] in order:
+        pollers = rendezvous_order(key="poll", nodes=names)[:POLLER_COUNT]
+        if self.role == "agent" or self.settings["node"] in pollers:
             return platform["poll_every"]
         return platform["idle_poll_every"]
 
     def reachable_entries(self):
-        """Return the entry hosts that are not known to be silent or leaving.
+        """Return the entry hosts that are neither suspect, dead nor leaving.
 
         Returns
         -------
@@ -316,7 +316,7 @@
         return Datagram(gossip=gossip)
 
     def dump(self, *, now):
-        """Return the state as plain data.
+        """Return the state as JSON-serializable data.
 
         Parameters
         ----------
--- a/hawthornspoke/node/_handler.py
+++ b/hawthornspoke/node/_handler.py
@@ -1,15 +1,15 @@
-"""The part of the Thrift service that entry and agent have in common."""
+"""Thrift handler methods common to entry hosts and agents."""
 
 import json
 
-from hawthornspoke.node._messages import Call, DrainOrdered, DumpAsked
+from hawthornspoke.node._messages import Call, DrainRequested, DumpRequested
 from hawthornspoke.protocol import PROTOCOL_VERSION, Document, DrainReply
 
-ASK_SECONDS = 5.0
+ACTOR_TIMEOUT = 5.0
 
 
 class NodeHandler:
-    """Answers documents, status, dump and drain of a node.
+    """Handles the calls document, status, dump and drain.
 
     Parameters
     ----------
@@ -23,7 +23,7 @@
         self.actor = actor
 
     def document(self, digest):
-        """Return the document in force, if it is the one asked for."""
+        """Return the active document, without data if its digest differs."""
         data = self.ask("document_bytes", digest=digest)
         revision = self.ask("revision_seen")
         return Document(
@@ -31,28 +31,28 @@
         )
 
     def status(self):
-        """Return what an operator is told of this node."""
+        """Return the status of this node for operators."""
         return self.ask("status")
 
     def dump(self):
-        """Return the whole state as JSON."""
-        state = self.actor.ask(DumpAsked(), timeout=ASK_SECONDS)
+        """Return the state as JSON."""
+        state = self.actor.ask(DumpRequested(), timeout=ACTOR_TIMEOUT)
         return json.dumps(state, indent=2, sort_keys=True)
 
     def drain(self, reason):
-        """Take no new work from now on."""
-        self.actor.tell(DrainOrdered(reason=reason))
+        """Reject new work from now on."""
+        self.actor.tell(DrainRequested(reason=reason))
         return DrainReply(version=PROTOCOL_VERSION, running=self.running())
 
     def running(self):
-        """Return how many requests are in progress here."""
+        """Return the number of requests in progress."""
         raise NotImplementedError
 
     def ask(self, method, **arguments):
-        """Call a method of the control actor and wait for its answer."""
+        """Call a method of the control actor and return its result."""
         call = Call(method=method, arguments=arguments)
-        return self.actor.ask(call, timeout=ASK_SECONDS)
+        return self.actor.ask(call, timeout=ACTOR_TIMEOUT)
 
     def tell(self, method, **arguments):
-        """Call a method of the control actor without waiting."""
+        """Call a method of the control actor without waiting for its result."""
         self.actor.tell(Call(method=method, arguments=arguments))
--- a/hawthornspoke/node/_messages.py
+++ b/hawthornspoke/node/_messages.py
@@ -4,13 +4,13 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class TimePassed:
-    """Sent by the ticker."""
+class TimerTick:
+    """Periodic message of the ticker."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class DatagramArrived:
-    """A datagram from another node.
+class DatagramReceived:
+    """A datagram received from another node.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReadTable:
-    """Read the row of the configuration."""
+    """Read the configuration row of the table."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -33,8 +33,8 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class FetchDocumentNow:
-    """Get a document, from a peer if there is an address.
+class DocumentFetchRequested:
+    """Fetch a document, from a peer if an address is given.
 
     Parameters
     ----------
@@ -51,21 +51,21 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class TableRowRead:
-    """The configuration's row, or a failure."""
+    """Result of ``ReadTable``: the configuration row or a Failure."""
 
     row: object
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class HostsRead:
-    """The host list, or a failure."""
+    """Result of ``ReadHosts``: the host list or a Failure."""
 
     entries: object
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class DocumentArrived:
-    """A document, checked against its digest.
+class DocumentFetched:
+    """A document verified against its digest; None if it was not found.
 
     Parameters
     ----------
@@ -80,8 +80,8 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class DrainOrdered:
-    """The node is to take no new work.
+class DrainRequested:
+    """The node has to stop accepting work.
 
     Parameters
     ----------
@@ -92,13 +92,13 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class DumpAsked:
-    """Answer with the whole state as plain data."""
+class DumpRequested:
+    """Request for the state as JSON-serializable data."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Call:
-    """Run a method of the control actor on its own thread and answer its result.
+    """Call a method of the control actor on the actor's thread.
 
     Parameters
     ----------
--- a/hawthornspoke/node/_operator.py
+++ b/hawthornspoke/node/_operator.py
@@ -1,18 +1,18 @@
-"""The operator address of each process: health, metrics, state dump, drain."""
+"""HTTP server for operators: health, metrics, state dump and drain."""
 
 import json
 
 import pykka
 
 from hawthornspoke.base import PARTITION
-from hawthornspoke.node._messages import DrainOrdered, DumpAsked
+from hawthornspoke.node._messages import DrainRequested, DumpRequested
 from hawthornspoke.web import HttpServer, Response, json_response
 
-ASK_SECONDS = 5.0
+ACTOR_TIMEOUT = 5.0
 
 
 class OperatorServer:
-    """Answers operators about one process.
+    """Serves the operator endpoints of one process.
 
     Parameters
     ----------
@@ -21,9 +21,9 @@
     control : pykka.ActorRef
     metrics : Metrics
     is_ready : callable
-        Takes nothing, returns a bool.
+        Called without arguments, returns a bool.
     allow_faults : bool, default=False
-        Whether a test may cut this process off from addresses.
+        Whether tests may block connections to given addresses.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
         )
 
     def open(self):
-        """Start to serve."""
+        """Start serving."""
         self._server.open()
 
     def close(self):
@@ -69,7 +69,7 @@
         if request.path == "/dump":
             return self._dump()
         if request.path == "/drain" and request.method == "POST":
-            self.control.tell(DrainOrdered(reason="ordered by an operator"))
+            self.control.tell(DrainRequested(reason="ordered by an operator"))
             return json_response({"leaving": True}, status=202)
         if request.path == "/_partition" and self.allow_faults:
             PARTITION.set(request.json())
@@ -78,7 +78,7 @@
 
     def _dump(self):
         try:
-            state = self.control.ask(DumpAsked(), timeout=ASK_SECONDS)
+            state = self.control.ask(DumpRequested(), timeout=ACTOR_TIMEOUT)
         except pykka.Timeout:
             return json_response({"error": {"code": "busy"}}, status=503)
         body = json.dumps(state, indent=2, sort_keys=True).encode()
--- a/hawthornspoke/node/_platform_actor.py
+++ b/hawthornspoke/node/_platform_actor.py
@@ -1,12 +1,12 @@
-"""The actor that waits for the platform so that nobody else has to."""
+"""Actor that makes the blocking calls to the platform."""
 
 import pykka
 
 from hawthornspoke.base import is_failure, monotonic
 from hawthornspoke.config import unpack_document
 from hawthornspoke.node._messages import (
-    DocumentArrived,
-    FetchDocumentNow,
+    DocumentFetched,
+    DocumentFetchRequested,
     HostsRead,
     ReadHosts,
     ReadTable,
@@ -28,7 +28,7 @@
 
 
 class PlatformClients:
-    """Clients of the platform's parts, for one task.
+    """Clients of the platform's services, for use by one thread.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
 
 
 def connect_platform(platform):
-    """Return clients by the settings of the platform.
+    """Return clients for the platform described by the settings.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
 
 
 class PlatformActor(pykka.ThreadingActor):
-    """Reads row, host list and documents, and tells the control actor.
+    """Reads configuration row, host list and documents for the control actor.
 
     Parameters
     ----------
@@ -81,9 +81,9 @@
 
     Notes
     -----
-    The platform can be slow for long; these reads block this actor only. There
-    is one for the table and host list and one for documents, so that a slow
-    table doesn't hold up a document that a peer has.
+    The platform may be slow for a long time; reads block this actor only. One actor
+    reads the table and the host list and another one the documents, so that a slow
+    table doesn't delay fetching a document from a peer.
     """
 
     use_daemon_thread = True
@@ -94,26 +94,26 @@
         self.control = control
 
     def on_receive(self, message):
-        """Do one read."""
+        """Execute one read and send its result to the control actor."""
         if isinstance(message, ReadTable):
             row = self.clients.table.get(CONFIG_KEY)
             self._tell(TableRowRead(row=row))
         elif isinstance(message, ReadHosts):
             self._tell(HostsRead(entries=self.clients.hosts.read()))
-        elif isinstance(message, FetchDocumentNow):
+        elif isinstance(message, DocumentFetchRequested):
             self._tell(self._fetch(message))
 
     def _fetch(self, message):
-        data = self._from_peer(message) if message.address else None
-        document = _unpacked(data, message.digest)
+        data = self._fetch_from_peer(message) if message.address else None
+        document = _unpack_verified(data, message.digest)
         if document is None:
             data = self.clients.objects.get(DOCUMENT_PREFIX + message.digest)
-            document = _unpacked(data, message.digest)
+            document = _unpack_verified(data, message.digest)
         if document is None:
             data = None
-        return DocumentArrived(digest=message.digest, data=data, document=document)
+        return DocumentFetched(digest=message.digest, data=data, document=document)
 
-    def _from_peer(self, message):
+    def _fetch_from_peer(self, message):
         connection = Connection(address=message.address, port=message.port)
         reply = connection.call(
             "document", message.digest, deadline=monotonic() + PEER_TIMEOUT
@@ -126,7 +126,7 @@
             self.control.tell(message)
 
 
-def _unpacked(data, digest):
+def _unpack_verified(data, digest):
     if not isinstance(data, bytes):
         return None
     document = unpack_document(data, digest=digest)
--- a/hawthornspoke/node/_process.py
+++ b/hawthornspoke/node/_process.py
@@ -1,4 +1,4 @@
-"""The parts that entry and agent processes have in common, put together."""
+"""Common lifecycle of entry and agent processes."""
 
 import json
 import signal
@@ -10,17 +10,17 @@
 
 from hawthornspoke.base import monotonic
 from hawthornspoke.metrics import Metrics
-from hawthornspoke.node._messages import Call, DrainOrdered, DumpAsked
+from hawthornspoke.node._messages import Call, DrainRequested, DumpRequested
 from hawthornspoke.node._operator import OperatorServer
-from hawthornspoke.node._pumps import DatagramPump, Ticker
+from hawthornspoke.node._pumps import DatagramReceiver, Ticker
 from hawthornspoke.protocol import DatagramSocket, RpcServer
 
-POLL_SECONDS = 0.05
-ASK_SECONDS = 5.0
+IDLE_CHECK_INTERVAL = 0.05
+ACTOR_TIMEOUT = 5.0
 
 
 class NodeProcess:
-    """A process of one role; subclasses add the role's own parts.
+    """Process of one role; subclasses add the components of the role.
 
     Parameters
     ----------
@@ -47,20 +47,20 @@
         self._stop = threading.Event()
 
     def start(self):
-        """Open all sockets and start to serve.
+        """Open all sockets and start serving.
 
         Raises
         ------
         OSError
-            If an address is taken. The datagram port is bound first and alone:
-            the kernel keeps it for a paused process too, so that a host's
-            engine never gets orders from two agents.
+            If an address is in use. The datagram port is bound first and
+            exclusively. The kernel keeps it bound for a stopped process too, so
+            that an engine never receives orders of two agents.
         """
         try:
             self._start()
         except OSError:
-            # What is open already has tasks that would keep the process alive
-            # without serving: it would look started to its supervisor.
+            # Threads of the sockets that are already open would keep the process
+            # alive without serving, and its supervisor would consider it started.
             self._close()
             raise
 
@@ -88,32 +88,34 @@
                 allow_faults=settings["allow_faults"],
             )
         )
-        DatagramPump(socket=self.socket, actor=self.actor).start()
+        DatagramReceiver(socket=self.socket, actor=self.actor).start()
         self._ticker = Ticker(actor=self.actor)
         self._ticker.start()
-        logger.info("{} serves on {}", settings["node"], settings["port"])
+        logger.info("{} is listening on port {}", settings["node"], settings["port"])
 
     def stop(self):
-        """Leave gracefully: take no new work, finish what runs, then end.
+        """Shut down gracefully: reject new work and finish running requests.
 
         Notes
         -----
-        A second call while the first waits changes nothing: an operator or a
-        supervisor that signals twice must not cut off requests in progress.
+        Further calls have no effect: a second signal of an operator or a supervisor
+        must not interrupt requests in progress.
         """
         if self._stop.is_set():
             return
         self._stop.set()
-        self.actor.tell(DrainOrdered(reason="shutdown"))
-        # A balancer goes on sending callers until it has seen /readyz fail.
-        settled = monotonic() + self.leave_wait()
-        deadline = settled + self.settings["grace"]
-        while monotonic() < settled or (monotonic() < deadline and not self.is_idle()):
-            threading.Event().wait(POLL_SECONDS)
+        self.actor.tell(DrainRequested(reason="shutdown"))
+        # A load balancer keeps routing requests here until it sees /readyz fail.
+        accept_until = monotonic() + self.leave_wait()
+        deadline = accept_until + self.settings["grace"]
+        while monotonic() < accept_until or (
+            monotonic() < deadline and not self.is_idle()
+        ):
+            threading.Event().wait(IDLE_CHECK_INTERVAL)
         self._close()
 
     def _close(self):
-        """Close what is open, also of a start that failed half-way."""
+        """Close all open resources, also after a start that failed midway."""
         if self.actor is not None:
             self.stop_role()
         for server in self._servers:
@@ -125,17 +127,17 @@
             self.actor.stop()
 
     def run(self):
-        """Serve until SIGTERM or SIGINT, then leave gracefully."""
-        woken = threading.Event()
-        signal.signal(signal.SIGTERM, lambda *_: woken.set())
-        signal.signal(signal.SIGINT, lambda *_: woken.set())
-        signal.signal(signal.SIGUSR1, self._dump_soon)
+        """Serve until SIGTERM or SIGINT, then shut down gracefully."""
+        stop_requested = threading.Event()
+        signal.signal(signal.SIGTERM, lambda *_: stop_requested.set())
+        signal.signal(signal.SIGINT, lambda *_: stop_requested.set())
+        signal.signal(signal.SIGUSR1, self._start_dump)
         self.start()
-        woken.wait()
+        stop_requested.wait()
         self.stop()
 
     def ask(self, method):
-        """Ask the control actor; an actor that does not answer says no.
+        """Call a method of the control actor.
 
         Parameters
         ----------
@@ -144,18 +146,19 @@
         Returns
         -------
         object
+            Result of the method; False if the actor has stopped or the call timed out.
         """
         call = Call(method=method, arguments={})
         try:
-            return self.actor.ask(call, timeout=ASK_SECONDS)
+            return self.actor.ask(call, timeout=ACTOR_TIMEOUT)
         except (pykka.Timeout, pykka.ActorDeadError):
             return False
 
     def is_ready(self):
-        """Tell whether a balancer may send work here."""
+        """Return whether a load balancer may route requests here."""
         return self.ask("is_ready") is True
 
-    # What a role adds.
+    # Hooks for subclasses.
 
     def start_control(self):
         """Start the role's control actor and return it."""
@@ -166,27 +169,27 @@
         raise NotImplementedError
 
     def is_idle(self):
-        """Tell whether nothing is in progress here."""
+        """Return whether no request is in progress."""
         raise NotImplementedError
 
     def role_servers(self):
-        """Return further servers of the role."""
+        """Return additional servers of the role."""
         return []
 
     def leave_wait(self):
-        """Return the seconds for which a leaving process still takes work."""
+        """Return the seconds for which a draining process still accepts work."""
         return 0.0
 
     def stop_role(self):
-        """Stop what only the role has."""
+        """Stop the components of the role."""
 
-    def _dump_soon(self, *_):
-        """Write the state in a task of its own: a signal handler must not wait."""
+    def _start_dump(self, *_):
+        """Write the state from another thread: a signal handler must not block."""
         threading.Thread(target=self._dump, name="dump", daemon=True).start()
 
     def _dump(self):
         try:
-            state = self.actor.ask(DumpAsked(), timeout=ASK_SECONDS)
+            state = self.actor.ask(DumpRequested(), timeout=ACTOR_TIMEOUT)
         except (pykka.Timeout, pykka.ActorDeadError) as error:
             state = {"error": repr(error)}
         print(json.dumps(state, sort_keys=True), file=sys.stderr, flush=True)
--- a/hawthornspoke/node/_pumps.py
+++ b/hawthornspoke/node/_pumps.py
@@ -1,14 +1,14 @@
-"""Tasks that feed the control actor: time and datagrams."""
+"""Threads that send timer ticks and datagrams to the control actor."""
 
 import threading
 
-from hawthornspoke.node._messages import DatagramArrived, TimePassed
+from hawthornspoke.node._messages import DatagramReceived, TimerTick
 
-TICK_SECONDS = 0.1
+TICK_INTERVAL = 0.1
 
 
 class Ticker:
-    """Tells an actor that time passed, ten times a second.
+    """Sends an actor a message ten times a second.
 
     Parameters
     ----------
@@ -22,22 +22,22 @@
         self._stopped = threading.Event()
 
     def start(self):
-        """Start the task."""
+        """Start the thread."""
         threading.Thread(target=self._run, name="ticker", daemon=True).start()
 
     def stop(self):
-        """Stop the task."""
+        """Stop the thread."""
         self._stopped.set()
 
     def _run(self):
-        while not self._stopped.wait(TICK_SECONDS):
+        while not self._stopped.wait(TICK_INTERVAL):
             if not self.actor.is_alive():
                 return
-            self.actor.tell(TimePassed())
+            self.actor.tell(TimerTick())
 
 
-class DatagramPump:
-    """Reads a socket and tells an actor of each datagram.
+class DatagramReceiver:
+    """Receives datagrams from a socket and sends them to an actor.
 
     Parameters
     ----------
@@ -52,7 +52,7 @@
         self.actor = actor
 
     def start(self):
-        """Start the task; it ends when the socket is closed."""
+        """Start the thread; it ends when the socket is closed."""
         threading.Thread(target=self._run, name="datagrams", daemon=True).start()
 
     def _run(self):
@@ -62,4 +62,4 @@
                 return
             datagram, source = received
             if datagram is not None:
-                self.actor.tell(DatagramArrived(datagram=datagram, source=source))
+                self.actor.tell(DatagramReceived(datagram=datagram, source=source))
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -158,7 +158,7 @@
     Mutation(
         name="SIGTERM ends at once",
         file="node/_process.py",
-        old="(monotonic() < deadline and not self.is_idle())",
+        old="monotonic() < deadline and not self.is_idle()",
         new="False",
         test="tests/test_promise_shutdown.py -k entry_host",
     ),
