--- a/hawthornspoke/peering/_connection.py
+++ b/hawthornspoke/peering/_connection.py
@@ -1,7 +1,8 @@
-"""Frames between processes, on the event loop.
+"""Framed Thrift messages between processes, over asyncio.
 
-A frame is a four-byte length and one Thrift struct. The connections are long-lived
-and both sides speak at any time, which a call-and-answer Thrift transport can't do.
+A frame is a four-byte big-endian length and one Thrift struct. Connections are
+long-lived and both sides may send at any time, which the request-response transports of
+Thrift don't support.
 """
 
 import asyncio
@@ -14,21 +15,22 @@
 
 LENGTH = struct.Struct(">I")
 
-#: Bytes of the largest frame: one piece of weights (a few dozen KB at the sizes we
-#: know, up to a megabyte elsewhere) and its fields. A longer one is not ours.
-MOST_BYTES = 4 * 1024 * 1024
+#: Maximum size of a frame in bytes. The largest one holds a piece of weights (a few
+#: dozen KB at known sizes, up to a megabyte elsewhere) and its fields. A longer frame
+#: is not of this protocol.
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 
-#: Bytes that may wait for a slow peer. More means that it reads nothing; its frames
-#: would fill this host's memory.
+#: Maximum number of unsent bytes per peer. A peer with more doesn't read, and its
+#: frames would fill this host's memory.
 MOST_WAITING = 2 * 1024 * 1024
 
-#: Bytes that the system may hold unsent on one connection.
-SEND_BUFFER = 16384
+#: Size of the kernel's send buffer of a connection in bytes.
+SEND_BUFFER_BYTES = 16384
 
 CLOSED = Failure(code="peer_closed")
 
-#: Fields of a frame that ask for an answer.
-QUESTIONS = (
+#: Fields of a frame that request a response.
+REQUEST_FIELDS = (
     "chunk_ask",
     "directive_ask",
     "holdings_ask",
@@ -38,14 +40,14 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection that carries frames both ways.
+    """One connection that carries frames in both directions.
 
     Parameters
     ----------
     on_frame : callable
         Called with the connection and each frame.
     on_closed : callable
-        Called with the connection when it has ended.
+        Called with the connection after it has been closed.
     """
 
     def __init__(self, *, on_frame, on_closed):
@@ -54,40 +56,40 @@
         self.transport = None
         self.address = ""
         self._buffer = bytearray()
-        self._next_call = 0
-        self._waiter_by_call = {}
-        self._is_in_parts = False
-        self._behind = bytearray()
+        self._last_call = 0
+        self._future_by_call = {}
+        self._is_frame_partial = False
+        self._deferred = bytearray()
 
     def connection_made(self, transport):
-        """Take the connection."""
+        """Set the socket options of a new connection."""
         self.transport = transport
         sock = transport.get_extra_info("socket")
         set_socket_options(sock)
-        # What the system holds can't be seen here: a small buffer shows soon that
-        # the peer, or the link, takes no more.
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+        # Bytes in the kernel's buffer are not counted by ``unsent``: with a small
+        # buffer, congestion of the peer or the link shows early.
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         self.address = transport.get_extra_info("peername")[0]
 
     def connection_lost(self, exc):
-        """End all that waits for an answer."""
+        """Fail all pending requests."""
         self.transport = None
-        for waiter in self._waiter_by_call.values():
-            if not waiter.done():
-                waiter.set_result(CLOSED.because(str(exc) if exc else "closed"))
-        self._waiter_by_call = {}
+        for future in self._future_by_call.values():
+            if not future.done():
+                future.set_result(CLOSED.because(str(exc) if exc else "closed"))
+        self._future_by_call = {}
         self.on_closed(self)
 
     def eof_received(self):
-        """Close when the peer does."""
+        """Close the connection when the peer closes it."""
         return False
 
     def data_received(self, data):
-        """Take apart what arrived."""
+        """Split received bytes into frames and dispatch them."""
         self._buffer += data
         while len(self._buffer) >= LENGTH.size:
             (size,) = LENGTH.unpack_from(self._buffer)
-            if size > MOST_BYTES:
+            if size > MAX_FRAME_BYTES:
                 self.close()
                 return
             end = LENGTH.size + size
@@ -99,7 +101,7 @@
             if frame is None:
                 self.close()
                 return
-            self._take(frame)
+            self._dispatch(frame)
 
     def send(self, frame):
         """Send a frame.
@@ -111,17 +113,17 @@
         Returns
         -------
         bool
-            False if the connection is closed, or its peer reads nothing.
+            False if the connection is closed or its peer doesn't read.
         """
         return self.send_encoded(self.encode(frame))
 
     def send_encoded(self, data):
-        """Send a whole frame that is encoded already; see ``send``.
+        """Send a complete frame that is already encoded; see ``send``.
 
         Parameters
         ----------
         data : bytes
-            What ``encode`` returned. One message to many peers is encoded once.
+            Result of ``encode``. A message to many peers is encoded once.
 
         Returns
         -------
@@ -129,51 +131,51 @@
         """
         if not self.is_open:
             return False
-        if self.transport.get_write_buffer_size() + len(self._behind) > MOST_WAITING:
+        if self.transport.get_write_buffer_size() + len(self._deferred) > MOST_WAITING:
             self.close()
             return False
-        if self._is_in_parts:
-            # Between two parts of a frame it would be read as bytes of that one, and
-            # what follows as the length of the next: the connection would end.
-            self._behind += data
+        if self._is_frame_partial:
+            # Written between two parts of a frame, it would be read as bytes of that
+            # frame and the following bytes as a length: the peer would disconnect.
+            self._deferred += data
         else:
             self.transport.write(data)
         return True
 
     @property
     def is_open(self):
-        """Whether bytes can still be written."""
+        """Whether the connection can be written to."""
         return self.transport is not None and not self.transport.is_closing()
 
     def unsent(self):
-        """Return how many bytes have not been handed to the system yet."""
+        """Return the number of bytes not yet passed to the kernel."""
         return self.transport.get_write_buffer_size() if self.transport else 0
 
     @staticmethod
     def encode(frame):
-        """Return a frame as the bytes that are sent for it."""
+        """Return the bytes of a frame, including the length."""
         body = encode(frame)
         return LENGTH.pack(len(body)) + body
 
     def write_part(self, data, *, is_last):
-        """Write a part of an encoded frame; what is sent meanwhile goes behind it.
+        """Write a part of an encoded frame; other frames are deferred until its end.
 
         Parameters
         ----------
         data : bytes-like
         is_last : bool
-            Whether the frame is complete with it.
+            Whether this is the last part of the frame.
         """
         if not self.is_open:
             return
         self.transport.write(data)
-        self._is_in_parts = not is_last
-        if is_last and self._behind:
-            self.transport.write(bytes(self._behind))
-            self._behind.clear()
+        self._is_frame_partial = not is_last
+        if is_last and self._deferred:
+            self.transport.write(bytes(self._deferred))
+            self._deferred.clear()
 
     async def ask(self, frame, *, timeout):
-        """Send a question and wait for its answer.
+        """Send a request and wait for its response.
 
         Parameters
         ----------
@@ -185,42 +187,42 @@
         -------
         Frame or Failure
         """
-        self._next_call += 1
-        frame.call = call = self._next_call
-        waiter = asyncio.get_running_loop().create_future()
-        self._waiter_by_call[call] = waiter
+        self._last_call += 1
+        frame.call = call = self._last_call
+        future = asyncio.get_running_loop().create_future()
+        self._future_by_call[call] = future
         try:
             if not self.send(frame):
                 return CLOSED
             async with asyncio.timeout(timeout):
-                return await waiter
+                return await future
         except TimeoutError:
             return CLOSED.because(f"no answer in {timeout:g} s")
         finally:
-            self._waiter_by_call.pop(call, None)
+            self._future_by_call.pop(call, None)
 
     def close(self):
-        """Close at once."""
+        """Close immediately, discarding unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
-    def _take(self, frame):
-        # Answers carry the negative of their question's number, so that questions
-        # of both sides can cross on one connection.
+    def _dispatch(self, frame):
+        # A response carries the negated number of its request, so that both sides can
+        # number their requests independently.
         if frame.call is not None and frame.call < 0:
-            waiter = self._waiter_by_call.pop(-frame.call, None)
-            if waiter is not None and not waiter.done():
-                waiter.set_result(frame)
+            future = self._future_by_call.pop(-frame.call, None)
+            if future is not None and not future.done():
+                future.set_result(frame)
             return
-        if frame.call is None and _is_question(frame):
-            # Its answer could not be told from others. Making one all the same would
-            # raise, and end the connection with all that waits on it.
+        if frame.call is None and _is_request(frame):
+            # Without a number no response can be matched to the request. Making one
+            # would raise and close the connection with all pending requests.
             return
         self.on_frame(self, frame)
 
 
-def _is_question(frame):
-    return any(getattr(frame, name) is not None for name in QUESTIONS)
+def _is_request(frame):
+    return any(getattr(frame, name) is not None for name in REQUEST_FIELDS)
 
 
 async def connect(address, port, *, on_frame, on_closed, timeout):
@@ -246,13 +248,13 @@
         async with asyncio.timeout(timeout):
             _, connection = await opening
     except (OSError, TimeoutError, ValueError) as error:
-        # ValueError: what should be an address is no name either.
+        # ValueError: the address is neither an IP address nor a host name.
         return CLOSED.because(f"{address}:{port}: {error or type(error).__name__}")
     return connection
 
 
 async def listen(address, port, *, on_frame, on_closed):
-    """Accept peers.
+    """Accept connections of peers.
 
     Parameters
     ----------
--- a/hawthornspoke/peering/_directive.py
+++ b/hawthornspoke/peering/_directive.py
@@ -1,26 +1,27 @@
-"""What entry hosts tell agents."""
+"""Directives, which entry hosts send to agents."""
 
 from hawthornspoke.catalog import FIRST_VERSION
 from hawthornspoke.protocol import Directive, PeerEndpoint
 
 
 def directive(*, engine, version, age, peers, origin, bound, failure_domain=None):
-    """Return what an agent has to know of one model.
+    """Build the directive for one model.
 
     Parameters
     ----------
     engine : EngineProfile
     version : int or None
-        Declared version, None before the first declaration.
+        Declared version, None before the first declaration (``FIRST_VERSION``).
     age : float or None
-        Seconds since the declaration at the most, None if that is unknown.
+        Maximum number of seconds since the declaration, None if unknown.
     peers : iterable of EndpointEntry or None
-        None if another entry host tells of them.
+        None if another entry host sends them.
     origin : str or None
+        Address of the origin.
     bound : float
-        Seconds after a declaration within which it must be in place.
+        Seconds within which a declaration must be applied.
     failure_domain : str or None, default=None
-        Of the sender.
+        Failure domain of the sender.
 
     Returns
     -------
@@ -42,7 +43,7 @@
 
 
 def peer_endpoints(entries):
-    """Return endpoints as agents are told of them.
+    """Convert endpoints to the structs sent to agents.
 
     Parameters
     ----------
@@ -63,12 +64,12 @@
 
 
 def is_usable(directive):
-    """Tell whether an agent can act on a directive.
+    """Return whether a directive has all fields that an agent needs.
 
     Parameters
     ----------
     directive : Directive
-        Without ``peers`` only the version is news.
+        Without ``peers`` only the version is required.
 
     Returns
     -------
--- a/hawthornspoke/peering/tests/test_frames.py
+++ b/hawthornspoke/peering/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames with anything in them: no exception, and the next frame is heard."""
+"""Arbitrary frames raise no exception and don't hide the next frame."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -18,7 +18,7 @@
 
 
 class Transport:
-    """Takes what a connection does."""
+    """Transport that records what a connection writes."""
 
     def __init__(self):
         self.aborted = False
@@ -37,63 +37,67 @@
         self.aborted = True
 
 
-def connection(taken):
-    """Return a connection that hands its frames to a list."""
-    made = PeerConnection(
-        on_frame=lambda link, frame: taken.append(frame), on_closed=lambda link: None
+def make_connection(frames):
+    """Return a connection that appends its frames to a list."""
+    new_connection = PeerConnection(
+        on_frame=lambda connection, frame: frames.append(frame),
+        on_closed=lambda connection: None,
     )
-    made.transport = Transport()
-    return made
+    new_connection.transport = Transport()
+    return new_connection
 
 
 @EXAMPLES
 @given(st.lists(st.binary(max_size=60), max_size=6))
-def test_any_bytes_are_frames_or_the_end(chunks):
-    link = connection([])
+def test_any_bytes_are_frames_or_close_the_connection(chunks):
+    connection = make_connection([])
     for chunk in chunks:
-        if not link.transport or link.transport.aborted:
+        if not connection.transport or connection.transport.aborted:
             break
-        link.data_received(chunk)
+        connection.data_received(chunk)
 
 
 @EXAMPLES
 @given(structs(Frame), st.integers(0, 400), st.integers(0, 255))
-def test_spoiled_frame_is_a_frame_or_nothing(frame, place, byte):
+def test_corrupted_frame_decodes_to_a_struct_or_none(frame, position, byte):
     data = bytearray(encode(frame))
-    data[place % len(data)] = byte
+    data[position % len(data)] = byte
     for kind in (Frame, Directive, Datagram):
-        found = decode(kind, bytes(data))
-        assert found is None or isinstance(found, kind)
+        decoded = decode(kind, bytes(data))
+        assert decoded is None or isinstance(decoded, kind)
 
 
 @EXAMPLES
 @given(structs(Frame))
 def test_frame_with_any_fields_does_not_hide_the_next(frame):
-    taken = []
-    link = connection(taken)
-    link.data_received(link.encode(frame) + link.encode(Frame(probe=True, call=7)))
-    assert taken[-1].call == 7
+    frames = []
+    connection = make_connection(frames)
+    connection.data_received(
+        connection.encode(frame) + connection.encode(Frame(probe=True, call=7))
+    )
+    assert frames[-1].call == 7
 
 
-def test_list_that_claims_to_be_endless_is_refused():
-    """A host was short of memory after one message of a stranger.
+def test_list_with_too_many_items_is_rejected():
+    """A message that claims a huge list must not exhaust the host's memory.
 
-    Cause: room was made for as many items as the message claimed to have.
+    The decoder allocated as many items as the message claimed to have.
     """
-    for count, is_read in ((50_000, True), (150_000, False)):
+    for count, is_accepted in ((50_000, True), (150_000, False)):
         hosts = EntryHosts(addresses=[""] * count)
-        found = decode(Frame, encode(Frame(entry_hosts=hosts)))
-        assert (found is not None) == is_read
+        decoded = decode(Frame, encode(Frame(entry_hosts=hosts)))
+        assert (decoded is not None) == is_accepted
 
 
-def test_question_that_nobody_can_be_answered_is_passed_over():
-    """A connection broke whenever one peer asked.
+def test_request_without_a_call_number_is_ignored():
+    """A request without a number must not close the connection.
 
-    Events: a question comes without the number that its answer has to carry. Cause:
-    the answer's number was made from nothing.
+    The number of the response was computed from the missing number, which raised.
     """
-    taken = []
-    link = connection(taken)
-    link.data_received(link.encode(Frame(chunk_ask=ChunkAsk(digest="d", index=1))))
-    assert taken == []
-    assert not link.transport.aborted
+    frames = []
+    connection = make_connection(frames)
+    connection.data_received(
+        connection.encode(Frame(chunk_ask=ChunkAsk(digest="d", index=1)))
+    )
+    assert frames == []
+    assert not connection.transport.aborted
