--- a/hawthornspoke/protocol/_codec.py
+++ b/hawthornspoke/protocol/_codec.py
@@ -1,4 +1,4 @@
-"""Thrift structs to bytes and back."""
+"""Encoding and decoding of Thrift structs."""
 
 from thrift.protocol.TCompactProtocol import (
     TCompactProtocolAcceleratedFactory,
@@ -6,27 +6,27 @@
 )
 from thrift.transport.TTransport import TMemoryBuffer
 
-#: Items of the longest list or map: members and endpoints are some thousands. The
-#: decoder makes room for as many as a message claims before it reads one, so that
-#: eight bytes of a stranger could ask for 16 GB.
-MOST_ITEMS = 100_000
+#: Maximum number of items of a list or map. Real lists of members and endpoints have
+#: some thousands. The decoder allocates as many items as a message claims before it
+#: reads the first, so eight bytes of an untrusted sender could request 16 GB.
+MAX_CONTAINER_ITEMS = 100_000
 
 
-def _factory():
+def _make_protocol_factory():
     try:
         import thrift.protocol.fastbinary  # noqa: F401
     except ImportError:
-        return TCompactProtocolFactory(container_length_limit=MOST_ITEMS)
+        return TCompactProtocolFactory(container_length_limit=MAX_CONTAINER_ITEMS)
     return TCompactProtocolAcceleratedFactory(
-        container_length_limit=MOST_ITEMS, fallback=True
+        container_length_limit=MAX_CONTAINER_ITEMS, fallback=True
     )
 
 
-PROTOCOL_FACTORY = _factory()
+PROTOCOL_FACTORY = _make_protocol_factory()
 
 
 def encode(message):
-    """Return a Thrift struct as bytes.
+    """Encode a Thrift struct.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
 
 
 def decode(kind, data):
-    """Read a Thrift struct from bytes.
+    """Decode a Thrift struct.
 
     Parameters
     ----------
@@ -53,13 +53,13 @@
     Returns
     -------
     Thrift struct or None
-        None if the bytes are not such a struct. Unknown fields are skipped.
+        None if the bytes are not a valid struct. Unknown fields are skipped.
     """
     message = kind()
     try:
         message.read(PROTOCOL_FACTORY.getProtocol(TMemoryBuffer(data)))
     except Exception:
-        # A datagram may come from anyone and the decoder raises whatever its
-        # state machine meets; a bad one is dropped, never trusted half-read.
+        # A datagram may come from any sender, and the decoder raises many kinds of
+        # exceptions. Invalid data is dropped, never used partly decoded.
         return None
     return message
--- a/hawthornspoke/protocol/_connection.py
+++ b/hawthornspoke/protocol/_connection.py
@@ -1,4 +1,4 @@
-"""Outgoing Thrift connections, one call at a time each."""
+"""Outgoing Thrift connections with one call at a time."""
 
 import threading
 
@@ -11,15 +11,15 @@
 from hawthornspoke.protocol._failures import NOT_SENT, REPLY_LOST, TOO_LATE
 from hawthornspoke.protocol._gen.Node import Client
 
-#: Seconds that opening a connection may take. A cut failure domain swallows the
-#: first packet, so without a limit each request there would hang for minutes.
+#: Seconds within which a connection must open. Packets to an unreachable failure
+#: domain are dropped, so without a limit each request to it would hang for minutes.
 CONNECT_TIMEOUT = 0.5
 
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 
 class Connection:
-    """One TCP connection to a node, owned by one task.
+    """One TCP connection to a node, used by one thread.
 
     Parameters
     ----------
@@ -46,27 +46,27 @@
         deadline : float
             On the monotonic clock.
         objection : callable or None, default=None
-            Looked at once the connection is open; returns a Failure if nothing may
-            be sent any more.
+            Called after the connection is open; returns a Failure if the call must
+            not be sent any more, otherwise None.
 
         Returns
         -------
         Thrift struct or Failure
-            ``TOO_LATE``, ``NOT_SENT`` and an objection prove that the node got
-            nothing; ``REPLY_LOST`` says that nobody here can know.
+            ``TOO_LATE``, ``NOT_SENT`` and a failure of ``objection`` guarantee that
+            the node received nothing; with ``REPLY_LOST`` it may have run the call.
         """
         remaining = deadline - monotonic()
         if remaining <= 0:
             return TOO_LATE.because(f"no time left to call {method}")
         if PARTITION.blocks(self.address):
             self.close()
-            return NOT_SENT.because(f"{self.address} is cut off")
+            return NOT_SENT.because(f"{self.address} is blocked by a partition test")
         opened = self._open(remaining)
         if is_failure(opened):
             return opened
-        # The connection may have taken time, or the process may have been
-        # paused; a call sent after its deadline would act for a caller who has
-        # already been told otherwise, so the clock is read again.
+        # Connecting takes time, and the process may have been paused. The deadline is
+        # checked again, since a call sent after it would run for a caller that has
+        # already been given another result.
         failure = objection() if objection is not None else None
         if failure is not None:
             return failure
@@ -104,12 +104,14 @@
 
 
 class ConnectionPool:
-    """Idle connections by node address; a connection has one user at a time.
+    """Pool of idle connections by node address.
+
+    A connection has one user at a time.
 
     Parameters
     ----------
     idle_per_node : int, default=8
-        Idle connections kept for each node.
+        Maximum number of idle connections for each node.
     """
 
     __slots__ = ("idle_per_node", "_idle_by_address", "_lock")
@@ -120,7 +122,7 @@
         self._lock = threading.Lock()
 
     def take(self, *, address, port):
-        """Return a connection for the caller alone.
+        """Return a connection for exclusive use by the caller.
 
         Parameters
         ----------
@@ -138,7 +140,7 @@
         return Connection(address=address, port=port)
 
     def give_back(self, connection):
-        """Keep a connection whose last call got its whole reply.
+        """Return a connection whose last reply was read completely.
 
         Parameters
         ----------
@@ -146,9 +148,9 @@
 
         Notes
         -----
-        A connection with an unread reply would hand that late answer to the
-        next request. :meth:`Connection.call` closes on every failure, so what
-        comes back here has nothing left to read.
+        On a connection with an unread reply the next request would receive that late
+        reply. :meth:`Connection.call` closes the connection on every failure, so a
+        returned connection has no unread data.
         """
         key = (connection.address, connection.port)
         with self._lock:
--- a/hawthornspoke/protocol/_datagrams.py
+++ b/hawthornspoke/protocol/_datagrams.py
@@ -10,7 +10,7 @@
 
 
 class DatagramSocket:
-    """A bound UDP socket that speaks :class:`Datagram`.
+    """UDP socket that sends and receives :class:`Datagram` structs.
 
     Parameters
     ----------
@@ -34,13 +34,13 @@
         Raises
         ------
         OSError
-            If another process holds the port. The kernel keeps the bind for a
-            paused process too, so a second agent on the host can't start.
+            If another process has bound the port. The kernel keeps the port bound
+            for a stopped process too, so a second agent on the host can't start.
         """
-        opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 * 1024 * 1024)
-        opened.bind((self.address, self.port))
-        self._socket = opened
+        bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 * 1024 * 1024)
+        bound.bind((self.address, self.port))
+        self._socket = bound
 
     def send(self, datagram, targets):
         """Send one datagram to several nodes.
@@ -49,8 +49,8 @@
         ----------
         datagram : Datagram
         targets : iterable of (str, int)
-            Addresses and ports. A lost or refused datagram is not reported: the
-            next one carries the state again.
+            Addresses and ports. A lost, refused or oversized datagram is not
+            reported: later datagrams carry the state again.
         """
         data = encode(datagram)
         if len(data) > MAX_DATAGRAM_BYTES:
@@ -71,7 +71,7 @@
         Returns
         -------
         tuple of (Datagram or None, (str, int)) or None
-            None after :meth:`close`; a datagram that can't be read is None.
+            None after :meth:`close`. The datagram is None if it can't be decoded.
         """
         try:
             data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1024)
@@ -87,8 +87,8 @@
         if self._socket is None:
             return
         try:
-            # Closing alone leaves a blocked recvfrom asleep for ever; an empty
-            # datagram to ourselves wakes it.
+            # Closing a socket does not interrupt a blocked recvfrom; an empty
+            # datagram to the own address does.
             self._socket.sendto(b"", (self.address, self.port))
         except OSError:
             pass
--- a/hawthornspoke/protocol/_failures.py
+++ b/hawthornspoke/protocol/_failures.py
@@ -1,15 +1,15 @@
-"""How a call to another process fails, as far as the caller can know."""
+"""Failures of calls to other processes, by what the caller can conclude."""
 
 from hawthornspoke.base import Failure
 
-#: No byte of the call left this host: the other side has not acted on it.
+#: No byte of the call was sent: the other process has not run it.
 NOT_SENT = Failure(code="not_sent")
 
-#: Bytes left and no whole reply came: the other side may have acted.
+#: Bytes were sent and no complete reply arrived: the call may have run.
 REPLY_LOST = Failure(code="reply_lost")
 
-#: The deadline passed before the call was made; nothing was sent.
+#: The deadline passed before the call; nothing was sent.
 TOO_LATE = Failure(code="too_late")
 
-#: The engine's process ended under the request; the reason names that end.
+#: The engine's process exited during the request; the reason identifies the exit.
 ENGINE_ENDED = Failure(code="engine_ended")
--- a/hawthornspoke/protocol/_server.py
+++ b/hawthornspoke/protocol/_server.py
@@ -1,4 +1,4 @@
-"""The Thrift server of a node."""
+"""Thrift server of a node."""
 
 import socket
 import threading
@@ -13,11 +13,11 @@
 
 LISTEN_BACKLOG = 512
 
-_task = threading.local()
+_thread_state = threading.local()
 
 
 class RpcServer:
-    """Accepts connections and serves each in a task of its own.
+    """Accepts connections and serves each in its own thread.
 
     Parameters
     ----------
@@ -28,8 +28,8 @@
 
     Notes
     -----
-    The library's threaded server can't be stopped nor told to close the
-    connections it has; a drained process has to do both.
+    The threaded server of the Thrift library can neither be stopped nor close its
+    connections; a draining process has to do both.
     """
 
     __slots__ = ("address", "port", "handler", "_listener", "_sockets", "_lock")
@@ -48,7 +48,7 @@
         Raises
         ------
         OSError
-            If the address is taken.
+            If the address is in use.
         """
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -77,25 +77,29 @@
 
     @staticmethod
     def caller_gone():
-        """Tell, inside a handler, whether the calling process has hung up.
+        """Return whether the caller has closed its connection.
+
+        To be called within a handler.
 
         Returns
         -------
         bool
         """
-        connection = getattr(_task, "connection", None)
+        connection = getattr(_thread_state, "connection", None)
         return connection is not None and has_hung_up(connection)
 
     @staticmethod
     def caller_check():
-        """Return, inside a handler, a look at its caller for other threads.
+        """Return a function that checks the caller from other threads.
+
+        To be called within a handler.
 
         Returns
         -------
         callable
-            Tells whether the calling process has hung up.
+            Returns whether the caller has closed its connection.
         """
-        connection = getattr(_task, "connection", None)
+        connection = getattr(_thread_state, "connection", None)
         return lambda: connection is not None and has_hung_up(connection)
 
     def _accept(self):
@@ -115,10 +119,10 @@
     def _serve(self, connection):
         with self._lock:
             self._sockets.add(connection)
-        _task.connection = connection
-        wrapped = TSocket()
-        wrapped.setHandle(connection)
-        transport = TFramedTransport(wrapped)
+        _thread_state.connection = connection
+        handle = TSocket()
+        handle.setHandle(connection)
+        transport = TFramedTransport(handle)
         protocol = PROTOCOL_FACTORY.getProtocol(transport)
         processor = Processor(self.handler)
         try:
--- a/hawthornspoke/protocol/tests/structs.py
+++ b/hawthornspoke/protocol/tests/structs.py
@@ -1,4 +1,4 @@
-"""Thrift structs with anything in them."""
+"""Hypothesis strategies for Thrift structs."""
 
 from hypothesis import strategies as st
 from thrift.Thrift import TType
@@ -12,7 +12,7 @@
 
 
 def structs(kind):
-    """Return Thrift structs of a kind, with any fields left out."""
+    """Return a strategy for structs of a class; any field may be None."""
     fields = {
         spec[2]: st.one_of(st.none(), _values(spec[1], spec[3]))
         for spec in kind.thrift_spec
