--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -495,7 +495,7 @@
         """Evict complete weights that are not declared, live or kept for a rollback."""
         kept = set()
         for view in self.services:
-            kept |= {*view.wanted_digests(), *view.previous}
+            kept |= {*view.required_digests(), *view.previous}
         kept |= set(self.gate.live_by_service.values())
         for digest in self.store.digests():
             if digest not in kept and self.store.is_complete(digest):
@@ -503,7 +503,7 @@
 
     def _participants(self, digest):
         """Return all hosts that have to load the weights, including this one."""
-        views = [view for view in self.services if digest in view.wanted_digests()]
+        views = [view for view in self.services if digest in view.required_digests()]
         settings = self.settings
         own = HostEntry(
             host=settings["node"],
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -56,9 +56,9 @@
             submit=request,
             deadline=monotonic() + remaining,
             boottime_deadline=contact_clock() + remaining,
-            caller_gone=RpcServer.caller_check(),
+            is_caller_disconnected=RpcServer.caller_check(),
         )
-        if RpcServer.caller_gone():
+        if RpcServer.is_caller_disconnected():
             # The process was paused after the request arrived, and the entry host
             # has given up on it. The caller has already been given another result.
             self.metrics.count("stale_submits_total")
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -30,7 +30,7 @@
         On the monotonic clock.
     boottime_deadline : float or None, default=None
         The same on the boot-time clock, which includes time in suspension.
-    caller_gone : callable or None, default=None
+    is_caller_disconnected : callable or None, default=None
         Returns whether the entry host has closed its connection.
     """
 
@@ -38,7 +38,7 @@
         "submit",
         "deadline",
         "boottime_deadline",
-        "caller_gone",
+        "is_caller_disconnected",
         "read_at",
         "ended",
         "cancelled",
@@ -47,11 +47,13 @@
         "_lock",
     )
 
-    def __init__(self, *, submit, deadline, boottime_deadline=None, caller_gone=None):
+    def __init__(
+        self, *, submit, deadline, boottime_deadline=None, is_caller_disconnected=None
+    ):
         self.submit = submit
         self.deadline = deadline
         self.boottime_deadline = boottime_deadline
-        self.caller_gone = caller_gone
+        self.is_caller_disconnected = is_caller_disconnected
         self.read_at = monotonic()
         self.ended = False
         self.cancelled = threading.Event()
@@ -73,7 +75,7 @@
         """
         if self.cancelled.is_set():
             return CALLER_DISCONNECTED
-        if self.caller_gone is not None and self.caller_gone():
+        if self.is_caller_disconnected is not None and self.is_caller_disconnected():
             return CALLER_DISCONNECTED
         is_expired = monotonic() >= self.deadline
         if self.boottime_deadline is not None:
--- a/hawthornspoke/config/__init__.py
+++ b/hawthornspoke/config/__init__.py
@@ -1,4 +1,4 @@
-"""Declarations: a folder of TOML files, and the document that is put in force."""
+"""Declarations in a folder of TOML files, and the document built from them."""
 
 from hawthornspoke.config._document import (
     ServiceView,
--- a/hawthornspoke/config/_document.py
+++ b/hawthornspoke/config/_document.py
@@ -1,4 +1,4 @@
-"""The accepted document: declarations with every version pinned to a digest."""
+"""Documents: accepted declarations with every version pinned to a digest."""
 
 import fnmatch
 import json
@@ -16,7 +16,7 @@
 
 
 class ServiceView:
-    """One service of the document in force, as nodes read it.
+    """Read access to one service of a document.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
         self.sources = dict(table.get("sources", {}))
 
     def runs_on(self, host):
-        """Tell whether the service is declared for a host.
+        """Return whether the service is declared for a host.
 
         Parameters
         ----------
@@ -51,7 +51,7 @@
         return any(fnmatch.fnmatchcase(host, pattern) for pattern in patterns)
 
     def serves(self, organisation):
-        """Tell whether an organisation may use the service.
+        """Return whether an organisation may use the service.
 
         Parameters
         ----------
@@ -64,32 +64,32 @@
         allowed = self.table["organisations"]
         return organisation in allowed or "*" in allowed
 
-    def wanted_digests(self):
-        """Return the digests that a host of this service has to hold.
+    def required_digests(self):
+        """Return the digests of the weights that a host of the service has to hold.
 
         Returns
         -------
         list of str
-            The base first, then the adapters.
+            The base weights first, then the adapters.
         """
         if self.kind != "model":
             return []
         return [self.digest, *self.adapters.values()]
 
     def accepts(self, digest, *, adapter=""):
-        """Tell whether an answer by these weights is a right one now.
+        """Return whether a response computed with these weights is valid.
 
         Parameters
         ----------
         digest : str
         adapter : str, default=""
-            Name of the adapter that is asked for, if one is.
+            Name of the requested adapter, empty for the base weights.
 
         Returns
         -------
         bool
-            True for the declared digest and, while hosts change over, for the
-            ones in force before.
+            True for the declared digest and for previous ones, which hosts serve
+            until they have changed over.
         """
         if adapter:
             before = self.table.get("previous_adapters", {}).get(adapter, ())
@@ -97,7 +97,7 @@
         return digest == self.digest or digest in self.previous
 
     def live_key(self, adapter=""):
-        """Return the name under which endpoints tell what is live.
+        """Return the key under which endpoints report their live weights.
 
         Parameters
         ----------
@@ -112,16 +112,16 @@
 
 
 def build_document(*, tree, digest_by_source, previous=None):
-    """Pin declarations to digests.
+    """Build a document from declarations by pinning versions to digests.
 
     Parameters
     ----------
     tree : dict
-        Checked declarations.
+        Valid declarations.
     digest_by_source : dict of str to str
-        Digest of the manifest that each source has at acceptance.
+        Digest of the manifest of each source at the time of acceptance.
     previous : dict or None, default=None
-        The document in force before.
+        The previously active document.
 
     Returns
     -------
@@ -159,20 +159,22 @@
 def _add_previous(table, before):
     if before is None or table["kind"] != "model":
         return
-    known = [before.get("digest"), *before.get("previous", ())]
-    # Two back is enough: a change of configuration during a change-over must
-    # not turn the hosts that still serve the oldest version into refusals.
-    others = [digest for digest in known if digest and digest != table["digest"]]
-    table["previous"] = list(dict.fromkeys(others))[:2]
+    earlier_digests = [before.get("digest"), *before.get("previous", ())]
+    # Two previous versions are kept: if the configuration changes during a
+    # changeover, hosts that still serve the oldest version remain valid.
+    outdated_digests = [
+        digest for digest in earlier_digests if digest and digest != table["digest"]
+    ]
+    table["previous"] = list(dict.fromkeys(outdated_digests))[:2]
     table["previous_adapters"] = {}
     for adapter, digest in table["adapter_digests"].items():
-        old = before.get("adapter_digests", {}).get(adapter)
-        if old and old != digest:
-            table["previous_adapters"][adapter] = [old]
+        previous_digest = before.get("adapter_digests", {}).get(adapter)
+        if previous_digest and previous_digest != digest:
+            table["previous_adapters"][adapter] = [previous_digest]
 
 
 def pack_document(document):
-    """Return a document as compressed bytes, the same for equal documents.
+    """Serialize and compress a document; equal documents give equal bytes.
 
     Parameters
     ----------
@@ -187,7 +189,7 @@
 
 
 def document_digest(data):
-    """Return the digest that names packed document bytes.
+    """Return the digest of a packed document.
 
     Parameters
     ----------
@@ -201,21 +203,21 @@
 
 
 def unpack_document(data, *, digest):
-    """Read a packed document after checking its digest.
+    """Verify the digest of a packed document and decode it.
 
     Parameters
     ----------
     data : bytes
     digest : str
-        The name under which it was asked for. Any node may hand it on, since a
-        wrong or cut copy can't have the right digest.
+        Requested digest. The bytes may come from any node, since a wrong or
+        truncated copy has another digest.
 
     Returns
     -------
     dict or Failure
     """
     if digest_of(data) != digest:
-        return BAD_DOCUMENT.because(f"bytes are not those of {digest[:12]}")
+        return BAD_DOCUMENT.because(f"data does not match digest {digest[:12]}")
     try:
         return json.loads(zlib.decompress(data))
     except (ValueError, zlib.error) as error:
--- a/hawthornspoke/config/_loader.py
+++ b/hawthornspoke/config/_loader.py
@@ -1,4 +1,4 @@
-"""Read and merge a folder of TOML files."""
+"""Loading and merging of a folder of TOML files."""
 
 import tomllib
 
@@ -10,16 +10,16 @@
 
 
 class Declarations:
-    """A merged folder.
+    """The merged declarations of a folder.
 
     Parameters
     ----------
     tree : dict
-        Nested tables, later files over earlier ones.
+        Nested tables; values of later files override those of earlier ones.
     file_by_key : dict of tuple of str to str
-        For each leaf key path the name of the file whose value won.
+        Name of the file whose value is used, for the key path of each leaf.
     overridden_by_key : dict of tuple of str to list of str
-        Files whose value for a key was overridden, in order.
+        Files whose value of a key was overridden, in order.
     failures : list of Failure
         Files that could not be read.
     """
@@ -33,7 +33,7 @@
         self.failures = failures
 
     def file_of(self, path):
-        """Return the file that decides a key, a key below it, or its table.
+        """Return the file that sets a key, a key below it, or its nearest table.
 
         Parameters
         ----------
@@ -44,7 +44,7 @@
         str
         """
         for length in range(len(path), 0, -1):
-            # A missing key stands in no file; its table does.
+            # A missing key is in no file, but its table is.
             prefix = path[:length]
             files = [
                 file for key, file in self.file_by_key.items() if key[:length] == prefix
@@ -64,7 +64,7 @@
     Returns
     -------
     Declarations
-        With one failure per file that can't be read: all are reported at once.
+        With one failure for each file that can't be read.
     """
     merged = Declarations(tree={}, file_by_key={}, overridden_by_key={}, failures=[])
     if not folder.is_dir():
@@ -84,30 +84,30 @@
     return merged
 
 
-def _merge(merged, into, table, *, file, path):
-    """Merge tables key by key; any other value replaces the earlier one whole."""
+def _merge(merged, target, table, *, file, path):
+    """Merge tables recursively; any other value replaces the earlier one."""
     for key, value in table.items():
-        here = (*path, key)
+        key_path = (*path, key)
         if isinstance(value, dict):
-            existing = into.get(key)
+            existing = target.get(key)
             if existing is not None and not isinstance(existing, dict):
-                _replaced(merged, here, file=file)
+                _record_override(merged, key_path, file=file)
                 existing = None
             if existing is None:
-                existing = into[key] = {}
-            _merge(merged, existing, value, file=file, path=here)
+                existing = target[key] = {}
+            _merge(merged, existing, value, file=file, path=key_path)
             if not value:
-                merged.file_by_key[here] = file
+                merged.file_by_key[key_path] = file
             continue
-        if key in into:
-            _replaced(merged, here, file=file)
-        into[key] = value
-        merged.file_by_key[here] = file
-
-
-def _replaced(merged, path, *, file):
-    """Remember whose values a file overrides, at a key and below it."""
-    beaten = [key for key in merged.file_by_key if key[: len(path)] == path]
-    for key in beaten:
-        earlier = merged.file_by_key.pop(key)
-        merged.overridden_by_key.setdefault(path, []).append(earlier)
+        if key in target:
+            _record_override(merged, key_path, file=file)
+        target[key] = value
+        merged.file_by_key[key_path] = file
+
+
+def _record_override(merged, path, *, file):
+    """Record the files whose values at or below a key are overridden."""
+    overridden = [key for key in merged.file_by_key if key[: len(path)] == path]
+    for key in overridden:
+        overridden_file = merged.file_by_key.pop(key)
+        merged.overridden_by_key.setdefault(path, []).append(overridden_file)
--- a/hawthornspoke/config/_manifest.py
+++ b/hawthornspoke/config/_manifest.py
@@ -1,4 +1,4 @@
-"""Manifests: a version *is* the digest of its ordered chunk digests."""
+"""Manifests, whose digest over the ordered chunk digests identifies a version."""
 
 import json
 
@@ -10,16 +10,16 @@
 
 
 class Manifest:
-    """The chunks of one version of some weights.
+    """Chunk digests and sizes of one version of weights.
 
     Parameters
     ----------
     chunks : tuple of str
-        SHA-256 of each chunk, in order.
+        SHA-256 digest of each chunk, in order.
     chunk_size : int
-        Bytes of each chunk but the last.
+        Size in bytes of each chunk except the last.
     size : int
-        Bytes in all.
+        Total size in bytes.
     """
 
     __slots__ = ("chunks", "chunk_size", "size", "digest")
@@ -31,7 +31,7 @@
         self.digest = digest_of(self.to_bytes())
 
     def to_bytes(self):
-        """Return the canonical JSON form, whose SHA-256 is the digest.
+        """Return the canonical JSON encoding, whose SHA-256 is the digest.
 
         Returns
         -------
@@ -45,7 +45,7 @@
         return json.dumps(tree, sort_keys=True, separators=(",", ":")).encode()
 
     def span(self, index):
-        """Return where a chunk lies.
+        """Return the byte range of a chunk.
 
         Parameters
         ----------
@@ -54,14 +54,14 @@
         Returns
         -------
         tuple of int
-            First byte, and the byte after the last.
+            Offsets of the first byte and of the byte after the last.
         """
         start = index * self.chunk_size
         return start, min(start + self.chunk_size, self.size)
 
 
 def parse_manifest(data):
-    """Read a manifest.
+    """Decode and validate a manifest.
 
     Parameters
     ----------
@@ -80,11 +80,11 @@
             size=int(tree["size"]),
         )
     except (ValueError, KeyError, TypeError) as error:
-        return BAD_MANIFEST.because(f"not a manifest: {error!r}")
+        return BAD_MANIFEST.because(f"invalid manifest: {error!r}")
     if manifest.chunk_size <= 0 or len(manifest.chunks) > MAX_CHUNKS:
         return BAD_MANIFEST.because("chunk size or number of chunks out of range")
     expected = -(-manifest.size // manifest.chunk_size)
     if expected != len(manifest.chunks):
-        reason = f"{len(manifest.chunks)} chunks for {manifest.size} bytes"
+        reason = f"wrong chunk count {len(manifest.chunks)} for {manifest.size} bytes"
         return BAD_MANIFEST.because(reason)
     return manifest
--- a/hawthornspoke/config/_schema.py
+++ b/hawthornspoke/config/_schema.py
@@ -1,4 +1,4 @@
-"""What may stand in a folder of declarations, and the checks across keys."""
+"""Schema of declarations, and checks of references between keys."""
 
 from hawthornspoke.base import Bounds, Failure
 
@@ -54,7 +54,7 @@
 
 
 def check_declarations(declarations):
-    """Check merged declarations, all errors at once.
+    """Check merged declarations and return all errors.
 
     Parameters
     ----------
@@ -63,15 +63,15 @@
     Returns
     -------
     list of Failure
-        Empty if the folder may be applied. Each reason names file, key, what
-        was found and what is accepted.
+        Empty if the folder may be applied. Each reason names the file and the key,
+        and the found and accepted values.
     """
-    checker = _Checker(declarations=declarations)
-    checker.run()
-    return declarations.failures + checker.failures
+    validator = _Validator(declarations=declarations)
+    validator.run()
+    return declarations.failures + validator.failures
 
 
-class _Checker:
+class _Validator:
     __slots__ = ("declarations", "failures")
 
     def __init__(self, *, declarations):
@@ -80,33 +80,33 @@
 
     def run(self):
         tree = self.declarations.tree
-        known = {"rollout", *NAMED_TABLES}
-        self._unknown_keys((), tree, known)
+        accepted_keys = {"rollout", *NAMED_TABLES}
+        self._check_unknown_keys((), tree, accepted_keys)
         if isinstance(tree.get("rollout"), dict):
-            self._table(("rollout",), tree["rollout"], ROLLOUT, ())
+            self._check_table(("rollout",), tree["rollout"], ROLLOUT, ())
         elif "rollout" in tree:
-            self._fail(("rollout",), "expected a table")
+            self._add_failure(("rollout",), "expected a table")
         for section, schema in NAMED_TABLES.items():
-            for name, table in self._named(tree, section):
-                self._table((section, name), table, schema, REQUIRED[section])
-        for name, model in self._named(tree, "models"):
-            self._model(("models", name), model)
-        for name, service in self._named(tree, "services"):
-            self._service(("services", name), service)
-
-    def _named(self, tree, section):
+            for name, table in self._iter_tables(tree, section):
+                self._check_table((section, name), table, schema, REQUIRED[section])
+        for name, model in self._iter_tables(tree, "models"):
+            self._check_model(("models", name), model)
+        for name, service in self._iter_tables(tree, "services"):
+            self._check_service(("services", name), service)
+
+    def _iter_tables(self, tree, section):
         tables = tree.get(section, {})
         if not isinstance(tables, dict):
-            self._fail((section,), "expected a table of tables")
+            self._add_failure((section,), "expected a table of tables")
             return
         for name, table in tables.items():
             if isinstance(table, dict):
                 yield name, table
             else:
-                self._fail((section, name), f"expected a table, got {table!r}")
+                self._add_failure((section, name), f"expected a table, got {table!r}")
 
-    def _table(self, path, table, schema, required):
-        self._unknown_keys(path, table, schema)
+    def _check_table(self, path, table, schema, required):
+        self._check_unknown_keys(path, table, schema)
         for key, bounds in schema.items():
             if key not in table:
                 continue
@@ -114,29 +114,29 @@
             if complaint is None and bounds is TEXT_LIST:
                 complaint = _text_list_complaint(table[key])
             if complaint:
-                self._fail((*path, key), complaint)
+                self._add_failure((*path, key), complaint)
         for key in required:
             if key not in table:
-                self._fail((*path, key), "missing, and required")
+                self._add_failure((*path, key), "missing, required")
 
-    def _unknown_keys(self, path, table, known):
+    def _check_unknown_keys(self, path, table, accepted_keys):
         for key in table:
-            if key not in known:
-                accepted = ", ".join(sorted(known))
-                self._fail((*path, key), f"unknown key; accepted: {accepted}")
+            if key not in accepted_keys:
+                accepted = ", ".join(sorted(accepted_keys))
+                self._add_failure((*path, key), f"unknown key; accepted: {accepted}")
 
-    def _model(self, path, model):
+    def _check_model(self, path, model):
         for part, schema in (("versions", VERSION), ("adapters", ADAPTER)):
-            for name, table in self._named_in(path, model, part):
-                self._table((*path, part, name), table, schema, REQUIRED[part])
+            for name, table in self._iter_subtables(path, model, part):
+                self._check_table((*path, part, name), table, schema, REQUIRED[part])
         versions = model.get("versions", {})
-        for name, adapter in self._named_in(path, model, "adapters"):
+        for name, adapter in self._iter_subtables(path, model, "adapters"):
             base = adapter.get("base")
             if isinstance(base, str) and base not in versions:
-                where = (*path, "adapters", name, "base")
-                self._fail(where, f"no version {base!r} of this model")
+                key_path = (*path, "adapters", name, "base")
+                self._add_failure(key_path, f"no version {base!r} of this model")
 
-    def _named_in(self, path, table, part):
+    def _iter_subtables(self, path, table, part):
         tables = table.get(part, {})
         if not isinstance(tables, dict):
             return
@@ -144,51 +144,61 @@
             if isinstance(item, dict):
                 yield name, item
             else:
-                self._fail((*path, part, name), f"expected a table, got {item!r}")
+                self._add_failure(
+                    (*path, part, name), f"expected a table, got {item!r}"
+                )
 
-    def _service(self, path, service):
+    def _check_service(self, path, service):
         if service.get("kind") == "model":
-            self._model_service(path, service)
+            self._check_model_service(path, service)
         else:
             for key in ("model", "version", "adapters"):
                 if key in service:
-                    self._fail((*path, key), 'only services of kind "model" have it')
+                    self._add_failure(
+                        (*path, key), 'only allowed for services of kind "model"'
+                    )
         organisations = self.declarations.tree.get("organisations", {})
-        for name in _texts(service.get("organisations")):
+        for name in _string_items(service.get("organisations")):
             if name != "*" and name not in organisations:
-                self._fail((*path, "organisations"), f"no organisation {name!r}")
+                self._add_failure((*path, "organisations"), f"no organisation {name!r}")
 
-    def _model_service(self, path, service):
+    def _check_model_service(self, path, service):
         for key in ("model", "version"):
             if key not in service:
-                self._fail((*path, key), 'missing, and required of kind "model"')
+                self._add_failure(
+                    (*path, key), 'missing, required for services of kind "model"'
+                )
         models = self.declarations.tree.get("models", {})
         model = models.get(service.get("model")) if isinstance(models, dict) else None
         if not isinstance(model, dict):
             if "model" in service:
-                self._fail((*path, "model"), f"no model {service['model']!r}")
+                self._add_failure((*path, "model"), f"no model {service['model']!r}")
             return
         version = service.get("version")
         if version is not None and version not in model.get("versions", {}):
-            self._fail((*path, "version"), f"no version {version!r} of the model")
-        for name in _texts(service.get("adapters")):
+            self._add_failure(
+                (*path, "version"), f"no version {version!r} of the model"
+            )
+        for name in _string_items(service.get("adapters")):
             adapter = model.get("adapters", {}).get(name)
             if not isinstance(adapter, dict):
-                self._fail((*path, "adapters"), f"no adapter {name!r} of the model")
+                self._add_failure(
+                    (*path, "adapters"), f"no adapter {name!r} of the model"
+                )
             elif adapter.get("base") != version:
-                # An adapter trained on other base weights gives fluent nonsense
-                # and no error, so it is refused before it can be accepted.
+                # An adapter trained on other base weights generates fluent but wrong
+                # text without an error, so the declaration is rejected.
                 base = adapter.get("base")
                 reason = f"adapter {name!r} is for base {base!r}, not {version!r}"
-                self._fail((*path, "adapters"), reason)
+                self._add_failure((*path, "adapters"), reason)
 
-    def _fail(self, path, reason):
+    def _add_failure(self, path, reason):
         file = self.declarations.file_of(path)
         key = ".".join(path)
         self.failures.append(BAD_DECLARATION.because(f"{file}: {key}: {reason}"))
 
 
-def _texts(value):
+def _string_items(value):
     if not isinstance(value, list):
         return []
     return [item for item in value if isinstance(item, str)]
--- a/hawthornspoke/config/tests/test_config.py
+++ b/hawthornspoke/config/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Folders: merging, errors, pinning, and the shipped examples."""
+"""Merging and validation of folders, pinning, and the shipped examples."""
 
 from pathlib import Path
 
@@ -52,7 +52,7 @@
     assert check_declarations(load_folder(EXAMPLES / name)) == []
 
 
-def test_later_files_override_key_by_key(tmp_path):
+def test_later_files_override_individual_keys(tmp_path):
     later = '[services.s]\nversion = "v2"\nadapters = []\n'
     declarations = write(tmp_path, a10=BASE, b20=later)
     assert check_declarations(declarations) == []
@@ -64,8 +64,8 @@
     assert declarations.overridden_by_key[path] == ["a10.toml"]
 
 
-def test_all_errors_at_once_name_file_key_and_reason(tmp_path):
-    wrong = """
+def test_all_errors_are_reported_with_file_key_and_reason(tmp_path):
+    invalid = """
 [services.s]
 version = "v9"
 max_unavailable = 0
@@ -79,7 +79,7 @@
 [models.m.adapters.a]
 base = "v7"
 """
-    declarations = write(tmp_path, a10=BASE, b20=wrong, c30="not toml")
+    declarations = write(tmp_path, a10=BASE, b20=invalid, c30="not toml")
     text = "\n".join(failure.reason for failure in check_declarations(declarations))
     for expected in (
         "c30.toml: ",
@@ -101,7 +101,7 @@
     assert "not a folder" in failure.reason
 
 
-def test_document_pins_digests_and_remembers_the_ones_before(tmp_path):
+def test_document_pins_digests_and_keeps_previous_ones(tmp_path):
     declarations = write(tmp_path, a10=BASE)
     pins = {"m-v1": "d1", "m-v2": "d2", "m-a": "da"}
     first = build_document(tree=declarations.tree, digest_by_source=pins)
@@ -118,17 +118,17 @@
     assert not view.runs_on("x-7")
 
 
-def test_document_travels_whole_or_not_at_all():
+def test_truncated_document_is_rejected():
     data = pack_document({"a": 1})
     digest = document_digest(data)
     assert unpack_document(data, digest=digest) == {"a": 1}
     assert is_failure(unpack_document(data[:-1], digest=digest))
 
 
-def test_manifest_names_its_content():
+def test_manifest_digest_identifies_its_content():
     manifest = Manifest(chunks=["a", "b"], chunk_size=4, size=7)
     same = parse_manifest(manifest.to_bytes())
     assert same.digest == manifest.digest
     assert manifest.span(1) == (4, 7)
-    for bad in (b"{}", b"x", b'{"chunks":["a"],"chunk_size":4,"size":9}'):
-        assert is_failure(parse_manifest(bad))
+    for invalid_manifest in (b"{}", b"x", b'{"chunks":["a"],"chunk_size":4,"size":9}'):
+        assert is_failure(parse_manifest(invalid_manifest))
--- a/hawthornspoke/protocol/_server.py
+++ b/hawthornspoke/protocol/_server.py
@@ -76,7 +76,7 @@
                 pass
 
     @staticmethod
-    def caller_gone():
+    def is_caller_disconnected():
         """Return whether the caller has closed its connection.
 
         To be called within a handler.
