--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -231,8 +231,8 @@
         declared = self.deployment.declared_by_key
         live = self.gate.live_by_service
         confirmed = self.core.holder.confirmed(now=now)
-        whole = all(live.get(key) == item.digest for key, item in declared.items())
-        return confirmed and whole and not self.leaving
+        all_live = all(live.get(key) == item.digest for key, item in declared.items())
+        return confirmed and all_live and not self.leaving
 
     # Overrides of ControlActor.
 
--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -135,14 +135,14 @@
         return self._store_chunk(message, data)
 
     def _fetch_from_peer(self, message):
-        ask = ChunkAsk(
+        request = ChunkAsk(
             version=PROTOCOL_VERSION,
             digest=message.digest,
             index=message.index,
             node=self.node,
         )
         deadline = monotonic() + PEER_TIMEOUT
-        reply = self._connection(message).call("chunk", ask, deadline=deadline)
+        reply = self._connection(message).call("chunk", request, deadline=deadline)
         if is_failure(reply):
             unreachable = reply == NOT_SENT
             return _chunk_failed(message, "unreachable" if unreachable else "failed")
@@ -183,8 +183,10 @@
 
     def _fetch_manifest_from(self, address, port, digest):
         connection = Connection(address=address, port=port)
-        ask = ChunkAsk(version=PROTOCOL_VERSION, digest=digest, index=MANIFEST_INDEX)
-        reply = connection.call("chunk", ask, deadline=monotonic() + QUERY_TIMEOUT)
+        request = ChunkAsk(
+            version=PROTOCOL_VERSION, digest=digest, index=MANIFEST_INDEX
+        )
+        reply = connection.call("chunk", request, deadline=monotonic() + QUERY_TIMEOUT)
         connection.close()
         return None if is_failure(reply) else _parse_verified(reply.data, digest)
 
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -114,7 +114,7 @@
         return Chunk(version=PROTOCOL_VERSION, data=manifest.to_bytes())
 
     def _read_events(self, request_id, run, wait):
-        events = run.take(wait)
+        events = run.next_events(wait)
         if run.ended:
             self.run_by_id.pop(request_id, None)
             self.tell("forget_run", request_id=request_id)
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -132,7 +132,7 @@
         """
         self.push(Event(kind=EventKind.FAILED, reason=reason))
 
-    def take(self, wait):
+    def next_events(self, wait):
         """Remove and return the next events.
 
         Parameters
--- a/hawthornspoke/agent/tests/test_after_a_wait.py
+++ b/hawthornspoke/agent/tests/test_after_a_wait.py
@@ -31,11 +31,11 @@
     def __init__(self, kind):
         self.requested_paths = []
         port = random.randrange(12000, 15000)
-        self._server = HttpServer(address=ADDRESS, port=port, handler=self._answer)
+        self._server = HttpServer(address=ADDRESS, port=port, handler=self._respond)
         self._server.open()
         self.driver = ENGINES.get(kind)(url=f"http://{ADDRESS}:{port}")
 
-    def _answer(self, request):
+    def _respond(self, request):
         self.requested_paths.append(request.path)
         return Response(headers={"Content-Type": "application/json"}, body=b"{}")
 
@@ -77,7 +77,7 @@
         exits=EngineExits(name="a"),
         control=StoppedControl(),
     )
-    return [event.kind for event in run.take(0.1)]
+    return [event.kind for event in run.next_events(0.1)]
 
 
 def test_run_before_its_deadline_reaches_the_engine(engine):
--- a/hawthornspoke/agent/tests/test_engine_ends.py
+++ b/hawthornspoke/agent/tests/test_engine_ends.py
@@ -32,7 +32,7 @@
 def failure_reason(engine, exits):
     run = Run(submit=Submit(request_id="r"), deadline=monotonic() + 5)
     run_request(run=run, engine=engine, exits=exits, control=StoppedControl())
-    last = run.take(0.1)[-1]
+    last = run.next_events(0.1)[-1]
     assert last.kind == EventKind.FAILED
     return last.reason
 
--- a/hawthornspoke/agent/tests/test_runs.py
+++ b/hawthornspoke/agent/tests/test_runs.py
@@ -16,7 +16,7 @@
     "reply lost".
     """
     run = make_run()
-    assert run.take(0) == []
+    assert run.next_events(0) == []
     assert not run.ended
 
 
@@ -24,14 +24,17 @@
     run = make_run()
     run.push(Event(kind=EventKind.STARTED))
     run.push(Event(kind=EventKind.DONE))
-    assert [event.kind for event in run.take(0)] == [EventKind.STARTED, EventKind.DONE]
+    assert [event.kind for event in run.next_events(0)] == [
+        EventKind.STARTED,
+        EventKind.DONE,
+    ]
     assert run.ended
 
 
 def test_refusal_carries_reason_retry_time_and_live_weights():
     run = make_run()
     run.refuse(Failure(code="busy", reason="full", retry_after=0.25), live="d2")
-    (event,) = run.take(0.1)
+    (event,) = run.next_events(0.1)
     assert event.kind == EventKind.REFUSED
     assert (event.reason, event.retry_after_ms, event.digest) == (
         "busy: full",
