--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -541,9 +541,9 @@
         phase = self.deployment.phase
         states = [HostState(node=node, state=STATE_BY_WARMING[phase])]
         limit = min(view.table.get("max_unavailable", 1) for view in self.services)
-        own_digests = set(self._progress())
+        own_keys = set(self._progress())
         for view in self.core.membership.nodes(role="agent"):
-            if own_digests & set(view.member.progress or {}):
+            if own_keys & set(view.member.progress or {}):
                 state = STATE_BY_WARMING.get(view.member.warming or 0, OLD)
                 states.append(HostState(node=view.node, state=state))
         return may_change_over(
