--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -183,9 +183,7 @@
         """Submit a request to the gate; return the highest known revision."""
         request_id = run.submit.request_id
         if request_id in self.run_by_id:
-            run.refuse(
-                Failure(code="duplicate", reason="request id was already submitted")
-            )
+            run.refuse(Failure(code="duplicate", reason="request id seen before"))
             return self.core.holder.heard_revision
         self.run_by_id[request_id] = run
         admit = Admit(
--- a/hawthornspoke/agent/_engines.py
+++ b/hawthornspoke/agent/_engines.py
@@ -221,7 +221,7 @@
             yield rejection
             return
         if answer.status >= 500:
-            raise CutAnswer(f"engine responded with status {answer.status}")
+            raise CutAnswer(f"engine answered {answer.status}")
         yield _head_event(answer, submit.digest)
         if payload.get("stream") is True:
             yield from self._events(answer)
@@ -306,7 +306,7 @@
         if answer.status == 404:
             return NOT_LOADED.because("the engine has not loaded these weights")
         if answer.status == 429:
-            return ENGINE_BUSY.because("the engine has no free slot", retry_after=1.0)
+            return ENGINE_BUSY.because("the engine is full", retry_after=1.0)
         return None
 
     def _events(self, answer):
@@ -323,7 +323,7 @@
             yield Event(kind=EventKind.TOKENS, data=complete, count=count)
         if rest or not ended:
             # A stream that ends after a complete event looks like a short response.
-            raise CutAnswer("the stream ended without [DONE]")
+            raise CutAnswer("the stream ended without its end mark")
 
     def _put(self, path, data):
         try:
@@ -336,7 +336,7 @@
             return answer
         answer.read()
         if answer.status >= 300:
-            return ORDER_FAILED.because(f"engine responded with status {answer.status}")
+            return ORDER_FAILED.because(f"engine answered {answer.status}")
         return None
 
     def _order(self, order):
@@ -356,9 +356,7 @@
         if answer.status == 409 and "fenc" in text:
             return FENCED.because(text)
         if answer.status >= 300:
-            return ORDER_FAILED.because(
-                f"engine responded with status {answer.status}: {text}"
-            )
+            return ORDER_FAILED.because(f"engine answered {answer.status}: {text}")
         return None
 
 
@@ -419,15 +417,15 @@
 
     def stage(self, digest, index, data):
         """Return a failure: a plain service has no weights."""
-        return ORDER_FAILED.because("a plain service has no weights")
+        return ORDER_FAILED.because("a plain service takes no weights")
 
     def drop_staged(self, digest):
         """Do nothing: a plain service has no weights."""
 
     def load(self, manifest, *, base, fence):
         """Return a failure: a plain service has no weights."""
-        return ORDER_FAILED.because("a plain service has no weights")
+        return ORDER_FAILED.because("a plain service takes no weights")
 
     def unload(self, digest, *, fence):
         """Return a failure: a plain service has no weights."""
-        return ORDER_FAILED.because("a plain service has no weights")
+        return ORDER_FAILED.because("a plain service takes no weights")
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -73,9 +73,7 @@
         """Return further events of a request."""
         run = self.run_by_id.get(request_id)
         if run is None:
-            failed = Event(
-                kind=EventKind.FAILED, reason="request is unknown to this agent"
-            )
+            failed = Event(kind=EventKind.FAILED, reason="request is not known here")
             return self._events(request_id, [failed])
         return self._read_events(request_id, run, max_wait_ms / 1000)
 
--- a/hawthornspoke/config/_document.py
+++ b/hawthornspoke/config/_document.py
@@ -217,7 +217,7 @@
     dict or Failure
     """
     if digest_of(data) != digest:
-        return BAD_DOCUMENT.because(f"data does not match digest {digest[:12]}")
+        return BAD_DOCUMENT.because(f"bytes are not those of {digest[:12]}")
     try:
         return json.loads(zlib.decompress(data))
     except (ValueError, zlib.error) as error:
--- a/hawthornspoke/protocol/_connection.py
+++ b/hawthornspoke/protocol/_connection.py
@@ -60,7 +60,7 @@
             return TOO_LATE.because(f"no time left to call {method}")
         if PARTITION.blocks(self.address):
             self.close()
-            return NOT_SENT.because(f"{self.address} is blocked by a partition test")
+            return NOT_SENT.because(f"{self.address} is cut off")
         opened = self._open(remaining)
         if is_failure(opened):
             return opened
