--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -158,7 +158,7 @@
     Mutation(
         name="SIGTERM ends at once",
         file="node/_process.py",
-        old="(monotonic() < deadline and not self.is_idle())",
+        old="monotonic() < deadline and not self.is_idle()",
         new="False",
         test="tests/test_promise_shutdown.py -k entry_host",
     ),
@@ -353,7 +353,7 @@
         file="agent/_engines.py",
         old="        failure = objection() if objection is not None else None\n",
         new="        failure = None\n",
-        test="hawthornspoke/agent/tests/test_after_a_wait.py -k stood_still",
+        test="hawthornspoke/agent/tests/test_after_a_wait.py -k agent_stalled",
     ),
     Mutation(
         name="after a wait: submits are sent unseen",
