--- a/hawthornspoke/replay/__init__.py
+++ b/hawthornspoke/replay/__init__.py
@@ -1,4 +1,4 @@
-"""Replay of traces: messages with times, and the outcomes that were stated."""
+"""Replay of traces: timed messages with their expected outcomes."""
 
 from hawthornspoke.replay._trace import (
     Step,
--- a/hawthornspoke/replay/_trace.py
+++ b/hawthornspoke/replay/_trace.py
@@ -1,4 +1,4 @@
-"""Traces in TOML, replayed against the pure machines in milliseconds."""
+"""TOML traces that are replayed against the pure state machines, without I/O."""
 
 import importlib
 import pkgutil
@@ -12,7 +12,7 @@
 from hawthornspoke.routing import RequestTraits
 from hawthornspoke.store import HostEntry
 
-#: Classes that a trace may build inside a message, by the name it gives them.
+#: Classes that a trace may use as field values, keyed by their ``type``.
 VALUE_CLASSES = {
     "Declared": Declared,
     "HostEntry": HostEntry,
@@ -22,22 +22,23 @@
     "RequestTraits": RequestTraits,
 }
 
-#: Keys of an event that are not fields of its message.
+#: Keys of an event table that are not fields of its message.
 EVENT_KEYS = frozenset(["at", "message", "outcomes", "state"])
 
 
 class Step:
-    """One message of a trace and what is to come of it.
+    """One message of a trace and its expected effects.
 
     Parameters
     ----------
     at : float
-        Seconds on the trace's clock.
+        Time of the message in seconds, on the trace's clock.
     message : object
     outcomes : list of dict or None
-        Each with ``kind`` and the fields that matter; None if not stated.
+        Expected outcomes, each with its class name as ``kind`` and the fields
+        to compare; None to skip the comparison.
     state : dict
-        Dotted paths into the machine's dump, with the value there.
+        Expected values in the machine's dump, keyed by dotted path.
     """
 
     __slots__ = ("at", "message", "outcomes", "state")
@@ -50,14 +51,14 @@
 
 
 class Trace:
-    """A recorded sequence of events.
+    """A recorded sequence of events for one state machine.
 
     Parameters
     ----------
     title : str
-        Symptom, events and cause.
+        Description of the symptom, the events and the cause.
     machine : object
-        Fresh, with the trace's parameters.
+        New state machine, built with the trace's parameters.
     steps : list of Step
     """
 
@@ -70,7 +71,7 @@
 
 
 def load_trace(file):
-    """Read a trace.
+    """Load a trace file.
 
     Parameters
     ----------
@@ -84,19 +85,19 @@
     Raises
     ------
     KeyError, TypeError
-        If it names a machine, message or field that is not there.
+        If the trace names an unknown machine, message or field.
     """
     import_machines()
     tree = tomllib.loads(file.read_text(encoding="utf-8"))
     machine_class = MACHINES.get(tree["machine"])
     module = importlib.import_module(machine_class.__module__)
-    steps = [_step(module, event) for event in tree["event"]]
+    steps = [_parse_step(module, event) for event in tree["event"]]
     machine = machine_class(**tree.get("params", {}))
     return Trace(title=tree["title"], machine=machine, steps=steps)
 
 
 def replay(trace):
-    """Feed a trace to its machine.
+    """Replay a trace against its machine.
 
     Parameters
     ----------
@@ -105,31 +106,36 @@
     Returns
     -------
     list of str
-        What differs from the stated outcomes; empty if all is as stated.
+        Differences from the expected outcomes and state; empty if there are
+        none.
     """
-    complaints = []
+    differences = []
     for number, step in enumerate(trace.steps, start=1):
         outcomes = trace.machine.step(step.message, now=step.at)
-        where = f"event {number} at {step.at}"
-        complaints += _compare(where, step.outcomes, outcomes)
+        location = f"event {number} at {step.at}"
+        differences += _compare_outcomes(location, step.outcomes, outcomes)
         dump = trace.machine.dump(now=step.at)
         for path, expected in step.state.items():
-            found = _look_up(dump, path)
-            if found != expected:
-                complaints.append(f"{where}: {path} is {found!r}, not {expected!r}")
-    return complaints
+            actual = _value_at(dump, path)
+            if actual != expected:
+                differences.append(
+                    f"{location}: expected {path} {expected!r}, got {actual!r}"
+                )
+    return differences
 
 
 def import_machines():
-    """Import every subpackage, so that all machines are registered."""
+    """Import all subpackages to register their state machines."""
     for module in pkgutil.iter_modules(hawthornspoke.__path__):
         if module.ispkg and module.name not in ("cli", "demo"):
             importlib.import_module(f"hawthornspoke.{module.name}")
 
 
-def _step(module, event):
+def _parse_step(module, event):
     fields = {
-        key: _value(value) for key, value in event.items() if key not in EVENT_KEYS
+        key: _parse_value(value)
+        for key, value in event.items()
+        if key not in EVENT_KEYS
     }
     return Step(
         at=float(event["at"]),
@@ -139,18 +145,18 @@
     )
 
 
-def _value(value):
+def _parse_value(value):
     if isinstance(value, list):
-        return tuple(_value(item) for item in value)
+        return tuple(_parse_value(item) for item in value)
     if not isinstance(value, dict):
         return value
-    fields = {key: _value(item) for key, item in value.items() if key != "type"}
+    fields = {key: _parse_value(item) for key, item in value.items() if key != "type"}
     if "type" not in value:
         return fields
-    return _build(VALUE_CLASSES[value["type"]], fields)
+    return _make_value(VALUE_CLASSES[value["type"]], fields)
 
 
-def _build(value_class, fields):
+def _make_value(value_class, fields):
     if value_class is not MemberView:
         return value_class(**fields)
     status = fields.pop("status", "alive")
@@ -159,30 +165,38 @@
     return view
 
 
-def _compare(where, stated, outcomes):
-    if stated is None:
+def _compare_outcomes(location, expected_outcomes, outcomes):
+    if expected_outcomes is None:
         return []
-    shown = [repr(outcome) for outcome in outcomes]
-    if len(stated) != len(outcomes):
-        return [f"{where}: {len(stated)} outcomes stated, got {shown}"]
-    complaints = []
-    for expected, outcome in zip(stated, outcomes, strict=True):
+    actual = [repr(outcome) for outcome in outcomes]
+    if len(expected_outcomes) != len(outcomes):
+        return [
+            f"{location}: expected {len(expected_outcomes)} outcomes, got {actual}"
+        ]
+    differences = []
+    for expected, outcome in zip(expected_outcomes, outcomes, strict=True):
         for key, value in expected.items():
-            found = type(outcome).__name__ if key == "kind" else _field(outcome, key)
-            if found != value:
-                complaints.append(f"{where}: {key} is {found!r}, not {value!r}")
-    return complaints
-
-
-def _field(outcome, path):
-    """Return a field of an outcome; ``failure`` stands for the failure's code."""
+            actual = (
+                type(outcome).__name__
+                if key == "kind"
+                else _outcome_field(outcome, key)
+            )
+            if actual != value:
+                differences.append(
+                    f"{location}: expected {key} {value!r}, got {actual!r}"
+                )
+    return differences
+
+
+def _outcome_field(outcome, path):
+    """Return a field of an outcome; a failure is represented by its code."""
     value = getattr(outcome, path)
     if hasattr(value, "code"):
         return value.code
     return list(value) if isinstance(value, tuple) else value
 
 
-def _look_up(tree, path):
+def _value_at(tree, path):
     for part in path.split("."):
         if not isinstance(tree, dict) or part not in tree:
             return None
--- a/hawthornspoke/web/__init__.py
+++ b/hawthornspoke/web/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP serving by cheroot, with typed requests and responses."""
+"""HTTP server based on cheroot, with typed requests and responses."""
 
 from hawthornspoke.web._server import HttpServer
 from hawthornspoke.web._types import Request, Response, json_response
--- a/hawthornspoke/web/_server.py
+++ b/hawthornspoke/web/_server.py
@@ -1,4 +1,4 @@
-"""A cheroot server that hands typed requests to one handler."""
+"""A cheroot server that passes typed requests to one handler."""
 
 import threading
 from http import HTTPStatus
@@ -9,23 +9,23 @@
 
 from hawthornspoke.web._types import Request, json_response
 
-SOCKET_KEY = "hawthornspoke.connection"
-STOP_SECONDS = 1.0
+CONNECTION_KEY = "hawthornspoke.connection"
+SHUTDOWN_TIMEOUT_SECONDS = 1.0
 
-#: Seconds between two looks at how many workers are idle.
-GROW_SECONDS = 0.2
+#: Interval in seconds at which the number of idle workers is checked.
+POOL_CHECK_SECONDS = 0.2
 
-#: Idle workers below which more are started, and how many.
-IDLE_LOW = 8
-GROW_BY = 16
+#: When fewer than MIN_IDLE_WORKERS workers are idle, POOL_GROWTH more are started.
+MIN_IDLE_WORKERS = 8
+POOL_GROWTH = 16
 
 
 class _Gateway(Gateway_10):
-    """Adds the connection to the environ, to see whether the caller is there."""
+    """Adds the client socket to the environ, so that disconnects can be detected."""
 
     def get_environ(self):
         environ = super().get_environ()
-        environ[SOCKET_KEY] = self.req.conn.socket
+        environ[CONNECTION_KEY] = self.req.conn.socket
         return environ
 
 
@@ -39,9 +39,9 @@
     handler : callable
         Takes a :class:`Request`, returns a :class:`Response`.
     threads : int, default=16
-        Requests handled at once.
+        Maximum number of requests handled concurrently.
     max_body : int, default=0
-        Bytes of a body at most; 0 for no limit.
+        Maximum size of a request body in bytes; 0 for no limit.
     """
 
     __slots__ = ("address", "port", "handler", "threads", "max_body", "_server")
@@ -55,20 +55,20 @@
         self._server = None
 
     def open(self):
-        """Bind and start to serve.
+        """Bind the address and start serving in a background thread.
 
         Raises
         ------
         OSError
-            If the address is taken.
+            If the address is already in use.
         """
         server = Server(
             (self.address, self.port),
-            self._application,
+            self._wsgi_app,
             numthreads=min(self.threads, 10),
             max=self.threads,
             request_queue_size=512,
-            shutdown_timeout=STOP_SECONDS,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS,
         )
         server.gateway = _Gateway
         server.error_log = _log_error
@@ -78,25 +78,27 @@
         name = f"http-{self.port}"
         threading.Thread(target=server.serve, name=name, daemon=True).start()
         if self.threads > 10:
-            threading.Thread(target=self._grow, name="http-grow", daemon=True).start()
+            threading.Thread(
+                target=self._grow_pool, name="http-grow", daemon=True
+            ).start()
 
     def close(self):
-        """Stop serving; answers on their way are cut."""
+        """Stop serving; responses in progress are aborted."""
         if self._server is not None:
             self._server.stop()
 
-    def _grow(self):
-        """Keep a few idle workers: cheroot starts no more by itself."""
+    def _grow_pool(self):
+        """Grow the thread pool on demand; cheroot does not do so by itself."""
         pool = self._server.requests
         stop = threading.Event()
         while self._server.ready:
-            if pool.idle < IDLE_LOW and len(pool._threads) < self.threads:
-                pool.grow(GROW_BY)
-            stop.wait(GROW_SECONDS)
+            if pool.idle < MIN_IDLE_WORKERS and len(pool._threads) < self.threads:
+                pool.grow(POOL_GROWTH)
+            stop.wait(POOL_CHECK_SECONDS)
 
-    def _application(self, environ, start_response):
-        request, refusal = self._read(environ)
-        response = refusal or self._answer(request)
+    def _wsgi_app(self, environ, start_response):
+        request, error_response = self._read_request(environ)
+        response = error_response or self._run_handler(request)
         headers = list(response.headers.items())
         if isinstance(response.body, bytes):
             headers.append(("Content-Length", str(len(response.body))))
@@ -105,25 +107,25 @@
             return [response.body]
         return response.body
 
-    def _read(self, environ):
+    def _read_request(self, environ):
         length = int(environ.get("CONTENT_LENGTH") or 0)
         if self.max_body and length > self.max_body:
-            return None, _too_large(self.max_body)
+            return None, _body_too_large(self.max_body)
         try:
-            body = self._body(environ, length)
+            body = self._read_body(environ, length)
         except MaxSizeExceeded:
-            return None, _too_large(self.max_body)
+            return None, _body_too_large(self.max_body)
         request = Request(
             method=environ["REQUEST_METHOD"],
             path=environ.get("PATH_INFO", "/"),
             query=environ.get("QUERY_STRING", ""),
-            headers=_headers(environ),
+            headers=_parse_headers(environ),
             body=body,
-            connection=environ.get(SOCKET_KEY),
+            connection=environ.get(CONNECTION_KEY),
         )
         return request, None
 
-    def _body(self, environ, length):
+    def _read_body(self, environ, length):
         stream = environ["wsgi.input"]
         if length:
             return stream.read(length)
@@ -131,22 +133,24 @@
             return stream.read()
         return b""
 
-    def _answer(self, request):
+    def _run_handler(self, request):
         try:
             return self.handler(request)
         except Exception:
-            # A handler that raises has met a broken invariant; this request
-            # gets an error and the process goes on for all the others.
-            logger.exception("handler failed on {} {}", request.method, request.path)
+            # Handlers return failures as values, so an exception means a broken
+            # invariant. Only this request fails; the server keeps running.
+            logger.exception(
+                "unhandled exception in handler of {} {}", request.method, request.path
+            )
             return json_response({"error": {"code": "internal"}}, status=500)
 
 
-def _too_large(limit):
+def _body_too_large(limit):
     error = {"code": "body_too_large", "message": f"at most {limit} bytes"}
     return json_response({"error": {**error, "outcome": "not_run"}}, status=413)
 
 
-def _headers(environ):
+def _parse_headers(environ):
     headers = {
         name[5:].replace("_", "-").lower(): value
         for name, value in environ.items()
--- a/hawthornspoke/web/_types.py
+++ b/hawthornspoke/web/_types.py
@@ -1,4 +1,4 @@
-"""A request as handlers see it, and what they return."""
+"""Request and response types of HTTP handlers."""
 
 import json
 
@@ -12,13 +12,13 @@
     ----------
     method : str
     path : str
-        Without the query.
+        Path without the query string.
     query : str
     headers : dict of str to str
-        Names in lower case.
+        Keyed by lower-case name.
     body : bytes
     connection : socket.socket or None
-        The caller's connection, only to see whether it is still there.
+        The client's socket, used only to detect a disconnect.
     """
 
     __slots__ = ("method", "path", "query", "headers", "body", "connection")
@@ -32,12 +32,12 @@
         self.connection = connection
 
     def json(self):
-        """Return the body as JSON.
+        """Decode the body as JSON.
 
         Returns
         -------
         object or None
-            None if it is not JSON.
+            None if the body is not valid JSON.
         """
         try:
             return json.loads(self.body)
@@ -45,7 +45,7 @@
             return None
 
     def caller_gone(self):
-        """Tell whether the caller has closed its connection.
+        """Return whether the client has closed the connection.
 
         Returns
         -------
@@ -55,15 +55,16 @@
 
 
 class Response:
-    """What a handler answers.
+    """HTTP response returned by a handler.
 
     Parameters
     ----------
     status : int, default=200
     headers : dict of str to str or None, default=None
     body : bytes or iterator of bytes, default=b""
-        An iterator is sent piece by piece; if it raises, the connection is
-        closed without the last chunk, so that the caller sees the cut.
+        An iterator is streamed with chunked encoding. If it raises, the
+        connection is closed without the final chunk, so that the client
+        detects the truncation.
     """
 
     __slots__ = ("status", "headers", "body")
@@ -75,7 +76,7 @@
 
 
 def json_response(tree, *, status=200, headers=None):
-    """Return a response with a JSON body.
+    """Create a response with a JSON body.
 
     Parameters
     ----------
