--- a/hawthornspoke/demo/__init__.py
+++ b/hawthornspoke/demo/__init__.py
@@ -1,4 +1,4 @@
-"""The whole system in one process, over the real sockets, with stand-ins."""
+"""Demo: the whole system in one process, with simulated external systems."""
 
 from hawthornspoke.demo._demo import run_demo
 
--- a/hawthornspoke/demo/_demo.py
+++ b/hawthornspoke/demo/_demo.py
@@ -1,4 +1,4 @@
-"""``hawthornspoke demo``: a first answer in seconds."""
+"""The ``hawthornspoke demo`` command."""
 
 import json
 import signal
@@ -11,13 +11,19 @@
 
 from hawthornspoke.base import monotonic
 from hawthornspoke.cli._logs import set_up_logs
-from hawthornspoke.demo._fleet import ADDRESS, CHUNK, CHUNKS, RUNNERS, DemoFleet
+from hawthornspoke.demo._fleet import (
+    ADDRESS,
+    CHUNK_COUNT,
+    CHUNK_SIZE,
+    MODEL_HOSTS,
+    DemoFleet,
+)
 from hawthornspoke.operator import Accepted, apply_folder, read_fleet, render_status
 
-KEY = "demo-key"
-WAIT_SECONDS = 30.0
-POLL_SECONDS = 0.05
-ADDRESS_TAKEN = 7
+API_KEY = "demo-key"
+TIMEOUT_SECONDS = 30.0
+POLL_INTERVAL_SECONDS = 0.05
+EXIT_ADDRESS_IN_USE = 7
 
 
 def run_demo(*, once, port):
@@ -26,75 +32,87 @@
     Parameters
     ----------
     once : bool
-        End after one request and one burst, else at Ctrl-C.
+        Exit after a request and a change of the weights; otherwise run until
+        Ctrl-C.
     port : int
+        First of the ports to use.
 
     Returns
     -------
     int
-        Exit code: 0, or 1 if a step failed.
+        Exit code: 0, 1 if a step failed, or 7 if a port is in use.
     """
     set_up_logs("WARNING")
     fleet = DemoFleet(port=port)
     try:
         fleet.start()
     except OSError as error:
-        print(f"hawthornspoke: port {port} and after: {error}", file=sys.stderr)
+        print(
+            f"hawthornspoke: cannot use port {port} and following: {error}",
+            file=sys.stderr,
+        )
         fleet.stop()
-        return ADDRESS_TAKEN
+        return EXIT_ADDRESS_IN_USE
     try:
-        return _play(fleet, once=once)
+        return _run_steps(fleet, once=once)
     finally:
         fleet.stop()
 
 
-def _play(fleet, *, once):
-    print(f"1 platform stand-in, 2 entry hosts, {RUNNERS} model hosts, 1 plain service")
-    seconds = _roll_out(fleet, "declarations")
+def _run_steps(fleet, *, once):
+    print(
+        f"1 platform stand-in, 2 entry hosts, {MODEL_HOSTS} model hosts, 1 plain service"
+    )
+    seconds = _apply_and_wait(fleet, "declarations")
     if seconds is None:
         return 1
-    print(f"v1 declared, spread and live on {RUNNERS} hosts after {seconds:.2f} s")
-    answer = _ask(fleet)
-    if answer is None:
+    print(f"v1 declared, spread and live on {MODEL_HOSTS} hosts after {seconds:.2f} s")
+    response = _send_request(fleet)
+    if response is None:
         return 1
-    print(f"one request, answered by {answer}")
+    print(f"one request, answered by {response}")
     if once:
-        return _burst(fleet)
+        return _run_version_change(fleet)
     print("try it (Ctrl-C ends the demo):\n")
-    print(_curl(fleet.port))
+    print(_curl_command(fleet.port))
     _wait_for_interrupt()
     return 0
 
 
-def _burst(fleet):
-    before = fleet.platform.origin.sent
-    seconds = _roll_out(fleet, "declarations_v2")
+def _run_version_change(fleet):
+    bytes_before = fleet.platform.origin.bytes_sent
+    seconds = _apply_and_wait(fleet, "declarations_v2")
     if seconds is None:
         return 1
-    copies = (fleet.platform.origin.sent - before) / (CHUNK * CHUNKS)
-    print(f"v2 live on {RUNNERS} hosts after {seconds:.2f} s", end="; ")
+    copies = (fleet.platform.origin.bytes_sent - bytes_before) / (
+        CHUNK_SIZE * CHUNK_COUNT
+    )
+    print(f"v2 live on {MODEL_HOSTS} hosts after {seconds:.2f} s", end="; ")
     print(f"{copies:.2f} copies read from the origin")
-    answer = _ask(fleet)
-    if answer is None:
+    response = _send_request(fleet)
+    if response is None:
         return 1
-    print(f"one request, answered by {answer}")
+    print(f"one request, answered by {response}")
     print("\n".join(render_status(read_fleet(fleet.clients))))
     return 0
 
 
-def _roll_out(fleet, name):
-    """Apply a folder of the package and wait until it is live everywhere."""
+def _apply_and_wait(fleet, name):
+    """Apply a folder of the package and wait until all hosts serve its weights."""
     started = monotonic()
     folder = files("hawthornspoke.demo") / name
     outcome = apply_folder(folder, clients=fleet.clients, author="demo")
     if not isinstance(outcome, Accepted):
-        print(f"not accepted: {outcome}", file=sys.stderr)
+        print(f"declarations were rejected: {outcome}", file=sys.stderr)
         return None
-    while monotonic() - started < WAIT_SECONDS:
+    while monotonic() - started < TIMEOUT_SECONDS:
         if _all_live(fleet, outcome.revision):
             return monotonic() - started
-        time.sleep(POLL_SECONDS)
-    print("the weights were not live in time", file=sys.stderr)
+        time.sleep(POLL_INTERVAL_SECONDS)
+    print(
+        f"weights were not live on all hosts within {TIMEOUT_SECONDS} s",
+        file=sys.stderr,
+    )
     return None
 
 
@@ -102,48 +120,48 @@
     hosts = read_fleet(fleet.clients)
     if not isinstance(hosts, list):
         return False
-    for item in hosts:
-        if item.status is None or (item.status.in_force or 0) < revision:
+    for host in hosts:
+        if host.status is None or (host.status.in_force or 0) < revision:
             return False
-        progress = item.status.member.progress or {}
-        if any(part < 1000 for part in progress.values()):
+        progress = host.status.member.progress or {}
+        if any(permille < 1000 for permille in progress.values()):
             return False
     return True
 
 
-def _ask(fleet):
-    """Make one request; return a line about its answer, or None."""
+def _send_request(fleet):
+    """Send one request; return a summary of the response, or None on failure."""
     body = {"model": "redacteur", "prompt": "A laptop with a dim screen", "stream": 0}
-    deadline = monotonic() + WAIT_SECONDS
+    deadline = monotonic() + TIMEOUT_SECONDS
     while monotonic() < deadline:
-        answer = urllib3.request(
+        response = urllib3.request(
             "POST",
             f"http://{ADDRESS}:{fleet.port}/v1/completions",
             body=json.dumps(body).encode(),
-            headers={"Authorization": f"Bearer {KEY}"},
+            headers={"Authorization": f"Bearer {API_KEY}"},
             retries=False,
         )
-        if answer.status == 200:
-            headers = answer.headers
+        if response.status == 200:
+            headers = response.headers
             digest = headers["X-Weights-Digest"][:12]
             version = headers.get("X-Served-Version", "?")
             return f"{headers['X-Served-By']} with {version} ({digest})"
-        time.sleep(POLL_SECONDS)
-    print(f"no answer: {answer.status} {answer.data!r}", file=sys.stderr)
+        time.sleep(POLL_INTERVAL_SECONDS)
+    print(f"request failed: {response.status} {response.data!r}", file=sys.stderr)
     return None
 
 
-def _curl(port):
+def _curl_command(port):
     return (
         f"curl -N http://{ADDRESS}:{port}/v1/completions "
-        f"-H 'Authorization: Bearer {KEY}' "
+        f"-H 'Authorization: Bearer {API_KEY}' "
         "-H 'Content-Type: application/json' "
         """-d '{"model": "redacteur", "prompt": "hello", "stream": true}'"""
     )
 
 
 def _wait_for_interrupt():
-    woken = threading.Event()
-    signal.signal(signal.SIGTERM, lambda *_: woken.set())
-    signal.signal(signal.SIGINT, lambda *_: woken.set())
-    woken.wait()
+    interrupted = threading.Event()
+    signal.signal(signal.SIGTERM, lambda *_: interrupted.set())
+    signal.signal(signal.SIGINT, lambda *_: interrupted.set())
+    interrupted.wait()
--- a/hawthornspoke/demo/_fleet.py
+++ b/hawthornspoke/demo/_fleet.py
@@ -1,4 +1,4 @@
-"""Hosts of the demo: real entry and agent processes' parts, on loopback ports."""
+"""Entry hosts and agents of the demo, on loopback ports of one process."""
 
 import random
 
@@ -9,90 +9,98 @@
 from hawthornspoke.standins import Engine, PlainService, Platform
 
 ADDRESS = "127.0.0.1"
-CHUNK = 16 * 1024
-CHUNKS = 128
-DOMAINS = ("anderlecht", "gent-noord")
-RUNNERS = 3
+CHUNK_SIZE = 16 * 1024
+CHUNK_COUNT = 128
+FAILURE_DOMAINS = ("anderlecht", "gent-noord")
+MODEL_HOSTS = 3
 
-#: Ports of one host, counted from its first.
+#: Size of the port range reserved for one host.
 PORTS_PER_HOST = 4
 
 
 class DemoFleet:
-    """One platform, two entry hosts, three model hosts, one plain service.
+    """A simulated platform, two entry hosts, three model hosts and a plain service.
 
     Parameters
     ----------
     port : int
-        Port of the first entry host's callers' API; others follow it.
+        Port of the first entry host's client API; the other ports follow it.
     """
 
-    __slots__ = ("port", "platform", "nodes", "servers", "entries", "agents", "clients")
+    __slots__ = (
+        "port",
+        "platform",
+        "listed_hosts",
+        "servers",
+        "entries",
+        "agents",
+        "clients",
+    )
 
     def __init__(self, *, port):
         self.port = port
-        self.platform = Platform(address=ADDRESS, port=port + 1, chunk_size=CHUNK)
-        self.nodes = []
+        self.platform = Platform(address=ADDRESS, port=port + 1, chunk_size=CHUNK_SIZE)
+        self.listed_hosts = []
         self.servers = []
         self.entries = []
         self.agents = []
         self.clients = None
 
     def start(self):
-        """Start everything.
+        """Start the platform, the agents and the entry hosts.
 
         Raises
         ------
         OSError
-            If a port is taken.
+            If a port is already in use.
         """
         self.platform.open()
-        for number, version in enumerate(("v1", "v2")):
-            data = random.Random(number).randbytes(CHUNK * CHUNKS)
+        for index, version in enumerate(("v1", "v2")):
+            data = random.Random(index).randbytes(CHUNK_SIZE * CHUNK_COUNT)
             self.platform.origin.publish(f"diagnose-{version}", data)
-        names = [f"runner-{number}" for number in range(RUNNERS)] + ["registre-0"]
-        for number, name in enumerate(names):
-            self._start_agent(name, number)
-        for number in range(len(DOMAINS)):
-            self._start_entry(number)
-        self.platform.hosts.set(self.nodes)
+        names = [f"runner-{index}" for index in range(MODEL_HOSTS)] + ["registre-0"]
+        for index, name in enumerate(names):
+            self._start_agent(name, index)
+        for index in range(len(FAILURE_DOMAINS)):
+            self._start_entry(index)
+        self.platform.hosts.set(self.listed_hosts)
         self.clients = connect_platform(self._platform_settings())
 
     def stop(self):
-        """Stop everything, entry hosts first."""
+        """Stop all processes, entry hosts first."""
         for process in self.entries + self.agents:
             process.stop()
         for server in self.servers:
             server.close()
         self.platform.close()
 
-    def _start_agent(self, name, number):
-        first = self.port + 20 + number * PORTS_PER_HOST
+    def _start_agent(self, name, index):
+        first_port = self.port + 20 + index * PORTS_PER_HOST
         kind = "plain" if name.startswith("registre") else "model"
-        make = PlainService if kind == "plain" else Engine
-        server = make(address=ADDRESS, port=first + 2)
+        server_class = PlainService if kind == "plain" else Engine
+        server = server_class(address=ADDRESS, port=first_port + 2)
         server.open()
         self.servers.append(server)
-        settings = self._settings(
+        settings = self._make_settings(
             "agent",
             name,
-            number,
-            first,
-            engine_url=f"http://{ADDRESS}:{first + 2}",
+            index,
+            first_port,
+            engine_url=f"http://{ADDRESS}:{first_port + 2}",
             engine_kind=kind,
         )
         process = AgentProcess(settings=settings)
         process.start()
         self.agents.append(process)
 
-    def _start_entry(self, number):
-        first = self.port + 4 + number * PORTS_PER_HOST
-        http_port = self.port if number == 0 else first + 2
-        settings = self._settings(
+    def _start_entry(self, index):
+        first_port = self.port + 4 + index * PORTS_PER_HOST
+        http_port = self.port if index == 0 else first_port + 2
+        settings = self._make_settings(
             "entry",
-            f"entry-{number}",
-            number,
-            first,
+            f"entry-{index}",
+            index,
+            first_port,
             http_port=http_port,
             threads=32,
             leave_wait=0,
@@ -101,31 +109,33 @@
         process.start()
         self.entries.append(process)
 
-    def _settings(self, role, name, number, first, **more):
-        domain = DOMAINS[number % len(DOMAINS)]
+    def _make_settings(self, role, name, index, first_port, **extra):
+        domain = FAILURE_DOMAINS[index % len(FAILURE_DOMAINS)]
         values = {
             "node": name,
             "failure_domain": domain,
             "address": ADDRESS,
-            "port": first,
-            "operator_port": first + 1,
+            "port": first_port,
+            "operator_port": first_port + 1,
             "grace": 5.0,
-            **more,
+            **extra,
         }
         platform = self._platform_settings()
-        flags = [f"{key}={_toml(value)}" for key, value in values.items()]
-        flags += [f"platform.{key}={_toml(value)}" for key, value in platform.items()]
+        flags = [f"{key}={_to_toml(value)}" for key, value in values.items()]
+        flags += [
+            f"platform.{key}={_to_toml(value)}" for key, value in platform.items()
+        ]
         settings, failures = load_settings(
             role=role, file=None, environment={}, flags=flags
         )
         assert not failures, failures
-        self.nodes.append(
+        self.listed_hosts.append(
             {
                 "host": name,
                 "role": role,
                 "failure_domain": domain,
                 "address": ADDRESS,
-                "port": first,
+                "port": first_port,
             }
         )
         return settings
@@ -142,5 +152,5 @@
         }
 
 
-def _toml(value):
+def _to_toml(value):
     return f'"{value}"' if isinstance(value, str) else str(value).lower()
--- a/hawthornspoke/replay/_trace.py
+++ b/hawthornspoke/replay/_trace.py
@@ -170,9 +170,7 @@
         return []
     actual = [repr(outcome) for outcome in outcomes]
     if len(expected_outcomes) != len(outcomes):
-        return [
-            f"{location}: expected {len(expected_outcomes)} outcomes, got {actual}"
-        ]
+        return [f"{location}: expected {len(expected_outcomes)} outcomes, got {actual}"]
     differences = []
     for expected, outcome in zip(expected_outcomes, outcomes, strict=True):
         for key, value in expected.items():
--- a/hawthornspoke/standins/__init__.py
+++ b/hawthornspoke/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Small stand-ins for the systems around hawthornspoke, with faults to switch on.
+"""Simulated external systems with fault injection.
 
-They serve tests, benchmarks and the demo, and are no product.
+For tests, benchmarks and the demo only; not for production use.
 """
 
 from hawthornspoke.standins._engine import Engine
--- a/hawthornspoke/standins/_engine.py
+++ b/hawthornspoke/standins/_engine.py
@@ -1,7 +1,7 @@
-"""Stand-in for a model engine: an OpenAI-style API and weight orders.
+"""Simulated model engine with an OpenAI-style API and orders to load weights.
 
-Each token of an answer names the digest of the bytes that were really loaded, so
-that a test sees an answer by partial or mixed weights.
+Each generated token contains the digest of the bytes that were actually loaded, so
+that tests detect responses from partial or mixed weights.
 """
 
 import json
@@ -19,40 +19,42 @@
 PREFIX_CHARACTERS = 64
 
 
-class _Loaded:
-    __slots__ = ("actual", "size", "base")
+class _LoadedWeights:
+    __slots__ = ("actual_digest", "size", "base")
 
-    def __init__(self, *, actual, size, base):
-        self.actual = actual
+    def __init__(self, *, actual_digest, size, base):
+        self.actual_digest = actual_digest
         self.size = size
         self.base = base
 
 
 class Engine:
-    """One engine process.
+    """A simulated engine process.
 
     Parameters
     ----------
     address : str
     port : int
     slots : int, default=8
-        Requests in one batch.
+        Maximum batch size in requests.
     token_seconds : float, default=0.01
-        Seconds of one decoding step at an empty batch.
+        Duration of one decoding step for an empty batch.
     prefill_seconds : float, default=0.01
-        Seconds until the first token; a cached prefix saves three quarters.
+        Time to first token in seconds; a cached prefix reduces it to a quarter.
     memory : int, default=0
-        Bytes of weights that can be loaded together; 0 for no limit.
+        Capacity for loaded weights in bytes; 0 for no limit.
     checks_fencing : bool, default=True
-        Whether orders with an old fencing number are refused.
+        Whether orders with an outdated fencing number are rejected.
     prefixes : int, default=64
-        Prompt prefixes kept.
+        Capacity of the prefix cache, in prefixes.
 
     Notes
     -----
-    Faults: ``fail_share`` (share of requests answered 500 at once),
-    ``slow_factor``, ``die_after_tokens`` (streams are cut after that many),
-    ``load_seconds``, ``refuse_load``.
+    Faults: ``fail_share`` (fraction of requests answered immediately with 500),
+    ``slow_factor`` (multiplier of prefill and decoding times),
+    ``die_after_tokens`` (streams are aborted after this many tokens),
+    ``load_seconds`` (duration of a load), ``refuse_load`` (loads fail with 500),
+    ``exit_on_prompt`` (a prompt with this text ends the process).
     """
 
     __slots__ = (
@@ -71,8 +73,8 @@
         "runs",
         "cancelled",
         "_staged_by_digest",
-        "_cached",
-        "_hits",
+        "_cached_prefixes",
+        "_prefix_hits",
         "_running",
         "_requests",
         "_lock",
@@ -115,8 +117,8 @@
         self.runs = []
         self.cancelled = []
         self._staged_by_digest = {}
-        self._cached = []
-        self._hits = 0
+        self._cached_prefixes = []
+        self._prefix_hits = 0
         self._running = 0
         self._requests = 0
         self._lock = threading.Lock()
@@ -125,7 +127,7 @@
         )
 
     def open(self):
-        """Start to serve."""
+        """Start serving."""
         self._server.open()
 
     def close(self):
@@ -141,11 +143,11 @@
         if path == "/runs":
             return json_response({"runs": self.runs, "cancelled": self.cancelled})
         if path.startswith("/weights/"):
-            return self._stage(request)
+            return self._handle_weights(request)
         if path == "/orders":
-            return self._order(request.json())
+            return self._handle_order(request.json())
         if path in ("/v1/completions", "/v1/chat/completions"):
-            return self._complete(request)
+            return self._handle_completion(request)
         return Response(status=404)
 
     def _state(self):
@@ -155,16 +157,16 @@
                 "fence": self.fence,
                 "loaded": sorted(self.loaded_by_digest),
                 "memory": self.memory,
-                "used": self._used(),
+                "used": self._used_bytes(),
                 "running": self._running,
-                "prefix_hits": self._hits,
+                "prefix_hits": self._prefix_hits,
                 "requests": self._requests,
             }
 
-    def _used(self):
+    def _used_bytes(self):
         return sum(item.size for item in self.loaded_by_digest.values())
 
-    def _stage(self, request):
+    def _handle_weights(self, request):
         if request.method == "DELETE":
             with self._lock:
                 self._staged_by_digest.pop(request.path.split("/")[2], None)
@@ -175,7 +177,7 @@
             staged[int(index)] = request.body
         return Response()
 
-    def _order(self, order):
+    def _handle_order(self, order):
         if self.checks_fencing and order["fence"] < self.fence:
             return json_response({"error": "old fencing number"}, status=409)
         self.fence = max(self.fence, order["fence"])
@@ -199,18 +201,18 @@
             size = sum(len(chunk) for chunk in chunks)
             if base and base not in self.loaded_by_digest:
                 return json_response({"error": "base is not loaded"}, status=409)
-            if self.memory and self._used() + size > self.memory:
+            if self.memory and self._used_bytes() + size > self.memory:
                 return json_response({"error": "out of memory"}, status=507)
-            actual = Manifest(
+            actual_digest = Manifest(
                 chunks=[digest_of(chunk) for chunk in chunks],
                 chunk_size=order["chunk_size"],
                 size=size,
             ).digest
-            loaded = _Loaded(actual=actual, size=size, base=base)
+            loaded = _LoadedWeights(actual_digest=actual_digest, size=size, base=base)
             self.loaded_by_digest[digest] = loaded
         return json_response({})
 
-    def _complete(self, request):
+    def _handle_completion(self, request):
         body = request.json() or {}
         request_id = request.headers.get("x-request-id", "")
         with self._lock:
@@ -220,38 +222,40 @@
                 return json_response({"error": "model is not loaded"}, status=404)
             if self._running >= self.slots * 2:
                 return json_response({"error": "overloaded"}, status=429)
-            if self._fails():
+            if self._should_fail():
                 return json_response({"error": "failed by fault"}, status=500)
             self._running += 1
             self.runs.append(request_id)
-        tokens = self._tokens(request_id, loaded, body)
+        tokens = self._generate_tokens(request_id, loaded, body)
         if body.get("stream"):
             return Response(
                 headers={"Content-Type": "text/event-stream"},
-                body=_as_events(tokens, body),
+                body=_encode_events(tokens, body),
             )
         text = "".join(tokens)
         return json_response({"object": "text_completion", **_choice(text, body)})
 
-    def _fails(self):
+    def _should_fail(self):
         share = self.faults["fail_share"]
         return int(self._requests * share) > int((self._requests - 1) * share)
 
-    def _tokens(self, request_id, loaded, body):
+    def _generate_tokens(self, request_id, loaded, body):
         prompt = json.dumps(body.get("messages") or body.get("prompt") or "")
-        name = f"{loaded.actual[:12]}:{digest_of(prompt.encode())[:6]}"
-        first = int(body.get("resume_from") or 0)
+        token_prefix = f"{loaded.actual_digest[:12]}:{digest_of(prompt.encode())[:6]}"
+        first_position = int(body.get("resume_from") or 0)
         try:
-            time.sleep(self._prefill(prompt) * self.faults["slow_factor"])
-            poison = self.faults["exit_on_prompt"]
-            if poison and poison in prompt:
+            time.sleep(self._prefill_duration(prompt) * self.faults["slow_factor"])
+            exit_prompt = self.faults["exit_on_prompt"]
+            if exit_prompt and exit_prompt in prompt:
                 os._exit(1)
-            for place in range(first, int(body.get("max_tokens", DEFAULT_TOKENS))):
+            for position in range(
+                first_position, int(body.get("max_tokens", DEFAULT_TOKENS))
+            ):
                 limit = self.faults["die_after_tokens"]
-                if limit and place - first >= limit:
+                if limit and position - first_position >= limit:
                     raise ConnectionResetError("stream cut by fault")
-                time.sleep(self._step())
-                yield f"{name}:{place} "
+                time.sleep(self._decode_seconds())
+                yield f"{token_prefix}:{position} "
         except GeneratorExit:
             self.cancelled.append(request_id)
             raise
@@ -259,20 +263,20 @@
             with self._lock:
                 self._running -= 1
 
-    def _step(self):
-        fullness = self._running / self.slots
-        batch_factor = 1.0 + max(0.0, fullness - 0.5)
+    def _decode_seconds(self):
+        occupancy = self._running / self.slots
+        batch_factor = 1.0 + max(0.0, occupancy - 0.5)
         return self.token_seconds * batch_factor * self.faults["slow_factor"]
 
-    def _prefill(self, prompt):
+    def _prefill_duration(self, prompt):
         prefix = prompt[:PREFIX_CHARACTERS]
         with self._lock:
-            hit = prefix in self._cached
+            hit = prefix in self._cached_prefixes
             if hit:
-                self._cached.remove(prefix)
-                self._hits += 1
-            self._cached.append(prefix)
-            del self._cached[: -self.prefixes]
+                self._cached_prefixes.remove(prefix)
+                self._prefix_hits += 1
+            self._cached_prefixes.append(prefix)
+            del self._cached_prefixes[: -self.prefixes]
         return self.prefill_seconds * (0.25 if hit else 1.0)
 
 
@@ -283,7 +287,7 @@
     return {"choices": [{"index": 0, "text": text}]}
 
 
-def _as_events(tokens, body):
+def _encode_events(tokens, body):
     for token in tokens:
         if "messages" in body:
             choice = {"index": 0, "delta": {"content": token}}
--- a/hawthornspoke/standins/_faults.py
+++ b/hawthornspoke/standins/_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test switches on over HTTP."""
+"""Faults that tests inject over HTTP."""
 
 import threading
 
@@ -8,16 +8,16 @@
 
 
 class Faults:
-    """Named fault settings of one stand-in.
+    """Fault settings of one simulated system, by name.
 
     Parameters
     ----------
     defaults : dict of str to object
-        Every fault the stand-in knows, switched off.
+        All supported faults with the values that disable them.
 
     Notes
     -----
-    ``POST /_faults`` with a JSON object sets some of them.
+    ``POST /_faults`` with a JSON object sets the named faults.
     """
 
     __slots__ = ("defaults", "_by_name", "_lock")
@@ -31,7 +31,7 @@
         return self._by_name[name]
 
     def set(self, changes):
-        """Set some faults.
+        """Set the named faults.
 
         Parameters
         ----------
@@ -40,8 +40,8 @@
         Raises
         ------
         KeyError
-            For a fault that the stand-in does not know: a test that misspells
-            one would prove nothing.
+            For an unsupported fault, since a test with a misspelled fault name
+            would pass without injecting anything.
         """
         for name in changes:
             if name not in self.defaults:
@@ -49,8 +49,8 @@
         with self._lock:
             self._by_name.update(changes)
 
-    def take(self, name):
-        """Use up one of a counted fault.
+    def consume(self, name):
+        """Decrement the counter of a fault that applies a limited number of times.
 
         Parameters
         ----------
@@ -59,13 +59,13 @@
         Returns
         -------
         bool
-            Whether there was one left.
+            Whether the counter was above zero.
         """
         with self._lock:
-            left = self._by_name[name]
-            if not left:
+            remaining = self._by_name[name]
+            if not remaining:
                 return False
-            self._by_name[name] = left - 1
+            self._by_name[name] = remaining - 1
             return True
 
     def handle(self, request):
--- a/hawthornspoke/standins/_origin.py
+++ b/hawthornspoke/standins/_origin.py
@@ -1,4 +1,4 @@
-"""Stand-in for the origin of weights: counted bytes on one paced link."""
+"""Simulated weight origin with a rate-limited link and transfer counters."""
 
 import threading
 import time
@@ -11,25 +11,26 @@
 
 
 class Origin:
-    """Weights made up from their name, or put there by a test.
+    """Serves weights that tests publish by source name.
 
     Parameters
     ----------
     chunk_size : int, default=16384
     rate : float, default=0.0
-        Bytes a second over all readers; 0 for no limit.
+        Total bandwidth in bytes per second, shared by all readers; 0 for no limit.
 
     Notes
     -----
-    Faults: ``origin_down``, ``origin_stall`` (seconds before each chunk),
-    ``origin_corrupt`` (that many chunks arrive with a wrong byte),
-    ``origin_corrupt_share`` (share of chunks, by count).
+    Faults: ``origin_down`` (503 for all requests), ``origin_stall`` (delay of
+    each chunk in seconds), ``origin_corrupt`` (number of chunks to send with a
+    corrupted byte), ``origin_corrupt_share`` (fraction of chunks to corrupt, at
+    regular intervals).
     """
 
     __slots__ = (
         "chunk_size",
         "faults",
-        "sent",
+        "bytes_sent",
         "requests",
         "_link",
         "_data_by_source",
@@ -46,14 +47,14 @@
                 "origin_corrupt_share": 0.0,
             }
         )
-        self.sent = 0
+        self.bytes_sent = 0
         self.requests = 0
         self._link = Link(rate=rate)
         self._data_by_source = {}
         self._lock = threading.Lock()
 
     def publish(self, source, data):
-        """Put weights under a name, in place of what was there.
+        """Store weights under a source name, replacing previous ones.
 
         Parameters
         ----------
@@ -64,7 +65,7 @@
             self._data_by_source[source] = data
 
     def manifest(self, source):
-        """Return the manifest of what a name has now.
+        """Return the manifest of a source's current weights.
 
         Parameters
         ----------
@@ -78,43 +79,45 @@
         if data is None:
             return None
         size = self.chunk_size
-        pieces = [data[at : at + size] for at in range(0, len(data), size)]
+        chunk_list = [
+            data[offset : offset + size] for offset in range(0, len(data), size)
+        ]
         return Manifest(
-            chunks=[digest_of(piece) for piece in pieces],
+            chunks=[digest_of(chunk) for chunk in chunk_list],
             chunk_size=size,
             size=len(data),
         )
 
     def handle(self, request):
-        """Answer a read of a manifest or of a range of bytes."""
+        """Handle a read of a manifest or a byte range, or an upload of weights."""
         if self.faults["origin_down"]:
             return Response(status=503)
-        source, _, leaf = request.path.lstrip("/").rpartition("/")
-        if request.method == "PUT" and leaf == "weights":
+        source, _, resource = request.path.lstrip("/").rpartition("/")
+        if request.method == "PUT" and resource == "weights":
             self.publish(source, request.body)
             return json_response({})
         if source not in self._data_by_source:
             return Response(status=404)
-        if leaf == "manifest.json":
+        if resource == "manifest.json":
             return Response(body=self.manifest(source).to_bytes())
-        return self._range(source, request)
+        return self._read_range(source, request)
 
-    def _range(self, source, request):
-        span = request.headers.get("range", "bytes=0-").removeprefix("bytes=")
-        first, _, last = span.partition("-")
+    def _read_range(self, source, request):
+        byte_range = request.headers.get("range", "bytes=0-").removeprefix("bytes=")
+        first, _, last = byte_range.partition("-")
         data = self._data_by_source[source]
-        piece = data[int(first) : int(last or len(data) - 1) + 1]
+        chunk = data[int(first) : int(last or len(data) - 1) + 1]
         with self._lock:
             self.requests += 1
-            self.sent += len(piece)
+            self.bytes_sent += len(chunk)
             corrupt = self._is_corrupt()
-        time.sleep(self._link.reserve(len(piece)) + self.faults["origin_stall"])
+        time.sleep(self._link.reserve(len(chunk)) + self.faults["origin_stall"])
         if corrupt:
-            piece = bytes([piece[0] ^ 1]) + piece[1:]
-        return Response(status=206, body=piece)
+            chunk = bytes([chunk[0] ^ 1]) + chunk[1:]
+        return Response(status=206, body=chunk)
 
     def _is_corrupt(self):
         share = self.faults["origin_corrupt_share"]
         if share and self.requests % round(1 / share) == 0:
             return True
-        return self.faults.take("origin_corrupt")
+        return self.faults.consume("origin_corrupt")
--- a/hawthornspoke/standins/_plain.py
+++ b/hawthornspoke/standins/_plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service whose calls may not be repeated."""
+"""Simulated service whose calls are not idempotent."""
 
 import threading
 import time
@@ -8,19 +8,19 @@
 
 
 class PlainService:
-    """Counts what it was asked to do.
+    """Records every call that it executes.
 
     Parameters
     ----------
     address : str
     port : int
     seconds : float, default=0.01
-        Time of one call.
+        Duration of one call.
 
     Notes
     -----
-    Faults: ``slow`` (further seconds), ``drop_answers`` (that many calls are
-    run and their answer then lost).
+    Faults: ``slow`` (additional duration in seconds), ``drop_answers`` (number of
+    calls to execute without delivering the response).
     """
 
     __slots__ = ("address", "port", "seconds", "faults", "runs", "_lock", "_server")
@@ -37,7 +37,7 @@
         )
 
     def open(self):
-        """Start to serve."""
+        """Start serving."""
         self._server.open()
 
     def close(self):
@@ -61,12 +61,12 @@
             )
             number = len(self.runs)
         time.sleep(self.seconds + self.faults["slow"])
-        if self.faults.take("drop_answers"):
+        if self.faults.consume("drop_answers"):
             return Response(status=201, body=_drop_connection())
         return json_response({"number": number, "path": request.path}, status=201)
 
 
 def _drop_connection():
-    """Yield a body that breaks off after the call has been run."""
+    """Yield a truncated body, so that an executed call gets no complete response."""
     yield b"{"
-    raise ConnectionResetError("answer lost by fault")
+    raise ConnectionResetError("response dropped by injected fault")
--- a/hawthornspoke/standins/_platform.py
+++ b/hawthornspoke/standins/_platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: table, objects, host list and origin in one."""
+"""Simulated platform: table, object store, host list and weight origin."""
 
 import threading
 
@@ -10,16 +10,16 @@
 
 
 class HostList:
-    """Hosts as the platform lists them, some seconds late.
+    """Host list whose changes become visible after a delay.
 
     Parameters
     ----------
     lag : float, default=0.0
-        Seconds after which a change shows.
+        Delay in seconds until a change becomes visible.
 
     Notes
     -----
-    Faults: ``hosts_down``.
+    Faults: ``hosts_down`` (503 for reads).
     """
 
     __slots__ = ("lag", "faults", "_changes", "_lock")
@@ -31,25 +31,25 @@
         self._lock = threading.Lock()
 
     def set(self, hosts):
-        """Take the hosts as they are now.
+        """Replace the host list; visible after ``lag`` seconds.
 
         Parameters
         ----------
         hosts : list of dict
             With ``host``, ``role``, ``failure_domain``, ``address``, ``port``
-            and, if it is leaving, ``leaving``.
+            and, for terminating hosts, ``leaving``.
         """
         with self._lock:
             self._changes.append((monotonic() + self.lag, list(hosts)))
 
     def handle(self, request):
-        """Answer a read, or ``POST`` of the hosts by a test."""
+        """Handle a read, or a ``POST`` that replaces the hosts."""
         if request.method == "POST":
             self.set(request.json())
             return json_response({})
         if self.faults["hosts_down"]:
             return Response(status=503)
-        items = _slices(self._visible())
+        items = _to_slices(self._visible())
         etag = digest_of(repr(items).encode())[:16]
         if request.headers.get("if-none-match") == etag:
             return Response(status=304)
@@ -57,22 +57,26 @@
 
     def _visible(self):
         with self._lock:
-            visible = [hosts for due, hosts in self._changes if due <= monotonic()]
+            visible = [
+                hosts
+                for visible_at, hosts in self._changes
+                if visible_at <= monotonic()
+            ]
         return visible[-1] if visible else []
 
 
 class Platform:
-    """One process that plays the platform.
+    """Simulates all platform services in one process.
 
     Parameters
     ----------
     address : str
     port : int
     lag : float, default=0.0
-        Seconds by which the host list lags.
+        Delay of the host list in seconds.
     chunk_size : int, default=16384
     origin_rate : float, default=0.0
-        Bytes a second of the origin's link; 0 for no limit.
+        Bandwidth of the origin in bytes per second; 0 for no limit.
     """
 
     __slots__ = ("address", "port", "table", "objects", "hosts", "origin", "_server")
@@ -89,7 +93,7 @@
         )
 
     def open(self):
-        """Start to serve."""
+        """Start serving."""
         self._server.open()
 
     def close(self):
@@ -111,27 +115,27 @@
         if path.startswith("/origin/"):
             request.path = path.removeprefix("/origin")
             return self.origin.handle(request)
-        return self._object(request)
+        return self._handle_object(request)
 
     def _set_faults(self, changes):
-        for part in (self.table, self.hosts, self.origin):
-            known = {
+        for component in (self.table, self.hosts, self.origin):
+            own_changes = {
                 name: value
                 for name, value in changes.items()
-                if name in part.faults.defaults
+                if name in component.faults.defaults
             }
-            part.faults.set(known)
+            component.faults.set(own_changes)
         return json_response({})
 
     def _counts(self):
         return {
             "reads": self.table.reads,
             "writes": self.table.writes,
-            "origin_bytes": self.origin.sent,
+            "origin_bytes": self.origin.bytes_sent,
             "origin_requests": self.origin.requests,
         }
 
-    def _object(self, request):
+    def _handle_object(self, request):
         if self.table.faults["table_down"]:
             return Response(status=503)
         if request.method == "PUT":
@@ -141,7 +145,7 @@
         return Response(status=404) if data is None else Response(body=data)
 
 
-def _slices(hosts):
+def _to_slices(hosts):
     items = []
     for host in hosts:
         item = {
