--- a/hawthornspoke/demo/_demo.py
+++ b/hawthornspoke/demo/_demo.py
@@ -15,7 +15,7 @@
     ADDRESS,
     CHUNK_COUNT,
     CHUNK_SIZE,
-    MODEL_HOSTS,
+    N_ENGINES,
     DemoFleet,
 )
 from hawthornspoke.operator import Accepted, apply_folder, read_fleet, render_status
@@ -61,12 +61,12 @@
 
 def _run_steps(fleet, *, once):
     print(
-        f"1 platform stand-in, 2 entry hosts, {MODEL_HOSTS} model hosts, 1 plain service"
+        f"1 platform stand-in, 2 entry hosts, {N_ENGINES} model hosts, 1 plain service"
     )
     seconds = _apply_and_wait(fleet, "declarations")
     if seconds is None:
         return 1
-    print(f"v1 declared, spread and live on {MODEL_HOSTS} hosts after {seconds:.2f} s")
+    print(f"v1 declared, spread and live on {N_ENGINES} hosts after {seconds:.2f} s")
     response = _send_request(fleet)
     if response is None:
         return 1
@@ -87,7 +87,7 @@
     copies = (fleet.platform.origin.bytes_sent - bytes_before) / (
         CHUNK_SIZE * CHUNK_COUNT
     )
-    print(f"v2 live on {MODEL_HOSTS} hosts after {seconds:.2f} s", end="; ")
+    print(f"v2 live on {N_ENGINES} hosts after {seconds:.2f} s", end="; ")
     print(f"{copies:.2f} copies read from the origin")
     response = _send_request(fleet)
     if response is None:
@@ -110,7 +110,7 @@
             return monotonic() - started
         time.sleep(POLL_INTERVAL_SECONDS)
     print(
-        f"weights were not live on all hosts within {TIMEOUT_SECONDS} s",
+        "timed out waiting for the weights to be live on all hosts",
         file=sys.stderr,
     )
     return None
--- a/hawthornspoke/demo/_fleet.py
+++ b/hawthornspoke/demo/_fleet.py
@@ -12,7 +12,7 @@
 CHUNK_SIZE = 16 * 1024
 CHUNK_COUNT = 128
 FAILURE_DOMAINS = ("anderlecht", "gent-noord")
-MODEL_HOSTS = 3
+N_ENGINES = 3
 
 #: Size of the port range reserved for one host.
 PORTS_PER_HOST = 4
@@ -58,7 +58,7 @@
         for index, version in enumerate(("v1", "v2")):
             data = random.Random(index).randbytes(CHUNK_SIZE * CHUNK_COUNT)
             self.platform.origin.publish(f"diagnose-{version}", data)
-        names = [f"runner-{index}" for index in range(MODEL_HOSTS)] + ["registre-0"]
+        names = [f"runner-{index}" for index in range(N_ENGINES)] + ["registre-0"]
         for index, name in enumerate(names):
             self._start_agent(name, index)
         for index in range(len(FAILURE_DOMAINS)):
--- a/hawthornspoke/replay/_trace.py
+++ b/hawthornspoke/replay/_trace.py
@@ -119,7 +119,7 @@
             actual = _value_at(dump, path)
             if actual != expected:
                 differences.append(
-                    f"{location}: expected {path} {expected!r}, got {actual!r}"
+                    f"{location}: {path} is {actual!r}, expected {expected!r}"
                 )
     return differences
 
@@ -168,9 +168,11 @@
 def _compare_outcomes(location, expected_outcomes, outcomes):
     if expected_outcomes is None:
         return []
-    actual = [repr(outcome) for outcome in outcomes]
+    received = [repr(outcome) for outcome in outcomes]
     if len(expected_outcomes) != len(outcomes):
-        return [f"{location}: expected {len(expected_outcomes)} outcomes, got {actual}"]
+        return [
+            f"{location}: expected {len(expected_outcomes)} outcomes, got {received}"
+        ]
     differences = []
     for expected, outcome in zip(expected_outcomes, outcomes, strict=True):
         for key, value in expected.items():
@@ -181,7 +183,7 @@
             )
             if actual != value:
                 differences.append(
-                    f"{location}: expected {key} {value!r}, got {actual!r}"
+                    f"{location}: {key} is {actual!r}, expected {value!r}"
                 )
     return differences
 
