--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks as commands: each prints a table and checks ratios against bounds."""
+"""Benchmark commands that print a table and check ratios against bounds."""
--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,14 +1,15 @@
-"""What each mechanism of deciding is worth: days are played without it.
+"""Ablation study: simulated days are run with one mechanism disabled at a time.
 
-Run by hand, with the program that plays days, a site and a folder for scratch copies of
-the sources that is not below ``/tmp``::
+Run by hand, with the simulation program, a site and a folder outside ``/tmp`` for
+scratch copies of the sources::
 
     python -m benchmarks.ablation PROGRAM SITE --scratch FOLDER \\
         --days scale-1,quiet-1 --seeds 11,12 --jobs 4 [WORD ...]
 
-The program leaves its entries in the ``journal/`` of each copy; they are to be kept.
-Only mechanisms whose name has one of the words are taken away. Each is compared with
-the whole code on the same days and seeds; the spread is that of the differences.
+The program writes its entries to ``journal/`` of each copy; they must be kept. With
+WORD arguments, only mechanisms whose name contains one of them are disabled. Each
+ablation is compared with the unmodified code on the same days and seeds; the spread
+is the standard deviation of the differences.
 """
 
 import argparse
@@ -23,11 +24,11 @@
 
 from tests.mutations import Mutation, copy_whole, copy_without
 
-#: Nothing is taken away: what the others are compared with.
-WHOLE = "nothing"
+#: Name of the unmodified baseline.
+BASELINE = "nothing"
 
-#: A line of figures: day, hosts, score, worth, and the rest.
-FIGURES = re.compile(r"^(?!day )\S+ +\d+/\d+ +\S+ +(-?\d+\.\d+) ", re.MULTILINE)
+#: A result line: day, hosts, score, worth and further columns.
+RESULT_LINE = re.compile(r"^(?!day )\S+ +\d+/\d+ +\S+ +(-?\d+\.\d+) ", re.MULTILINE)
 
 MECHANISMS = [
     Mutation(
@@ -179,16 +180,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class Result:
-    """The days that were played without a mechanism.
+    """Results of the days simulated without a mechanism.
 
     Parameters
     ----------
     name : str
-        Of the mechanism.
+        Name of the disabled mechanism.
     worth_by_day : dict of (str, str) to float
-        By day and seed; a day without a figure is left out.
+        Worth by day and seed; days without a result are omitted.
     failures : list of str
-        Broken rules and days that gave no figure.
+        Violated rules and days without a result.
     """
 
     name: str
@@ -196,21 +197,21 @@
     failures: list = field(default_factory=list)
 
 
-def play(program, site, copy, *, name, day, seed):
-    """Play one day in a copy of the sources.
+def simulate_day(program, site, copy, *, name, day, seed):
+    """Simulate one day with a copy of the sources.
 
     Parameters
     ----------
     program, site : str
     copy : Path
     name : str
-        Of what the copy lacks.
+        Name of the mechanism disabled in the copy.
     day, seed : str
 
     Returns
     -------
     tuple of (float or None, str)
-        The worth, and what went wrong.
+        The worth and a description of violated rules.
     """
     done = subprocess.run(
         [
@@ -221,13 +222,13 @@
         capture_output=True,
         text=True,
     )
-    found = FIGURES.search(done.stdout)
-    broken = re.findall(r"BROKEN: (.*)", done.stdout)
-    return float(found.group(1)) if found else None, "; ".join(broken)
+    match = RESULT_LINE.search(done.stdout)
+    violations = re.findall(r"BROKEN: (.*)", done.stdout)
+    return float(match.group(1)) if match else None, "; ".join(violations)
 
 
-def measure(mechanisms, options):
-    """Play all days without each mechanism, and with all of them.
+def run_ablations(mechanisms, options):
+    """Simulate all days for the baseline and for each ablation.
 
     Parameters
     ----------
@@ -237,16 +238,16 @@
     Returns
     -------
     list of Result
-        That of the whole code first.
+        The baseline first.
     """
-    whole = Mutation(name=WHOLE, file="__init__.py", old="", new="")
+    baseline = Mutation(name=BASELINE, file="__init__.py", old="", new="")
     results, jobs = [], []
-    for mechanism in [whole, *mechanisms]:
+    for mechanism in [baseline, *mechanisms]:
         copy = Path(options.scratch) / re.sub(r"\W+", "-", mechanism.name)
         shutil.rmtree(copy, ignore_errors=True)
         result = Result(name=mechanism.name)
         results.append(result)
-        if mechanism is whole:
+        if mechanism is baseline:
             copy_whole(copy)
         elif not copy_without(mechanism, copy):
             result.failures.append("not applied")
@@ -260,11 +261,11 @@
 
     def run(job):
         result, copy, day, seed = job
-        worth, failure = play(
+        worth, failure = simulate_day(
             options.program, options.site, copy, name=result.name, day=day, seed=seed
         )
         if worth is None or failure:
-            result.failures.append(f"{day} {seed}: {failure or 'no figure'}")
+            result.failures.append(f"{day} {seed}: {failure or 'no result'}")
         if worth is not None:
             result.worth_by_day[day, seed] = worth
 
@@ -273,34 +274,34 @@
     return results
 
 
-def table(results):
-    """Return the results as lines of a table.
+def format_table(results):
+    """Format the results as lines of a Markdown table.
 
     Parameters
     ----------
     results : list of Result
-        That of the whole code first.
+        The baseline first.
 
     Returns
     -------
     list of str
     """
-    whole = results[0].worth_by_day
+    baseline = results[0].worth_by_day
     lines = [
         "| without | days | worth with | without | difference | spread | seen |",
         "|---|---|---|---|---|---|---|",
     ]
     for result in results[1:]:
-        days = sorted(set(whole) & set(result.worth_by_day))
+        days = sorted(set(baseline) & set(result.worth_by_day))
         seen = "; ".join(result.failures)
         if not days:
             lines.append(f"| {result.name} | 0 | | | | | {seen} |")
             continue
-        differences = [result.worth_by_day[day] - whole[day] for day in days]
+        differences = [result.worth_by_day[day] - baseline[day] for day in days]
         spread = statistics.pstdev(differences)
         lines.append(
             f"| {result.name} | {len(days)} "
-            f"| {statistics.mean(whole[day] for day in days):.3f} "
+            f"| {statistics.mean(baseline[day] for day in days):.3f} "
             f"| {statistics.mean(result.worth_by_day[day] for day in days):.3f} "
             f"| {statistics.mean(differences):+.3f} | {spread:.3f} | {seen} |"
         )
@@ -308,7 +309,7 @@
 
 
 def main():
-    """Measure and print the table."""
+    """Run the ablations and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("program")
     parser.add_argument("site")
@@ -319,10 +320,10 @@
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
     words = options.words
-    chosen = [
+    selected = [
         item for item in MECHANISMS if not words or any(w in item.name for w in words)
     ]
-    for line in table(measure(chosen, options)):
+    for line in format_table(run_ablations(selected, options)):
         print(line)
     return 0
 
--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -1,8 +1,9 @@
 """Time until new weights are live on N hosts, and copies read from the origin.
 
-Separate agent processes on loopback. Every host's link and the origin's are held by
-token buckets at the brief's ratios: in one window the origin's link carries four
-copies, a host's two each way. The bound on time is M / L, on origin bytes M.
+Runs separate agent processes on loopback. Token buckets limit the links at the design
+ratio: in one distribution window, the origin's link carries four copies and a host's
+link two copies in each direction. With M bytes of weights and L bytes per second of a
+host's link, the lower bound on the time is M / L and on the origin bytes M.
 
     python -m benchmarks.burst --hosts 8 24 --strategies origin chain scatter
     python -m benchmarks.burst --hosts 24 --faults
@@ -26,7 +27,7 @@
 )
 from tests.fleet import Fleet, declarations
 
-CHUNK = 16 * 1024
+CHUNK_SIZE = 16 * 1024
 HEADING = [
     "strategy",
     "hosts",
@@ -34,17 +35,17 @@
     "live / (M/L)",
     "whole / (M/L)",
     "origin copies",
-    "most sent, copies",
-    "control B/s a node",
-    "cpu s a node",
+    "max sent per host, copies",
+    "control B/s per node",
+    "cpu s per node",
     "memory MB",
-    "first token p95 ms: alone",
-    "with burst",
+    "first token p95 ms: idle",
+    "during distribution",
 ]
 
 
 class BurstRun:
-    """One burst on a fresh fleet.
+    """Distribution of one version to all hosts of a new fleet.
 
     Parameters
     ----------
@@ -52,9 +53,9 @@
     hosts : int
     chunks : int
     window : float
-        Seconds of M / L.
+        M / L in seconds.
     faults : tuple of str
-        Of ``kill``, ``stall``, ``corrupt``, ``late``, ``cut``.
+        Any of ``kill``, ``stall``, ``corrupt``, ``late`` and ``cut``.
     copies : int
     scope : str
     """
@@ -67,14 +68,14 @@
         self.faults = faults
         self.copies = copies
         self.scope = scope
-        self.size = chunks * CHUNK
+        self.size = chunks * CHUNK_SIZE
         self.link = self.size / window
         self.fleet = None
         self.first_tokens = []
-        self._asking = threading.Event()
+        self._load_enabled = threading.Event()
 
     def run(self):
-        """Return a row of the table, and its figures by name."""
+        """Return a row of the table and the measurements by name."""
         self.fleet = Fleet(
             entries=3,
             agents=self.hosts,
@@ -91,13 +92,13 @@
         )
         with self.fleet as fleet:
             self._prepare(fleet)
-            alone = self._first_token(self.window / 3)
-            figures = self._burst(fleet)
-            figures["first_token_alone"] = alone
-        return self._row(figures), figures
+            idle_latency = self._first_token(self.window / 3)
+            measurements = self._distribute(fleet)
+            measurements["first_token_alone"] = idle_latency
+        return self._row(measurements), measurements
 
     def _prepare(self, fleet):
-        fleet.publish("redac-v1", random.Random(1).randbytes(2 * CHUNK))
+        fleet.publish("redac-v1", random.Random(1).randbytes(2 * CHUNK_SIZE))
         fleet.publish("redac-v2", random.Random(2).randbytes(self.size))
         rollout = (
             f'[rollout]\nstrategy = "{self.strategy}"\n'
@@ -108,14 +109,14 @@
         fleet.apply("--wait", "60")
         fleet.wait_ready(seconds=120)
 
-    def _burst(self, fleet):
+    def _distribute(self, fleet):
         names = fleet.names("runner")
         late = names[-1] if "late" in self.faults else None
         if late:
             fleet.kill(late)
         cpu = {name: self._cpu(name) for name in names if name != late}
         sent = {name: fleet.dump(name)["datagram_bytes_sent"] for name in cpu}
-        origin = fleet.counts()["origin_bytes"]
+        origin_bytes_before = fleet.counts()["origin_bytes"]
         if "corrupt" in self.faults:
             fleet.faults(origin_corrupt_share=0.01)
         fleet.declare(
@@ -125,24 +126,26 @@
         )
         fleet.apply()
         started = time.monotonic()
-        self._start_asking()
-        lost = self._hurt(fleet, names, late)
-        wanted = [name for name in names if name not in lost]
+        self._start_load()
+        excluded = self._inject_faults(fleet, names, late)
+        expected = [name for name in names if name not in excluded]
         limit = self.window * (self.hosts if self.strategy == "origin" else 3)
-        fleet.wait_for(lambda: self._all_live(fleet, wanted), limit)
-        self._asking.clear()
-        states = {name: fleet.dump(name) for name in wanted}
-        return self._figures(fleet, states, started, origin, cpu, sent)
+        fleet.wait_for(lambda: self._all_live(fleet, expected), limit)
+        self._load_enabled.clear()
+        states = {name: fleet.dump(name) for name in expected}
+        return self._collect_measurements(
+            fleet, states, started, origin_bytes_before, cpu, sent
+        )
 
-    def _hurt(self, fleet, names, late):
-        """Inject the faults, all in the same third of the window.
+    def _inject_faults(self, fleet, names, late):
+        """Inject the faults between 0.2 and 0.6 of the window.
 
         Returns
         -------
         list of str
-            Hosts that are not waited for.
+            Hosts that are not expected to become live.
         """
-        lost = []
+        excluded = []
         time.sleep(self.window * 0.2)
         if late:
             fleet.start_node(late)
@@ -151,7 +154,7 @@
             fleet.cut_off("herstal")
         if "kill" in self.faults:
             fleet.kill(names[0])
-            lost.append(names[0])
+            excluded.append(names[0])
         if "stall" in self.faults:
             fleet.freeze(names[1])
         time.sleep(self.window * 0.3)
@@ -159,7 +162,7 @@
             fleet.wake(names[1])
         if "cut" in self.faults:
             fleet.heal()
-        return lost
+        return excluded
 
     def _all_live(self, fleet, names):
         time.sleep(0.5)
@@ -171,7 +174,9 @@
                 return False
         return True
 
-    def _figures(self, fleet, states, started, origin, cpu, sent):
+    def _collect_measurements(
+        self, fleet, states, started, origin_bytes_before, cpu, sent
+    ):
         live = max(state["live_since_by_key"]["redacteur"] for state in states.values())
         whole = max(
             transfer["completed_at"]
@@ -184,59 +189,59 @@
             for name, state in states.items()
             if name in sent
         ]
-        out = [
+        bytes_sent = [
             state["counters"].get("chunk_bytes_sent_total", 0)
             for state in states.values()
         ]
-        used = [self._cpu(name) - cpu[name] for name in states if name in cpu]
+        cpu_used = [self._cpu(name) - cpu[name] for name in states if name in cpu]
         memory = [memory_bytes(fleet.process_by_name[name].pid) for name in states]
-        read = fleet.counts()["origin_bytes"] - origin
+        read = fleet.counts()["origin_bytes"] - origin_bytes_before
         return {
             "time": (live - started) / self.window,
             "whole": (whole - started) / self.window,
             "copies": read / self.size,
-            "most_sent": max(out) / self.size,
+            "most_sent": max(bytes_sent) / self.size,
             "control": sum(control) / len(control),
-            "cpu": sum(used) / len(used),
+            "cpu": sum(cpu_used) / len(cpu_used),
             "memory": max(memory) / 1e6,
             "first_token_burst": quantile(self.first_tokens, 0.95),
         }
 
-    def _row(self, figures):
+    def _row(self, measurements):
         return [
             self.strategy if self.copies == 1 else f"{self.strategy} x{self.copies}",
             self.hosts,
             "+".join(self.faults) or "none",
-            f"{figures['time']:.3f}",
-            f"{figures['whole']:.3f}",
-            f"{figures['copies']:.3f}",
-            f"{figures['most_sent']:.2f}",
-            f"{figures['control']:.0f}",
-            f"{figures['cpu']:.2f}",
-            f"{figures['memory']:.0f}",
-            f"{figures['first_token_alone'] * 1000:.0f}",
-            f"{figures['first_token_burst'] * 1000:.0f}",
+            f"{measurements['time']:.3f}",
+            f"{measurements['whole']:.3f}",
+            f"{measurements['copies']:.3f}",
+            f"{measurements['most_sent']:.2f}",
+            f"{measurements['control']:.0f}",
+            f"{measurements['cpu']:.2f}",
+            f"{measurements['memory']:.0f}",
+            f"{measurements['first_token_alone'] * 1000:.0f}",
+            f"{measurements['first_token_burst'] * 1000:.0f}",
         ]
 
     def _cpu(self, name):
         return cpu_seconds(self.fleet.process_by_name[name].pid)
 
     def _first_token(self, seconds):
-        self._start_asking()
+        self._start_load()
         time.sleep(seconds)
-        self._asking.clear()
-        alone = quantile(self.first_tokens, 0.95)
+        self._load_enabled.clear()
+        idle_latency = quantile(self.first_tokens, 0.95)
         self.first_tokens = []
-        return alone
+        return idle_latency
 
-    def _start_asking(self):
-        """Let live callers stream answers at a steady, light rate."""
-        self._asking.set()
+    def _start_load(self):
+        """Start clients that stream responses at a low constant rate."""
+        self._load_enabled.set()
         for entry in self.fleet.names("entry"):
             threading.Thread(target=self._ask, args=(entry,), daemon=True).start()
 
     def _ask(self, entry):
-        while self._asking.is_set():
+        while self._load_enabled.is_set():
             sent = time.monotonic()
             try:
                 first = first_token(self.fleet, entry)
@@ -248,14 +253,14 @@
 
 
 def first_token(fleet, entry):
-    """Return the seconds to the first event of a streamed answer, or None."""
+    """Return the time to first token of a streamed response, or None on error."""
     import json
 
     from tests.fleet import caller_headers
 
     sent = time.monotonic()
     body = {"model": "redacteur", "prompt": f"{sent}", "max_tokens": 4, "stream": True}
-    answer = fleet.http.request(
+    response = fleet.http.request(
         "POST",
         fleet.entry_url(entry) + "/v1/completions",
         body=json.dumps(body).encode(),
@@ -263,18 +268,18 @@
         preload_content=False,
         timeout=10,
     )
-    if answer.status != 200:
-        answer.drain_conn()
+    if response.status != 200:
+        response.drain_conn()
         return None
-    answer.read1(1)
+    response.read1(1)
     first = time.monotonic() - sent
-    answer.read()
-    answer.release_conn()
+    response.read()
+    response.release_conn()
     return first
 
 
 def main():
-    """Run the asked bursts and check the bounds; return the exit code."""
+    """Run the selected configurations and check the bounds; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--hosts", type=int, nargs="+", default=[8])
     parser.add_argument("--strategies", nargs="+", default=["scatter"])
@@ -297,10 +302,10 @@
                 copies=options.copies,
                 scope=options.scope,
             )
-            row, figures = run.run()
+            row, measurements = run.run()
             print(" | ".join(str(cell) for cell in row), flush=True)
             rows.append(row)
-            results.append((strategy, hosts, figures))
+            results.append((strategy, hosts, measurements))
     print(f"\ncommit {commit()}, {options.chunks} chunks, M/L = {options.window} s")
     print_table(rows)
     return check_results(results, faulty=bool(options.faults), copies=options.copies)
@@ -311,15 +316,17 @@
     limits = bounds("burst")
     prefix = "faulty" if faulty else "scatter"
     holds = True
-    for strategy, hosts, figures in results:
+    for strategy, hosts, measurements in results:
         if strategy != "scatter":
             continue
         name = f"N = {hosts}:"
-        holds &= check(f"{name} time", figures["time"], limits[f"{prefix}_time"])
+        holds &= check(f"{name} time", measurements["time"], limits[f"{prefix}_time"])
         allowed = copies * limits[f"{prefix}_copies"]
-        holds &= check(f"{name} copies", figures["copies"], allowed)
-        if figures["first_token_alone"]:
-            ratio = figures["first_token_burst"] / figures["first_token_alone"]
+        holds &= check(f"{name} copies", measurements["copies"], allowed)
+        if measurements["first_token_alone"]:
+            ratio = (
+                measurements["first_token_burst"] / measurements["first_token_alone"]
+            )
             holds &= check(f"{name} first token", ratio, limits["first_token"])
     return 0 if holds else 1
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Slopes of what a node costs, measured at several sizes of one failure domain.
+"""Resource cost of a node as a function of the size of its failure domain.
 
 python -m benchmarks.capacity
 """
@@ -22,7 +22,7 @@
 from tests.conftest import weights
 from tests.fleet import Fleet, declarations
 
-#: One failure domain at the size of letter 1: 330 / 9 nodes, 1,600 / 9 runners.
+#: Design size of one failure domain: 1/9 of 330 entry hosts and 1,600 agents.
 DESIGN_ENTRIES = 37
 DESIGN_AGENTS = 178
 SIZES = ((2, 10), (6, 30), (12, 58))
@@ -30,7 +30,7 @@
 
 
 def measure_size(entries, agents, seconds):
-    """Return the idle cost per role of one failure domain of a size."""
+    """Return the idle cost by role, and table reads per second, of one size."""
     with Fleet(
         entries=entries,
         agents=agents,
@@ -51,15 +51,15 @@
         time.sleep(seconds)
         after = {name: sample(fleet, name) for name in names}
         reads = (fleet.counts()["reads"] - reads) / seconds
-    found = {}
+    cost_by_role = {}
     for prefix in ("entry", "runner"):
         chosen = [name for name in names if name.startswith(prefix)]
-        found[prefix] = mean_cost(chosen, before, after, seconds)
-    return found, reads
+        cost_by_role[prefix] = mean_cost(chosen, before, after, seconds)
+    return cost_by_role, reads
 
 
 def sample(fleet, name):
-    """Return processor time, bytes sent and received, and memory."""
+    """Return CPU time, bytes sent, bytes received and memory of a node."""
     state = fleet.dump(name)
     pid = fleet.process_by_name[name].pid
     return (
@@ -71,38 +71,41 @@
 
 
 def mean_cost(names, before, after, seconds):
-    """Return the mean cpu share, bytes a second each way, and memory."""
+    """Return mean CPU utilization, sent and received bytes per second, and memory."""
     count = len(names)
     rates = [
-        sum(after[name][at] - before[name][at] for name in names) / count / seconds
-        for at in range(3)
+        sum(after[name][column] - before[name][column] for name in names)
+        / count
+        / seconds
+        for column in range(3)
     ]
     memory = sum(after[name][3] for name in names) / count
     return (*rates, memory)
 
 
 def fit(points):
-    """Return offset and slopes of cost = a + b * entries + c * agents.
+    """Return offset, slope and maximum residual of a least-squares line.
 
-    Entries and agents grow together here, so one slope over agents is fitted and
-    the residual of the points shows how straight the line is.
+    The cost model is a + b * entries + c * agents. Entry hosts and agents grow
+    together here, so a single slope over agents is fitted; the residual shows how
+    linear the cost is.
     """
     xs = [point[0] for point in points]
     ys = [point[1] for point in points]
     mean_x, mean_y = sum(xs) / len(xs), sum(ys) / len(ys)
-    spread = sum((x - mean_x) ** 2 for x in xs)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    variance_sum = sum((x - mean_x) ** 2 for x in xs)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / variance_sum
     offset = mean_y - slope * mean_x
     residual = max(abs(offset + slope * x - y) for x, y in points)
     return offset, slope, residual
 
 
 def idle_slopes(seconds):
-    """Measure every size, print points and the fit."""
+    """Measure all sizes; print the measurements and the linear fit."""
     rows, points = [HEADING], {"entry": [], "runner": []}
     for entries, agents in SIZES:
-        found, reads = measure_size(entries, agents, seconds)
-        for role, cost in found.items():
+        cost_by_role, reads = measure_size(entries, agents, seconds)
+        for role, cost in cost_by_role.items():
             rows.append(
                 [
                     role,
@@ -120,19 +123,19 @@
     names = ("cpu %", "sent B/s", "received B/s", "RSS MB")
     scales = (100, 1, 1, 1e-6)
     for role, measured in points.items():
-        for at, (name, scale) in enumerate(zip(names, scales, strict=True)):
-            line = [(agents, cost[at] * scale) for agents, cost in measured]
+        for column, (name, scale) in enumerate(zip(names, scales, strict=True)):
+            line = [(agents, cost[column] * scale) for agents, cost in measured]
             offset, slope, residual = fit(line)
-            design = offset + slope * DESIGN_AGENTS
+            predicted = offset + slope * DESIGN_AGENTS
             print(
                 f"{role} {name}: {offset:.3f} + {slope:.5f} x agents "
-                f"(+- {residual:.3f}); at {DESIGN_AGENTS}: {design:.2f}"
+                f"(+- {residual:.3f}); at {DESIGN_AGENTS}: {predicted:.2f}"
             )
 
 
 def document_cost(services):
-    """Return bytes and milliseconds of a document with some services."""
-    tree = big_tree(services)
+    """Return size in bytes and unpack time in milliseconds of a document."""
+    tree = make_declarations(services)
     pinned = {f"s{number}": "d" * 64 for number in range(services)}
     document = build_document(tree=tree, digest_by_source=pinned)
     data = pack_document(document)
@@ -141,7 +144,7 @@
     return len(data), (monotonic() - started) * 1000
 
 
-def big_tree(services):
+def make_declarations(services):
     """Return declarations with one model for each service."""
     models, declared = {}, {}
     for number in range(services):
@@ -157,7 +160,7 @@
 
 
 def gossip_cost(members):
-    """Return bytes and microseconds to encode and decode a gossip datagram."""
+    """Return size in bytes and decoding time in microseconds of a gossip datagram."""
     rng = random.Random(3)
     relayed = [
         Member(
@@ -186,7 +189,7 @@
 
 
 def token_cost(seconds):
-    """Return microseconds of processor time per token on entry and agent."""
+    """Return CPU microseconds per token by node, and the token rate."""
     with Fleet(
         entries=1,
         agents=1,
@@ -200,9 +203,9 @@
         fleet.apply("--wait", "60")
         fleet.wait_ready()
         stop = time.monotonic() + seconds
-        counted = []
+        token_counts = []
         threads = [
-            threading.Thread(target=stream_until, args=(fleet, stop, counted))
+            threading.Thread(target=stream_until, args=(fleet, stop, token_counts))
             for _ in range(24)
         ]
         pids = {
@@ -214,21 +217,21 @@
         for thread in threads:
             thread.join()
         after = {name: cpu_seconds(pid) for name, pid in pids.items()}
-    tokens = sum(counted)
+    tokens = sum(token_counts)
     return {
         name: (after[name] - before[name]) / tokens * 1e6 for name in pids
     }, tokens / seconds
 
 
-def stream_until(fleet, stop, counted):
-    """Stream answers until a time and count their tokens."""
+def stream_until(fleet, stop, token_counts):
+    """Stream responses until a point in time, counting their tokens."""
     while time.monotonic() < stop:
-        answer = fleet.ask("entry-0", stream=True, max_tokens=80)
-        counted.append(answer.data.count(b"data: {"))
+        response = fleet.ask("entry-0", stream=True, max_tokens=80)
+        token_counts.append(response.data.count(b"data: {"))
 
 
 def main():
-    """Print all slopes."""
+    """Run all measurements and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=12.0)
     options = parser.parse_args()
@@ -243,7 +246,7 @@
         + [[count, *map(str, gossip_cost(count))] for count in (1, 10, 40)]
     )
     costs, rate = token_cost(options.seconds)
-    print(f"processor us per token at {rate:.0f} tokens/s: {json.dumps(costs)}")
+    print(f"CPU us per token at {rate:.0f} tokens/s: {json.dumps(costs)}")
     return 0
 
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""Load on a fleet at a steady arrival rate, and what callers were told."""
+"""Open-loop load generator that records the outcome of each request."""
 
 import json
 import random
@@ -12,19 +12,21 @@
 
 
 class Load:
-    """Arrivals at a rate that does not wait for answers (open loop).
+    """Sends requests at a constant rate, independent of responses (open loop).
 
     Parameters
     ----------
     fleet : Fleet
     rate : float
-        Requests a second over all entry hosts.
+        Total requests per second over all entry hosts.
     seconds : float
+        Duration of the load.
     prompts : int, default=0
-        Number of shared prompt prefixes; 0 makes every prompt new.
+        Number of shared prompt prefixes; 0 makes every prompt unique.
     headers : callable or None, default=None
-        Returns further headers for a request.
+        Returns additional headers for a request.
     tokens : int, default=8
+        Tokens to generate per request.
     """
 
     def __init__(self, fleet, *, rate, seconds, prompts=0, headers=None, tokens=8):
@@ -38,17 +40,20 @@
         self._rng = random.Random(11)
 
     def run(self):
-        """Send all requests and wait for their ends; return self."""
+        """Send all requests and wait for their completion; return self."""
         entries = self.fleet.names("entry")
         threads = []
         started = time.monotonic()
         count = int(self.rate * self.seconds)
-        for number in range(count):
-            due = started + number / self.rate
-            time.sleep(max(0.0, due - time.monotonic()))
+        for request_index in range(count):
+            due_at = started + request_index / self.rate
+            time.sleep(max(0.0, due_at - time.monotonic()))
             thread = threading.Thread(
-                target=self._ask,
-                args=(entries[number % len(entries)], self._prompt(number)),
+                target=self._send_request,
+                args=(
+                    entries[request_index % len(entries)],
+                    self._prompt(request_index),
+                ),
                 daemon=True,
             )
             thread.start()
@@ -57,66 +62,68 @@
             thread.join(timeout=30)
         return self
 
-    def _prompt(self, number):
+    def _prompt(self, request_index):
         if not self.prompts:
-            return f"{number} new"
+            return f"{request_index} new"
         chosen = min(
             self._rng.randrange(self.prompts), self._rng.randrange(self.prompts)
         )
         return f"{chosen:03d} " + "the same long system prompt of this workshop " * 3
 
-    def _ask(self, entry, prompt):
+    def _send_request(self, entry, prompt):
         body = {
             "model": "redacteur",
             "prompt": prompt,
             "max_tokens": self.tokens,
             "stream": True,
         }
-        extra = self.headers() if self.headers else {}
-        sent = time.monotonic()
+        extra_headers = self.headers() if self.headers else {}
+        sent_at = time.monotonic()
         try:
-            answer = self.fleet.http.request(
+            response = self.fleet.http.request(
                 "POST",
                 self.fleet.entry_url(entry) + "/v1/completions",
                 body=json.dumps(body).encode(),
-                headers={**caller_headers(), **extra},
+                headers={**caller_headers(), **extra_headers},
                 preload_content=False,
                 timeout=20,
             )
-            answer.read1(1)
-            first = time.monotonic() - sent
-            data = answer.read()
-            answer.release_conn()
+            response.read1(1)
+            first = time.monotonic() - sent_at
+            data = response.read()
+            response.release_conn()
         except urllib3.exceptions.HTTPError:
-            self.results.append(Result(0, 0.0, time.monotonic(), "", extra))
+            self.results.append(Result(0, 0.0, time.monotonic(), "", extra_headers))
             return
-        whole = answer.status == 200 and b"[DONE]" in data
-        status = answer.status if whole or answer.status != 200 else 0
-        host = answer.headers.get("X-Served-By", "")
-        self.results.append(Result(status, first, time.monotonic(), host, extra))
+        is_complete = response.status == 200 and b"[DONE]" in data
+        status = response.status if is_complete or response.status != 200 else 0
+        host = response.headers.get("X-Served-By", "")
+        self.results.append(
+            Result(status, first, time.monotonic(), host, extra_headers)
+        )
 
-    def done(self):
-        """Return the results that were whole answers."""
-        return [item for item in self.results if item.status == 200]
+    def completed(self):
+        """Return the results of completely answered requests."""
+        return [result for result in self.results if result.status == 200]
 
     def first_token(self, share):
-        """Return a quantile of the times to the first token."""
-        return quantile([item.first for item in self.done()], share)
+        """Return a quantile of the time to first token, in seconds."""
+        return quantile([result.first for result in self.completed()], share)
 
     def by_host(self):
-        """Return how many whole answers each host gave."""
+        """Return the number of complete responses by host."""
         counts = {}
-        for item in self.done():
-            counts[item.host] = counts.get(item.host, 0) + 1
+        for result in self.completed():
+            counts[result.host] = counts.get(result.host, 0) + 1
         return counts
 
 
 class Result:
-    """One request's end."""
+    """Outcome of one request; status 0 means failed or incomplete."""
 
-    def __init__(self, status, first, ended, host, extra):
+    def __init__(self, status, first, ended_at, host, extra_headers):
         self.status = status
         self.first = first
-        self.ended = ended
+        self.ended_at = ended_at
         self.host = host
-        self.extra = extra
+        self.extra_headers = extra_headers
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,4 +1,4 @@
-"""Overload, retries under failing endpoints, and recovery.
+"""Goodput under overload, recovery, and retry amplification with a failing endpoint.
 
 python -m benchmarks.overload
 """
@@ -16,11 +16,11 @@
 HEADING = [
     "case",
     "offered/s",
-    "whole/s",
-    "refused",
-    "refusal ms p95",
-    "urgent whole share",
-    "idle whole share",
+    "completed/s",
+    "rejected",
+    "rejection ms p95",
+    "completed share, urgent",
+    "completed share, idle",
     "sent / offered",
 ]
 URGENT, IDLE = "u=0", "u=7"
@@ -31,55 +31,60 @@
 
 
 def capacity():
-    """Return requests a second that the engines bear (batch factor 1.5 at full)."""
+    """Return the engines' capacity in requests per second.
+
+    Decoding steps of a full batch take 1.5 times as long as those of an empty one.
+    """
     service = 0.02 + TOKENS * TOKEN_SECONDS * 1.5
     return AGENTS * SLOTS / service
 
 
 def run_case(fleet, name, rate, seconds):
-    """Return a row and the figures of one case."""
-    turn = itertools.cycle([URGENT, IDLE, "u=3"])
-    before = attempts(fleet)
+    """Run one case; return a row of the table and the measurements."""
+    priorities = itertools.cycle([URGENT, IDLE, "u=3"])
+    attempts_before = engine_requests(fleet)
     started = time.monotonic()
     load = Load(
         fleet,
         rate=rate,
         seconds=seconds,
         tokens=TOKENS,
-        headers=lambda: {"Priority": next(turn), "X-Request-Timeout": "3"},
+        headers=lambda: {"Priority": next(priorities), "X-Request-Timeout": "3"},
     ).run()
     elapsed = time.monotonic() - started
-    sent = attempts(fleet) - before
+    sent = engine_requests(fleet) - attempts_before
     refused = [item for item in load.results if item.status in (429, 503)]
-    figures = {
-        "goodput": len(load.done()) / elapsed,
+    measurements = {
+        "goodput": len(load.completed()) / elapsed,
         "refusal": quantile([item.first for item in refused], 0.95),
         "sent": sent / max(1, len(load.results)),
-        "urgent": whole_share(load, URGENT),
-        "idle": whole_share(load, IDLE),
+        "urgent": completed_share(load, URGENT),
+        "idle": completed_share(load, IDLE),
     }
     row = [
         name,
         f"{rate:.0f}",
-        f"{figures['goodput']:.1f}",
+        f"{measurements['goodput']:.1f}",
         len(refused),
-        f"{figures['refusal'] * 1000:.0f}",
-        f"{figures['urgent']:.2f}",
-        f"{figures['idle']:.2f}",
-        f"{figures['sent']:.2f}",
+        f"{measurements['refusal'] * 1000:.0f}",
+        f"{measurements['urgent']:.2f}",
+        f"{measurements['idle']:.2f}",
+        f"{measurements['sent']:.2f}",
     ]
-    return row, figures
+    return row, measurements
 
 
-def whole_share(load, priority):
-    """Return the share of whole answers among the requests of a priority."""
-    asked = [item for item in load.results if item.extra["Priority"] == priority]
-    whole = [item for item in asked if item.status == 200]
-    return len(whole) / max(1, len(asked))
+def completed_share(load, priority):
+    """Return the fraction of complete responses among requests of a priority."""
+    requests = [
+        item for item in load.results if item.extra_headers["Priority"] == priority
+    ]
+    whole = [item for item in requests if item.status == 200]
+    return len(whole) / max(1, len(requests))
 
 
-def attempts(fleet):
-    """Return the requests that have reached engines so far."""
+def engine_requests(fleet):
+    """Return the number of requests that engines have received so far."""
     total = 0
     for name in fleet.names("runner"):
         total += fleet.get(fleet.engine_url(name) + "/state")["requests"]
@@ -87,7 +92,7 @@
 
 
 def main():
-    """Run the cases; return the exit code."""
+    """Run all cases and check the bounds; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=6.0)
     options = parser.parse_args()
@@ -109,14 +114,16 @@
         fleet.declare("10-all.toml", declarations())
         fleet.apply("--wait", "30")
         fleet.wait_ready()
-        full = capacity()
-        plan = [("1x", 1.0), ("2x", 2.0), ("5x", 5.0), ("1x after 5x", 1.0)]
-        for name, factor in plan:
-            row, by_name[name] = run_case(fleet, name, full * factor, options.seconds)
+        full_rate = capacity()
+        cases = [("1x", 1.0), ("2x", 2.0), ("5x", 5.0), ("1x after 5x", 1.0)]
+        for name, factor in cases:
+            row, by_name[name] = run_case(
+                fleet, name, full_rate * factor, options.seconds
+            )
             rows.append(row)
         fleet.engine_faults("runner-0", fail_share=1.0)
         row, by_name["third fails"] = run_case(
-            fleet, "one of three fails", full * 0.5, options.seconds
+            fleet, "one of three fails", full_rate * 0.5, options.seconds
         )
         rows.append(row)
     print(
@@ -127,7 +134,7 @@
 
 
 def check_results(by_name):
-    """Check the cases against the bounds; return the exit code."""
+    """Check the results against the bounds; return the exit code."""
     limit = bounds("overload")["goodput"]
     base = by_name["1x"]["goodput"]
     holds = True
@@ -135,8 +142,8 @@
         ratio = by_name[name]["goodput"] / base
         holds &= check(f"{name}: goodput over 1x", ratio, limit, at_most=False)
     for name in ("2x", "5x"):
-        order = by_name[name]["urgent"] - by_name[name]["idle"]
-        holds &= check(f"{name}: urgent above idle", order, 0.0, at_most=False)
+        margin = by_name[name]["urgent"] - by_name[name]["idle"]
+        holds &= check(f"{name}: urgent above idle", margin, 0.0, at_most=False)
     amplification = by_name["third fails"]["sent"]
     bound = bounds("retries")["amplification"]
     holds &= check("one of three fails: sent/offered", amplification, bound)
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Tables, bounds, and what a process used."""
+"""Tables, bounds and resource usage of processes for benchmark reports."""
 
 import os
 import subprocess
@@ -6,17 +6,19 @@
 from pathlib import Path
 
 FOLDER = Path(__file__).parent
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 def bounds(section):
-    """Return the bounds of one benchmark."""
+    """Return the bounds of one benchmark from ``bounds.toml``."""
     return tomllib.loads((FOLDER / "bounds.toml").read_text())[section]
 
 
 def print_table(rows):
-    """Print rows of cells with aligned columns, the first as heading."""
-    widths = [max(len(str(row[at])) for row in rows) for at in range(len(rows[0]))]
+    """Print rows as a table with aligned columns; the first row is the heading."""
+    widths = [
+        max(len(str(row[column])) for row in rows) for column in range(len(rows[0]))
+    ]
     for row in rows:
         cells = (
             str(cell).ljust(width) for cell, width in zip(row, widths, strict=True)
@@ -25,27 +27,27 @@
 
 
 def check(name, value, bound, *, at_most=True):
-    """Print a bound and whether it holds; return whether it does."""
+    """Check a value against its bound and print the result; return it as a bool."""
     holds = value <= bound if at_most else value >= bound
     sign = "<=" if at_most else ">="
-    word = "holds" if holds else "FAILS"
-    print(f"{word}: {name} = {value:.3f}, bound {sign} {bound}", flush=True)
+    verdict = "holds" if holds else "FAILS"
+    print(f"{verdict}: {name} = {value:.3f}, bound {sign} {bound}", flush=True)
     return holds
 
 
 def cpu_seconds(pid):
-    """Return the processor seconds a process has used."""
+    """Return the CPU time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
 def memory_bytes(pid):
-    """Return the resident memory of a process."""
+    """Return the resident set size of a process in bytes, with 4096-byte pages."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * 4096
 
 
 def commit():
-    """Return the commit that is checked out, for the table's caption."""
+    """Return a description of the checked-out commit."""
     done = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         cwd=FOLDER,
@@ -56,7 +58,7 @@
 
 
 def quantile(values, share):
-    """Return a quantile of some values, 0.0 for none."""
+    """Return a quantile of the values, or 0.0 if there are none."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,4 +1,4 @@
-"""Routing policies side by side, with a slow and a fast-failing endpoint.
+"""Comparison of routing policies with a slow and a fast-failing endpoint.
 
 python -m benchmarks.routing
 """
@@ -18,17 +18,17 @@
     "first token ms p50",
     "p95",
     "p99",
-    "whole",
-    "most / mean",
+    "completed",
+    "max / mean load",
     "prefix hits",
-    "share of the bad one",
+    "share of the faulty endpoint",
 ]
 CASES = ("healthy", "one slow", "one fails fast")
 AGENTS = 6
 
 
 def run_case(fleet, case, *, rate, seconds):
-    """Return the load that was run, and the prefix hit share."""
+    """Run one case; return the load, prefix hit rate and share of ``runner-0``."""
     if case == "one slow":
         fleet.engine_faults("runner-0", slow_factor=5.0)
     if case == "one fails fast":
@@ -37,13 +37,17 @@
     load = Load(fleet, rate=rate, seconds=seconds, prompts=64).run()
     after = engine_counts(fleet)
     fleet.engine_faults("runner-0", slow_factor=1.0, fail_share=0.0)
-    asked = [after[name][0] - before[name][0] for name in after]
+    engine_requests = [after[name][0] - before[name][0] for name in after]
     hits = sum(after[name][1] - before[name][1] for name in after)
-    return load, hits / max(1, sum(asked)), asked[0] / max(1, sum(asked))
+    return (
+        load,
+        hits / max(1, sum(engine_requests)),
+        engine_requests[0] / max(1, sum(engine_requests)),
+    )
 
 
 def engine_counts(fleet):
-    """Return requests and prefix hits by engine."""
+    """Return the number of requests and prefix hits by engine."""
     counts = {}
     for name in fleet.names("runner"):
         state = fleet.get(fleet.engine_url(name) + "/state")
@@ -52,8 +56,8 @@
 
 
 def run_policy(policy, *, rate, seconds):
-    """Return the rows of a policy, and its figures by case."""
-    rows, figures = [], {}
+    """Return the table rows of a policy and its measurements by case."""
+    rows, measurements = [], {}
     with Fleet(
         agents=AGENTS,
         plain=0,
@@ -66,42 +70,42 @@
         fleet.apply("--wait", "30")
         fleet.wait_ready()
         for case in CASES:
-            load, hits, bad = run_case(fleet, case, rate=rate, seconds=seconds)
+            load, hits, faulty_share = run_case(fleet, case, rate=rate, seconds=seconds)
             counts = load.by_host().values()
-            spread = max(counts) * AGENTS / max(1, sum(counts))
-            figures[case] = (load.first_token(0.95), bad)
+            max_over_mean = max(counts) * AGENTS / max(1, sum(counts))
+            measurements[case] = (load.first_token(0.95), faulty_share)
             rows.append(
                 [
                     policy,
                     case,
                     *(f"{load.first_token(s) * 1000:.0f}" for s in (0.5, 0.95, 0.99)),
-                    f"{len(load.done())}/{len(load.results)}",
-                    f"{spread:.2f}",
+                    f"{len(load.completed())}/{len(load.results)}",
+                    f"{max_over_mean:.2f}",
                     f"{hits:.2f}",
-                    f"{bad:.3f}",
+                    f"{faulty_share:.3f}",
                 ]
             )
-    return rows, figures
+    return rows, measurements
 
 
 def main():
-    """Run every policy; return the exit code."""
+    """Run all policies and check the bounds; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rate", type=float, default=60.0)
     parser.add_argument("--seconds", type=float, default=6.0)
     options = parser.parse_args()
     rows, by_policy = [HEADING], {}
     for policy in POLICIES.names():
-        found, by_policy[policy] = run_policy(
+        policy_rows, by_policy[policy] = run_policy(
             policy, rate=options.rate, seconds=options.seconds
         )
-        rows += found
+        rows += policy_rows
     print(f"commit {commit()}, {options.rate} requests/s, {AGENTS} endpoints")
     print_table(rows)
     limits = bounds("routing")
-    ours = by_policy["two_choices"]
-    slow = ours["one slow"][0] / by_policy["random"]["one slow"][0]
-    share = ours["one fails fast"][1] * AGENTS
+    default_policy = by_policy["two_choices"]
+    slow = default_policy["one slow"][0] / by_policy["random"]["one slow"][0]
+    share = default_policy["one fails fast"][1] * AGENTS
     holds = check("one slow: p95 over random", slow, limits["two_choices_over_random"])
     holds &= check("failing endpoint's share", share, limits["failing_share"])
     return 0 if holds else 1
