--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from tests.mutations import Mutation, copy_whole, copy_without
+from tests.mutations import Mutation, copy_sources, copy_mutated
 
 #: Name of the unmodified baseline.
 BASELINE = "nothing"
@@ -248,8 +248,8 @@
         result = Result(name=mechanism.name)
         results.append(result)
         if mechanism is baseline:
-            copy_whole(copy)
-        elif not copy_without(mechanism, copy):
+            copy_sources(copy)
+        elif not copy_mutated(mechanism, copy):
             result.failures.append("not applied")
             continue
         (copy / "journal").mkdir(exist_ok=True)
--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -80,7 +80,7 @@
             entries=3,
             agents=self.hosts,
             plain=0,
-            engines_together=8,
+            engines_per_process=8,
             platform_options=["--origin-rate", str(2 * self.link)],
             agent_settings={
                 "link_rate": self.link,
@@ -151,17 +151,17 @@
             fleet.start_node(late)
         time.sleep(self.window * 0.1)
         if "cut" in self.faults:
-            fleet.cut_off("herstal")
+            fleet.partition("herstal")
         if "kill" in self.faults:
             fleet.kill(names[0])
             excluded.append(names[0])
         if "stall" in self.faults:
-            fleet.freeze(names[1])
+            fleet.suspend(names[1])
         time.sleep(self.window * 0.3)
         if "stall" in self.faults:
-            fleet.wake(names[1])
+            fleet.resume(names[1])
         if "cut" in self.faults:
-            fleet.heal()
+            fleet.heal_partitions()
         return excluded
 
     def _all_live(self, fleet, names):
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -36,7 +36,7 @@
         agents=agents,
         plain=0,
         domains=("anderlecht",),
-        engines_together=16,
+        engines_per_process=16,
         entry_settings={"heartbeat_every": 1.0, "suspect_after": 3.0, "threads": 16},
         agent_settings={"heartbeat_every": 1.0, "suspect_after": 3.0},
     ) as fleet:
@@ -226,7 +226,7 @@
 def stream_until(fleet, stop, token_counts):
     """Stream responses until a point in time, counting their tokens."""
     while time.monotonic() < stop:
-        response = fleet.ask("entry-0", stream=True, max_tokens=80)
+        response = fleet.complete("entry-0", stream=True, max_tokens=80)
         token_counts.append(response.data.count(b"data: {"))
 
 
--- a/packaging/binary_main.py
+++ b/packaging/binary_main.py
@@ -1,8 +1,8 @@
-"""Entry of the one-file program: C extensions are opened from memory.
+"""Entry point of the single-file executable; loads C extensions from memory.
 
-The archive can't be unpacked (hosts have no disk) and the importer of archives loads
-no C extensions; each is copied to an anonymous memory file and opened from there. No
-other process is started.
+The archive cannot be unpacked, since hosts have no disk, and zipimport does not support
+C extensions. Each extension is therefore copied to an anonymous memory file and loaded
+from there. No other process is started.
 """
 
 import importlib.machinery
@@ -15,14 +15,14 @@
 
 
 class MemoryExtensionFinder:
-    """Finds C extensions in the archive this program runs from."""
+    """Meta path finder for C extensions in the running archive."""
 
     def __init__(self, *, archive):
         self.archive = archive
         self.importer = zipimport.zipimporter(archive)
 
     def find_spec(self, name, path=None, target=None):
-        """Return the spec of an extension module, or None if there is none."""
+        """Return the spec of an extension module, or None if it is not found."""
         for suffix in SUFFIXES:
             member = name.replace(".", os.sep) + suffix
             try:
--- a/packaging/build_binary.py
+++ b/packaging/build_binary.py
@@ -1,4 +1,4 @@
-"""Build ``dist/hawthornspoke``: one file with every library, run by the host's Python.
+"""Build ``dist/hawthornspoke``: a zipapp with all dependencies for the host's Python.
 
 python packaging/build_binary.py
 """
@@ -17,7 +17,7 @@
 
 
 def build():
-    """Gather package and libraries and write the archive; return its path."""
+    """Install the package with its dependencies into an archive; return its path."""
     shutil.rmtree(STAGE, ignore_errors=True)
     pip = [sys.executable, "-m", "pip", "install", "--quiet", "--no-compile"]
     subprocess.run([*pip, "--target", str(STAGE), str(ROOT)], check=True)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the whole system, as separate processes."""
+"""End-to-end tests of the system as separate processes."""
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Live callers that check every answer they get."""
+"""Concurrent clients that verify every response."""
 
 import json
 import threading
@@ -12,50 +12,56 @@
 TOKENS = 6
 
 
-class Answer:
-    """What one caller was told.
+class ClientResult:
+    """Outcome of one request, as seen by the client.
 
     Attributes
     ----------
     outcome : str
-        ``done``, ``not_run``, ``unknown`` or ``cut`` (no end was received).
+        ``done``, ``not_run``, ``unknown`` or ``cut`` (connection lost before the
+        response was complete).
     """
 
-    def __init__(self, request_id, outcome, status, complaint, seconds, code=""):
+    def __init__(self, request_id, outcome, status, mismatch, seconds, code=""):
         self.request_id = request_id
         self.outcome = outcome
         self.status = status
-        self.complaint = complaint
+        self.mismatch = mismatch
         self.seconds = seconds
         self.code = code
         self.at = time.monotonic()
 
 
-class Callers:
-    """Tasks that ask entry hosts in turn until stopped.
+class VerifyingClients:
+    """Threads that send requests to entry hosts in turn until stopped.
 
     Parameters
     ----------
     fleet : Fleet
     entries : list of str
-    tasks : int
-    marked : bool
-        Whether requests are marked as not to be repeated.
+    tasks : int, default=6
+        Number of threads.
+    marked : bool, default=False
+        Whether requests are marked as non-idempotent.
+    stream : bool, default=False
+        Whether responses are streamed.
     """
 
-    def __init__(self, fleet, entries, *, tasks=6, marked=False, stream=False):
+    def __init__(
+        self, fleet, entries, *, thread_count=6, non_idempotent=False, stream=False
+    ):
         self.fleet = fleet
         self.entries = entries
-        self.tasks = tasks
-        self.marked = marked
+        self.thread_count = thread_count
+        self.non_idempotent = non_idempotent
         self.stream = stream
-        self.answers = []
+        self.results = []
         self._stopped = threading.Event()
         self._threads = []
         self.started_at = time.monotonic()
 
     def __enter__(self):
-        for number in range(self.tasks):
+        for number in range(self.thread_count):
             thread = threading.Thread(target=self._run, args=(number,), daemon=True)
             thread.start()
             self._threads.append(thread)
@@ -69,41 +75,41 @@
         for thread in self._threads:
             thread.join(timeout=30)
 
-    def wait_answers(self, count, seconds=20):
-        goal = len(self.answers) + count
-        self.fleet.wait_for(lambda: len(self.answers) >= goal, seconds)
+    def wait_results(self, count, seconds=20):
+        expected_count = len(self.results) + count
+        self.fleet.wait_for(lambda: len(self.results) >= expected_count, seconds)
 
-    def complaints(self):
-        """Return every wrong answer."""
-        return [item.complaint for item in self.answers if item.complaint]
+    def mismatches(self):
+        """Return descriptions of all incorrect responses."""
+        return [item.mismatch for item in self.results if item.mismatch]
 
-    def refused(self):
-        """Return when and why requests got no answer."""
+    def failed_requests(self):
+        """Return time and cause of all requests without a successful response."""
         return [
             f"{item.at - self.started_at:.2f} s: {item.outcome} {item.code}"
-            for item in self.answers
+            for item in self.results
             if item.outcome != "done"
         ]
 
     def count(self, outcome):
-        return sum(1 for item in self.answers if item.outcome == outcome)
+        return sum(1 for item in self.results if item.outcome == outcome)
 
-    def not_run_but_ran(self):
-        """Return requests that were said not to be run and are in a run log."""
+    def falsely_not_run(self):
+        """Return ids of requests reported as not run that an engine has run."""
         counts = self.run_counts()
         return [
             item.request_id
-            for item in self.answers
+            for item in self.results
             if item.outcome == "not_run" and item.request_id in counts
         ]
 
-    def ran_twice(self):
-        """Return requests that stand in the engines' run logs more than once."""
+    def repeatedly_run(self):
+        """Return the requests that engines have run more than once."""
         counts = self.run_counts()
-        return [item for item in self.answers if counts.get(item.request_id, 0) > 1]
+        return [item for item in self.results if counts.get(item.request_id, 0) > 1]
 
     def run_counts(self):
-        """Return how often each request stands in the engines' run logs."""
+        """Return the number of runs of each request, from the engines' run logs."""
         counts = {}
         for name in self.fleet.process_by_name:
             if not name.endswith(".engine"):
@@ -115,14 +121,14 @@
 
     def _run(self, number):
         pool = urllib3.PoolManager(maxsize=1, retries=False)
-        turn = number
+        request_index = number
         while not self._stopped.is_set():
-            entry = self.entries[turn % len(self.entries)]
-            turn += 1
-            self.answers.append(self._ask(pool, entry))
+            entry = self.entries[request_index % len(self.entries)]
+            request_index += 1
+            self.results.append(self._send_request(pool, entry))
             time.sleep(0.01)
 
-    def _ask(self, pool, entry):
+    def _send_request(self, pool, entry):
         prompt = f"damage report {uuid.uuid4().hex}"
         body = {
             "model": "redacteur",
@@ -131,11 +137,11 @@
             "stream": self.stream,
         }
         headers = caller_headers()
-        if self.marked:
+        if self.non_idempotent:
             headers["X-Idempotent"] = "false"
         started = time.monotonic()
         try:
-            reply = pool.request(
+            response = pool.request(
                 "POST",
                 self.fleet.entry_url(entry) + "/v1/completions",
                 body=json.dumps(body).encode(),
@@ -143,37 +149,39 @@
                 timeout=20,
             )
         except urllib3.exceptions.HTTPError as error:
-            # Cut before any end: the caller knows that it knows nothing.
+            # Without a response, the client cannot know whether the request was run.
             seconds = time.monotonic() - started
-            return Answer("", "cut", 0, "", seconds, type(error).__name__)
-        return _judge(reply, prompt, self.stream, time.monotonic() - started)
+            return ClientResult("", "cut", 0, "", seconds, type(error).__name__)
+        return _evaluate_response(
+            response, prompt, self.stream, time.monotonic() - started
+        )
 
 
-def _judge(reply, prompt, stream, seconds):
-    request_id = reply.headers.get("X-Request-Id", "")
-    if reply.status != 200:
-        error = json.loads(reply.data)["error"]
-        return Answer(
+def _evaluate_response(response, prompt, stream, seconds):
+    request_id = response.headers.get("X-Request-Id", "")
+    if response.status != 200:
+        error = json.loads(response.data)["error"]
+        return ClientResult(
             request_id,
             error["outcome"],
-            reply.status,
+            response.status,
             "",
             seconds,
             f"{error['code']}: {error['message']}",
         )
-    text = _stream_text(reply.data) if stream else _text(reply.data)
+    text = _stream_text(response.data) if stream else _text(response.data)
     if text is None:
-        return Answer(request_id, "unknown", 200, "", seconds, "cut_off")
-    complaint = check_text(text, prompt, reply.headers["X-Weights-Digest"])
-    return Answer(request_id, "done", 200, complaint, seconds)
+        return ClientResult(request_id, "unknown", 200, "", seconds, "cut_off")
+    mismatch = check_text(text, prompt, response.headers["X-Weights-Digest"])
+    return ClientResult(request_id, "done", 200, mismatch, seconds)
 
 
 def check_text(text, prompt, digest):
-    """Return what is wrong with an answer's text, or an empty string."""
+    """Return how a response's text differs from the expected one, or ''."""
     from hawthornspoke.base import digest_of
 
     name = f"{digest[:12]}:{digest_of(json.dumps(prompt).encode())[:6]}"
-    expected = "".join(f"{name}:{place} " for place in range(TOKENS))
+    expected = "".join(f"{name}:{position} " for position in range(TOKENS))
     return "" if text == expected else f"expected {expected!r}, got {text!r}"
 
 
@@ -182,7 +190,7 @@
 
 
 def _stream_text(data):
-    """Return a stream's text, or None if it does not end as a whole one."""
+    """Return the text of a stream, or None if its end marker is missing."""
     events = data.decode().split("\n\n")
     if events[-2:] != ["data: [DONE]", ""]:
         return None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fleets shared by the tests of a file."""
+"""Fixtures of running fleets."""
 
 import random
 
@@ -6,17 +6,17 @@
 
 from tests.fleet import Fleet, declarations
 
-CHUNK = 16 * 1024
-CHUNKS = 60
+CHUNK_SIZE = 16 * 1024
+DEFAULT_CHUNK_COUNT = 60
 
 
-def weights(number, chunks=CHUNKS):
-    """Return weights that differ by number."""
-    return random.Random(number).randbytes(chunks * CHUNK - 7)
+def weights(seed, chunks=DEFAULT_CHUNK_COUNT):
+    """Return pseudorandom weights for a seed."""
+    return random.Random(seed).randbytes(chunks * CHUNK_SIZE - 7)
 
 
 def start_fleet(fleet):
-    """Start a fleet with redac-v1 live everywhere."""
+    """Start a fleet with redac-v1 live on all model hosts."""
     fleet.start()
     fleet.publish("redac-v1", weights(1))
     fleet.publish("redac-v2", weights(2))
@@ -28,19 +28,19 @@
 
 @pytest.fixture(scope="module")
 def fleet():
-    """3 entry hosts, 3 model hosts and 2 plain hosts, serving version v1."""
-    made = Fleet(agents=3, plain=2, entry_settings={"leave_wait": 0.5})
+    """Fleet of 3 entry hosts, 3 model hosts and 2 plain hosts, per test module."""
+    running_fleet = Fleet(agents=3, plain=2, entry_settings={"leave_wait": 0.5})
     try:
-        yield start_fleet(made)
+        yield start_fleet(running_fleet)
     finally:
-        made.stop()
+        running_fleet.stop()
 
 
 @pytest.fixture
 def fresh_fleet():
-    """The same, for one test alone that breaks it."""
-    made = Fleet(agents=3, plain=2, entry_settings={"leave_wait": 0.5})
+    """Fleet like ``fleet``, for a single test that modifies its processes."""
+    running_fleet = Fleet(agents=3, plain=2, entry_settings={"leave_wait": 0.5})
     try:
-        yield start_fleet(made)
+        yield start_fleet(running_fleet)
     finally:
-        made.stop()
+        running_fleet.stop()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of separate processes on loopback addresses.
+"""Fleets of separate processes on loopback addresses, for tests and benchmarks.
 
-Run by tests and benchmarks, and by hand::
+Can also be run by hand::
 
     python -m tests.fleet --entries 3 --agents 6
 """
@@ -18,38 +18,40 @@
 
 import urllib3
 
-DOMAINS = ("anderlecht", "gent-noord", "herstal")
+FAILURE_DOMAINS = ("anderlecht", "gent-noord", "herstal")
 REGIONS = {
     "anderlecht": "bruxelles",
     "gent-noord": "flandre",
     "herstal": "wallonie",
 }
-KEY = "federation-key"
+API_KEY = "federation-key"
 
-#: Endpoints of other failure domains that an entry host hears of at least.
-FAR_KNOWN = 4
+#: Minimum number of endpoints of other failure domains known to an entry host.
+MIN_REMOTE_KNOWN = 4
 
 
 class Fleet:
-    """Processes by host name, with what a test does to them.
+    """Starts the processes of a fleet, controls them and injects faults.
 
     Parameters
     ----------
     entries : int, default=3
+        Number of entry hosts.
     agents : int, default=5
-        Hosts with a model engine.
+        Number of hosts with a model engine.
     plain : int, default=1
-        Hosts with a plain service.
+        Number of hosts with a plain service.
     domains : tuple of str, default=DOMAINS
     platform_options, engine_options : list of str
-        Further options of the stand-ins.
+        Additional command-line options of the simulated platform and engines.
     entry_settings, agent_settings : dict
-        Further settings.
+        Additional settings of entry hosts and agents.
     start_agents : bool, default=True
-    engines_together : int, default=0
-        Engines in one process; 0 gives each its own.
+        Whether ``start`` starts the agents.
+    engines_per_process : int, default=0
+        Number of engines per process; 0 for a separate process each.
     log : bool, default=False
-        Whether to keep the processes' standard error in files.
+        Whether to write the processes' standard error to files.
     """
 
     def __init__(
@@ -58,13 +60,13 @@
         entries=3,
         agents=5,
         plain=1,
-        domains=DOMAINS,
+        domains=FAILURE_DOMAINS,
         platform_options=(),
         engine_options=(),
         entry_settings=None,
         agent_settings=None,
         start_agents=True,
-        engines_together=0,
+        engines_per_process=0,
         log=False,
     ):
         self.domains = domains
@@ -73,7 +75,7 @@
         self.entry_settings = entry_settings or {}
         self.agent_settings = agent_settings or {}
         self.start_agents = start_agents
-        self.engines_together = engines_together
+        self.engines_per_process = engines_per_process
         self.log = log
         self.folder = Path(tempfile.mkdtemp(prefix="hawthornspoke-"))
         self.process_by_name = {}
@@ -83,9 +85,9 @@
         self.base_port = random.randrange(20000, 30000)
         self.platform_url = f"http://{self.net}.0.1:{self.base_port}"
         self.hosts = []
-        self._plan(entries, agents, plain)
+        self._add_hosts(entries, agents, plain)
 
-    def _plan(self, entries, agents, plain):
+    def _add_hosts(self, entries, agents, plain):
         for number in range(entries):
             self._add_host("entry", f"entry-{number}", f"1.{number + 1}", number)
         for number in range(agents):
@@ -93,13 +95,13 @@
         for number in range(plain):
             self._add_host("agent", f"billing-{number}", f"3.{number + 1}", number)
 
-    def _add_host(self, role, name, place, number):
+    def _add_host(self, role, name, address_suffix, number):
         self.hosts.append(
             {
                 "host": name,
                 "role": role,
                 "failure_domain": self.domains[number % len(self.domains)],
-                "address": f"{self.net}.{place}",
+                "address": f"{self.net}.{address_suffix}",
                 "port": self.base_port + 1,
             }
         )
@@ -110,13 +112,13 @@
     def names(self, prefix):
         return [item["host"] for item in self.hosts if item["host"].startswith(prefix)]
 
-    # Starting and stopping.
+    # Process control.
 
     def start(self):
         self.start_platform()
         self.list_hosts()
-        if self.engines_together:
-            self._start_engines_together()
+        if self.engines_per_process:
+            self._start_shared_engines()
         else:
             for host in self.hosts:
                 if host["role"] == "agent":
@@ -137,15 +139,17 @@
         )
         self.wait_for(lambda: self.get(f"{self.platform_url}/_counts") is not None)
 
-    def _start_engines_together(self):
-        """Let some engines share a process: a benchmark's machine is finite."""
+    def _start_shared_engines(self):
+        """Start several engines per process, to save resources in large benchmarks."""
         names = self.names("runner")
-        size = self.engines_together
-        for first in range(0, len(names), size):
-            group = names[first : first + size]
+        size = self.engines_per_process
+        for start_index in range(0, len(names), size):
+            group = names[start_index : start_index + size]
             addresses = [self.host(name)["address"] for name in group]
             port = ["--port", str(self.base_port + 4)]
-            self._start(f"engines-{first}", "standin", "engines", *addresses, *port)
+            self._start(
+                f"engines-{start_index}", "standin", "engines", *addresses, *port
+            )
         for name in self.names("billing"):
             self.start_engine(name)
 
@@ -214,10 +218,10 @@
         self.signal(name, signal.SIGKILL)
         self.process_by_name[name].wait()
 
-    def freeze(self, name):
+    def suspend(self, name):
         self.signal(name, signal.SIGSTOP)
 
-    def wake(self, name):
+    def resume(self, name):
         self.signal(name, signal.SIGCONT)
 
     def stop(self):
@@ -238,30 +242,30 @@
     def __exit__(self, *_):
         self.stop()
 
-    # Cuts.
+    # Network partitions.
 
-    def cut_off(self, domain, *, from_platform=True, from_domains=True):
-        """Cut a failure domain off from the others and from the platform."""
-        inside = [host for host in self.hosts if host["failure_domain"] == domain]
+    def partition(self, domain, *, from_platform=True, from_domains=True):
+        """Partition a failure domain from the others and from the platform."""
+        partitioned = [host for host in self.hosts if host["failure_domain"] == domain]
         outside = [host for host in self.hosts if host["failure_domain"] != domain]
         platform = [f"{self.net}.0.1"] if from_platform else []
         others = outside if from_domains else []
-        for host in inside:
-            self._partition(host, platform + [item["address"] for item in others])
+        for host in partitioned:
+            self._block_addresses(host, platform + [item["address"] for item in others])
         for host in others:
-            self._partition(host, [item["address"] for item in inside])
+            self._block_addresses(host, [item["address"] for item in partitioned])
 
-    def heal(self):
-        """End every cut."""
+    def heal_partitions(self):
+        """Remove all network partitions."""
         for host in self.hosts:
-            self._partition(host, [])
+            self._block_addresses(host, [])
 
-    def _partition(self, host, addresses):
+    def _block_addresses(self, host, addresses):
         url = f"http://{host['address']}:{self.base_port + 2}/_partition"
         if self.is_running(host["host"]):
             self.post(url, addresses)
 
-    # The platform.
+    # Platform.
 
     def list_hosts(self, leaving=(), missing=()):
         hosts = [
@@ -318,7 +322,7 @@
         except urllib3.exceptions.HTTPError:
             return False
 
-    # Callers.
+    # Client requests.
 
     def engine_url(self, name):
         return f"http://{self.host(name)['address']}:{self.base_port + 4}"
@@ -326,7 +330,7 @@
     def entry_url(self, name):
         return f"http://{self.host(name)['address']}:{self.base_port + 3}"
 
-    def ask(self, entry="entry-0", *, model="redacteur", headers=None, **body):
+    def complete(self, entry="entry-0", *, model="redacteur", headers=None, **body):
         tree = {"model": model, "prompt": "grade this laptop", **body}
         return self.http.request(
             "POST",
@@ -352,22 +356,22 @@
 
     def get(self, url):
         try:
-            answer = self.http.request("GET", url, timeout=5)
+            response = self.http.request("GET", url, timeout=5)
         except urllib3.exceptions.HTTPError:
             return None
-        return json.loads(answer.data) if answer.status == 200 else None
+        return json.loads(response.data) if response.status == 200 else None
 
     def post(self, url, tree):
         for _ in range(100):
             try:
                 body = json.dumps(tree).encode()
-                answer = self.http.request("POST", url, body=body, timeout=5)
+                response = self.http.request("POST", url, body=body, timeout=5)
             except urllib3.exceptions.HTTPError:
                 time.sleep(0.05)
                 continue
-            assert answer.status == 200, answer.data
+            assert response.status == 200, response.data
             return
-        raise AssertionError(f"no answer from {url}")
+        raise AssertionError(f"no response from {url}")
 
     def wait_for(self, condition, seconds=30.0):
         return wait_for(condition, seconds)
@@ -376,17 +380,17 @@
         names = names or [host["host"] for host in self.hosts]
         for name in names:
             self.wait_for(lambda name=name: self.ready(name), seconds)
-        self.wait_for(self.all_known, seconds)
+        self.wait_for(self.membership_converged, seconds)
 
-    def all_known(self):
-        """Tell whether every running entry host has heard of every live service."""
+    def membership_converged(self):
+        """Return whether all running entry hosts know the agents they should know."""
         return all(
-            self._knows_all(host["host"])
+            self._has_converged(host["host"])
             for host in self.hosts
             if host["role"] == "entry" and self.is_running(host["host"])
         )
 
-    def _knows_all(self, entry):
+    def _has_converged(self, entry):
         state = self.dump(entry)
         if state is None:
             return False
@@ -398,10 +402,12 @@
             for host in self.hosts
             if host["role"] == "agent" and self.is_running(host["host"])
         ]
-        # Of other failure domains an entry host hears a summary only.
-        own = {host["host"] for host in agents if host["failure_domain"] == domain}
-        far = {host["host"] for host in agents} - own
-        return own <= known and len(far & known) >= min(len(far), FAR_KNOWN)
+        # Entry hosts receive only a summary of other failure domains.
+        local = {host["host"] for host in agents if host["failure_domain"] == domain}
+        remote = {host["host"] for host in agents} - local
+        return local <= known and len(remote & known) >= min(
+            len(remote), MIN_REMOTE_KNOWN
+        )
 
     def is_running(self, name):
         process = self.process_by_name.get(name)
@@ -409,17 +415,17 @@
 
 
 def wait_for(condition, seconds=30.0):
-    """Wait until a condition holds; return the seconds it took."""
+    """Poll until a condition holds; return the elapsed seconds."""
     started = time.monotonic()
     while not condition():
         if time.monotonic() - started > seconds:
-            raise AssertionError("condition did not come to hold in time")
+            raise AssertionError("condition did not hold within the timeout")
         time.sleep(0.05)
     return time.monotonic() - started
 
 
 def caller_headers():
-    return {"Authorization": f"Bearer {KEY}", "Content-Type": "application/json"}
+    return {"Authorization": f"Bearer {API_KEY}", "Content-Type": "application/json"}
 
 
 def _toml(settings):
@@ -427,10 +433,10 @@
 
 
 def declarations(*, version="v1", hosts="runner-*", source="redac-v1", extra=""):
-    """Return the text of a small folder's one file."""
+    """Return TOML declarations of one model, two services and one organisation."""
     import hashlib
 
-    key = hashlib.sha256(KEY.encode()).hexdigest()
+    key = hashlib.sha256(API_KEY.encode()).hexdigest()
     domains = "".join(
         f'[failure_domains.{name}]\nregion = "{region}"\n'
         for name, region in REGIONS.items()
@@ -459,7 +465,7 @@
 
 
 def main():
-    """Start a fleet, say where it is, and wait for Ctrl-C."""
+    """Start a fleet, print how to use it and wait for Ctrl-C."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--entries", type=int, default=3)
     parser.add_argument("--agents", type=int, default=5)
@@ -472,7 +478,7 @@
         url = fleet.entry_url("entry-0")
         print(f"logs and settings: {fleet.folder}")
         print(
-            f"curl -N {url}/v1/completions -H 'Authorization: Bearer {KEY}' "
+            f"curl -N {url}/v1/completions -H 'Authorization: Bearer {API_KEY}' "
             '-d \'{"model": "redacteur", "prompt": "hello", "stream": true}\''
         )
         try:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""Run the README's test command; let only the tests of KNOWN-RED.txt fail.
+"""Run the test suite, tolerating only failures of tests listed in KNOWN-RED.txt.
 
-KNOWN-RED.txt has a line for each: test id, cause, issue, with `` | `` between.
+Each line of KNOWN-RED.txt has a test id, a cause and an issue, separated by `` | ``.
 """
 
 import re
@@ -9,12 +9,12 @@
 from pathlib import Path
 
 FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 TESTS_FAILED = 1
 
 
 def read_known_red():
-    """Return the known red tests' ids, after printing their lines."""
+    """Print the entries of KNOWN-RED.txt and return their test ids."""
     if not FILE.exists():
         return []
     lines = [line.strip() for line in FILE.read_text().splitlines()]
@@ -25,19 +25,19 @@
 
 
 def main():
-    """Run pytest; return 0 if nothing failed but what is known."""
-    known = read_known_red()
-    if len(known) > MOST:
-        print(f"KNOWN-RED.txt has {len(known)} lines; at most {MOST} may land")
+    """Run pytest; return 0 if only listed tests failed."""
+    listed = read_known_red()
+    if len(listed) > MAX_ENTRIES:
+        print(f"KNOWN-RED.txt has {len(listed)} lines; at most {MAX_ENTRIES} may land")
         return 1
     pytest = Path(sys.executable).with_name("pytest")
-    done = subprocess.run([pytest, "-rf"], stdout=subprocess.PIPE, text=True)
-    print(done.stdout)
-    if done.returncode != TESTS_FAILED:
-        return done.returncode
-    failed = re.findall(r"^FAILED (\S+)", done.stdout, flags=re.MULTILINE)
-    unknown = [name for name in failed if name not in known]
-    return 1 if unknown or not failed else 0
+    completed = subprocess.run([pytest, "-rf"], stdout=subprocess.PIPE, text=True)
+    print(completed.stdout)
+    if completed.returncode != TESTS_FAILED:
+        return completed.returncode
+    failed = re.findall(r"^FAILED (\S+)", completed.stdout, flags=re.MULTILINE)
+    unexpected = [name for name in failed if name not in listed]
+    return 1 if unexpected or not failed else 0
 
 
 if __name__ == "__main__":
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-PARALLEL = 2
+MAX_WORKERS = 2
 
 
 class Mutation:
@@ -437,7 +437,7 @@
 ]
 
 
-def copy_whole(copy):
+def copy_sources(copy):
     """Make a copy of the sources.
 
     Parameters
@@ -449,7 +449,7 @@
     shutil.copytree(ROOT, copy, ignore=ignored)
 
 
-def copy_without(mutation, copy):
+def copy_mutated(mutation, copy):
     """Make a copy of the sources without a mechanism.
 
     Parameters
@@ -463,7 +463,7 @@
     bool
         False if the text that holds the mechanism doesn't stand there just once.
     """
-    copy_whole(copy)
+    copy_sources(copy)
     file = copy / "hawthornspoke" / mutation.file
     text = file.read_text()
     pairs = [(mutation.old, mutation.new)]
@@ -481,9 +481,9 @@
     """Return whether the mutation's test failed without the mechanism."""
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
         copy = Path(folder) / "copy"
-        if not copy_without(mutation, copy):
+        if not copy_mutated(mutation, copy):
             return "not applied"
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "pytest", "-x", "-q", *mutation.test.split(" ", 2)],
             cwd=copy,
             capture_output=True,
@@ -491,7 +491,7 @@
             timeout=300,
         )
         return {0: "PASSED", 1: "failed, as it should"}.get(
-            done.returncode, f"pytest ended with {done.returncode}"
+            completed.returncode, f"pytest ended with {completed.returncode}"
         )
 
 
@@ -501,7 +501,7 @@
     chosen = [
         item for item in MUTATIONS if not words or any(w in item.name for w in words)
     ]
-    with ThreadPoolExecutor(max_workers=PARALLEL) as pool:
+    with ThreadPoolExecutor(max_workers=MAX_WORKERS) as pool:
         results = list(pool.map(run_mutation, chosen))
     for mutation, result in zip(chosen, results, strict=True):
         print(f"{result:<22} | {mutation.name:<42} | {mutation.test}")
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -22,10 +22,10 @@
 
 def children(pid):
     """Return the processes that a process has started."""
-    found = set()
+    pids = set()
     for task in Path(f"/proc/{pid}/task").glob("*/children"):
-        found |= set(task.read_text().split())
-    return found
+        pids |= set(task.read_text().split())
+    return pids
 
 
 def test_demo_runs_from_the_binary_as_one_process(binary, tmp_path):
@@ -41,15 +41,15 @@
         stdout=subprocess.PIPE,
         text=True,
     )
-    seen = set()
+    child_pids = set()
     while process.poll() is None:
         try:
-            seen |= children(process.pid)
+            child_pids |= children(process.pid)
         except OSError:
             break
         time.sleep(0.02)
     printed, _ = process.communicate()
     assert process.returncode == 0, printed
     assert "1.00 copies read from the origin" in printed
-    assert seen == set()
+    assert child_pids == set()
     assert list(tmp_path.iterdir()) == []
--- a/tests/test_boundary.py
+++ b/tests/test_boundary.py
@@ -7,7 +7,7 @@
 
 #: Names on the platform's wire, in its settings and of its roles that a reader of
 #: the product must not need to know.
-NAMES = (
+PLATFORM_NAMES = (
     "Attempt-Id",
     "Deadline-Ms",
     "Response-Seal",
@@ -36,7 +36,7 @@
 )
 
 #: The soak surrounds the programs with the platform's own protocol.
-ALLOWED = (
+ALLOWED_PATHS = (
     "platform/",
     "deploy/",
     "journal/",
@@ -48,14 +48,14 @@
 
 def test_platform_names_stay_in_the_adapter():
     # The product's own X-Deadline-Ms is another name than Deadline-Ms.
-    choices = "|".join(re.escape(name) for name in NAMES)
+    choices = "|".join(re.escape(name) for name in PLATFORM_NAMES)
     pattern = re.compile(rf"(?<![\w-])({choices})\b")
     found = []
     for path in ROOT.rglob("*"):
         relative = path.relative_to(ROOT).as_posix()
         hidden = any(part.startswith(".") for part in relative.split("/"))
         skipped = hidden or relative.startswith(
-            (*ALLOWED, "target/", "build/", "dist/")
+            (*ALLOWED_PATHS, "target/", "build/", "dist/")
         )
         if skipped or path.suffix not in (".py", ".toml", ".thrift"):
             continue
--- a/tests/test_dump.py
+++ b/tests/test_dump.py
@@ -12,19 +12,19 @@
         fleet.declare("10-all.toml", declarations())
         fleet.apply("--wait", "20")
         fleet.wait_ready()
-        for name, part in (("entry-0", "router"), ("runner-0", "gate")):
+        for name, section in (("entry-0", "router"), ("runner-0", "gate")):
             by_http = fleet.dump(name)
             by_command = json.loads(fleet.command("dump", name).stdout)
             fleet.signal(name, signal.SIGUSR1)
             log = fleet.folder / f"{name}.log"
-            fleet.wait_for(lambda log=log: dumped(log))
-            for state in (by_http, by_command, dumped(log)):
+            fleet.wait_for(lambda log=log: logged_dump(log))
+            for state in (by_http, by_command, logged_dump(log)):
                 assert state["node"] == name
                 assert state["revision"]["revision"] == 1
-                assert part in state
+                assert section in state
 
 
-def dumped(log):
+def logged_dump(log):
     """Return the state that a process wrote to its log, or None."""
     lines = [line for line in log.read_text().splitlines() if line.startswith("{")]
     return json.loads(lines[-1]) if lines else None
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -12,10 +12,10 @@
 from hawthornspoke.web import HttpServer, Response
 
 ADDRESS = "127.0.0.1"
-PART = b'data: {"choices": [{"text": "x"}]}\n\n'
+EVENT = b'data: {"choices": [{"text": "x"}]}\n\n'
 
 
-def answers_of(response):
+def run_request(response):
     """Run one request against an engine that gives this response."""
     port = random.randrange(12000, 15000)
     server = HttpServer(address=ADDRESS, port=port, handler=lambda request: response)
@@ -30,13 +30,13 @@
         server.close()
 
 
-def stream(*pieces):
+def stream(*chunks):
     headers = {"Content-Type": "text/event-stream"}
-    return Response(headers=headers, body=iter(pieces))
+    return Response(headers=headers, body=iter(chunks))
 
 
 def test_whole_stream_is_passed_on():
-    events = answers_of(stream(PART, PART, b"data: [DONE]\n\n"))
+    events = run_request(stream(EVENT, EVENT, b"data: [DONE]\n\n"))
     assert events[0].kind == EventKind.HEAD
     assert sum(event.count or 0 for event in events) == 2
 
@@ -48,23 +48,23 @@
     Cause: trusting the end of the body.
     """
     with pytest.raises(CutAnswer):
-        answers_of(stream(PART, PART))
+        run_request(stream(EVENT, EVENT))
 
 
 def test_stream_cut_inside_an_event_is_not_finished():
     """Symptom: a caller gets half an event."""
     with pytest.raises(CutAnswer):
-        answers_of(stream(PART, PART[:10]))
+        run_request(stream(EVENT, EVENT[:10]))
 
 
 @pytest.mark.parametrize("status", [404, 429])
 def test_refusals_of_an_engine_are_proof(status):
     """Symptom: a request that the engine refused is told as unknown."""
-    (failure,) = answers_of(Response(status=status))
+    (failure,) = run_request(Response(status=status))
     assert is_failure(failure)
 
 
 def test_server_error_is_no_proof():
     """Symptom: "not run" is said of a request that failed half-way."""
     with pytest.raises(CutAnswer):
-        answers_of(Response(status=500))
+        run_request(Response(status=500))
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -17,7 +17,7 @@
     "machine_class", MACHINE_CLASSES, ids=MACHINES.names()
 )
 
-VERBS = {
+REQUIRED_METHODS = {
     "policy": (POLICIES, ["choose"]),
     "strategy": (STRATEGIES, ["may_read_origin", "holders", "owners_before"]),
     "engine": (ENGINES, ["state", "answer", "stage", "drop_staged", "load", "unload"]),
@@ -92,9 +92,9 @@
             assert item.__doc__, f"{machine_class.__name__}.{name}"
 
 
-@pytest.mark.parametrize("kind", VERBS)
+@pytest.mark.parametrize("kind", REQUIRED_METHODS)
 def test_registered_objects_have_the_verbs_of_their_kind(kind):
-    registry, verbs = VERBS[kind]
+    registry, methods = REQUIRED_METHODS[kind]
     for name in registry.names():
-        for verb in verbs:
-            assert callable(getattr(registry.get(name), verb)), f"{name}.{verb}"
+        for method in methods:
+            assert callable(getattr(registry.get(name), method)), f"{name}.{method}"
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -8,16 +8,16 @@
 POISON = "a prompt that ends engines"
 
 #: Ends of engines under one request until it is known, and later ones allowed.
-KNOWN_AFTER = 3
-MOST_RETRIES = 3
+QUARANTINE_THRESHOLD = 3
+MAX_EXTRA_EXITS = 3
 
 
-class Restarter:
+class EngineRestarter:
     """Starts engines again that have ended, and counts the ends."""
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.ends = 0
+        self.exit_count = 0
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
@@ -35,28 +35,32 @@
         while not self._stopping.wait(0.2):
             for name in self.fleet.names("runner"):
                 if not self.fleet.is_running(f"{name}.engine"):
-                    self.ends += 1
+                    self.exit_count += 1
                     self.fleet.start_engine(name)
                     self.fleet.engine_faults(name, exit_on_prompt=POISON)
 
 
-def ask_poison(fleet, entry, **body):
-    return fleet.ask(entry, prompt=POISON, max_tokens=5, **body)
+def send_poison_request(fleet, entry, **body):
+    return fleet.complete(entry, prompt=POISON, max_tokens=5, **body)
 
 
 @pytest.mark.parametrize("stream", [False, True], ids=["whole", "stream"])
 def test_poison_request_at_all_entry_hosts_ends_few_engines(fresh_fleet, stream):
     """Guards against engines that end again and again under one request."""
     fleet = fresh_fleet
-    with Restarter(fleet) as restarter:
+    with EngineRestarter(fleet) as restarter:
         stop_at = time.monotonic() + 12.0
         while time.monotonic() < stop_at:
             for entry in fleet.names("entry"):
-                ask_poison(fleet, entry, stream=stream)
+                send_poison_request(fleet, entry, stream=stream)
             time.sleep(0.2)
-        assert KNOWN_AFTER <= restarter.ends <= KNOWN_AFTER + MOST_RETRIES
-        answer = ask_poison(fleet, "entry-1", stream=stream)
-        assert answer.status == 503
-        assert b'"code": "quarantined"' in answer.data
-        assert float(answer.headers["Retry-After"]) > 60
-        fleet.wait_for(lambda: fleet.ask("entry-2", max_tokens=5).status == 200)
+        assert (
+            QUARANTINE_THRESHOLD
+            <= restarter.exit_count
+            <= QUARANTINE_THRESHOLD + MAX_EXTRA_EXITS
+        )
+        response = send_poison_request(fleet, "entry-1", stream=stream)
+        assert response.status == 503
+        assert b'"code": "quarantined"' in response.data
+        assert float(response.headers["Retry-After"]) > 60
+        fleet.wait_for(lambda: fleet.complete("entry-2", max_tokens=5).status == 200)
--- a/tests/test_promise_answers.py
+++ b/tests/test_promise_answers.py
@@ -4,18 +4,21 @@
 import socket
 import time
 
-from tests.callers import Callers, _stream_text, check_text
+from tests.clients import VerifyingClients, _stream_text, check_text
 from tests.fleet import caller_headers
 
 
-def open_stream(fleet, entry, *, tokens, prompt="p", marked=False):
+def open_stream(fleet, entry, *, tokens, prompt="p", non_idempotent=False):
     """Send a streaming request on a raw connection and return it."""
     host = fleet.host(entry)
     body = json.dumps(
         {"model": "redacteur", "prompt": prompt, "max_tokens": tokens, "stream": True}
     )
     connection = socket.create_connection((host["address"], fleet.base_port + 3))
-    fields = {**caller_headers(), **({"X-Idempotent": "false"} if marked else {})}
+    fields = {
+        **caller_headers(),
+        **({"X-Idempotent": "false"} if non_idempotent else {}),
+    }
     headers = "".join(f"{key}: {item}\r\n" for key, item in fields.items())
     head = f"POST /v1/completions HTTP/1.1\r\nHost: x\r\n{headers}"
     head += f"Content-Length: {len(body)}\r\n\r\n"
@@ -30,14 +33,16 @@
     Cause: a late answer left on a connection that goes back to the pool.
     """
     with (
-        Callers(fleet, fleet.names("entry"), tasks=10) as whole,
-        Callers(fleet, fleet.names("entry"), tasks=10, stream=True) as streams,
+        VerifyingClients(fleet, fleet.names("entry"), thread_count=10) as whole,
+        VerifyingClients(
+            fleet, fleet.names("entry"), thread_count=10, stream=True
+        ) as streams,
     ):
-        whole.wait_answers(150)
-        streams.wait_answers(150)
-    for callers in (whole, streams):
-        assert callers.complaints() == []
-        assert callers.not_run_but_ran() == []
+        whole.wait_results(150)
+        streams.wait_results(150)
+    for clients in (whole, streams):
+        assert clients.mismatches() == []
+        assert clients.falsely_not_run() == []
 
 
 def test_late_answer_on_a_reused_connection_reaches_nobody_else(fleet):
@@ -50,13 +55,13 @@
     for name in fleet.names("runner"):
         fleet.engine_faults(name, slow_factor=30.0)
     for _ in range(6):
-        late = fleet.ask("entry-0", headers={"X-Request-Timeout": "0.3"})
+        late = fleet.complete("entry-0", headers={"X-Request-Timeout": "0.3"})
         assert late.status in (408, 504, 503), late.data
     for name in fleet.names("runner"):
         fleet.engine_faults(name, slow_factor=1.0)
-    with Callers(fleet, ["entry-0"], tasks=4) as callers:
-        callers.wait_answers(40)
-    assert callers.complaints() == []
+    with VerifyingClients(fleet, ["entry-0"], thread_count=4) as clients:
+        clients.wait_results(40)
+    assert clients.mismatches() == []
 
 
 def test_stream_that_breaks_off_is_resumed_by_the_same_weights(fleet):
@@ -66,10 +71,12 @@
     Cause: taking the end of the bytes for the end of the answer.
     """
     fleet.engine_faults("runner-0", die_after_tokens=3)
-    with Callers(fleet, fleet.names("entry"), tasks=6, stream=True) as callers:
-        callers.wait_answers(120)
+    with VerifyingClients(
+        fleet, fleet.names("entry"), thread_count=6, stream=True
+    ) as clients:
+        clients.wait_results(120)
     fleet.engine_faults("runner-0", die_after_tokens=0)
-    assert callers.complaints() == []
+    assert clients.mismatches() == []
     resumed = sum(
         fleet.dump(name)["counters"].get("retries_total", 0)
         for name in fleet.names("entry")
@@ -89,17 +96,21 @@
     connection = open_stream(fleet, "entry-0", tokens=6)
     connection.sendall(b"")
     connection.close()
-    answer = fleet.ask("entry-1", headers={"X-Idempotent": "false"}, max_tokens=6)
-    tree = json.loads(answer.data)
-    assert answer.status == 502
+    response = fleet.complete(
+        "entry-1", headers={"X-Idempotent": "false"}, max_tokens=6
+    )
+    tree = json.loads(response.data)
+    assert response.status == 502
     assert tree["error"]["outcome"] == "unknown"
-    with Callers(fleet, ["entry-2"], tasks=1, marked=True, stream=True) as callers:
-        callers.wait_answers(3)
-    assert callers.count("done") == 0
+    with VerifyingClients(
+        fleet, ["entry-2"], thread_count=1, non_idempotent=True, stream=True
+    ) as clients:
+        clients.wait_results(3)
+    assert clients.count("done") == 0
     for name in fleet.names("runner"):
         fleet.engine_faults(name, die_after_tokens=0)
     after = sum(len(fleet.runs(name)["runs"]) for name in fleet.names("runner"))
-    assert after - before <= 1 + 1 + len(callers.answers) + 2
+    assert after - before <= 1 + 1 + len(clients.results) + 2
 
 
 def test_caller_that_leaves_frees_the_engine(fleet):
@@ -131,16 +142,16 @@
     Cause: shared buffers without a bound, or dropping what does not fit.
     """
     connection = open_stream(fleet, "entry-0", tokens=300, prompt="slow")
-    with Callers(fleet, ["entry-0"], tasks=2) as callers:
-        callers.wait_answers(20)
+    with VerifyingClients(fleet, ["entry-0"], thread_count=2) as clients:
+        clients.wait_results(20)
     data = b""
     while b"0\r\n\r\n" not in data[-7:]:
-        piece = connection.recv(2048)
-        assert piece, data[-200:]
-        data += piece
+        chunk = connection.recv(2048)
+        assert chunk, data[-200:]
+        data += chunk
         time.sleep(0.002)
     connection.close()
-    assert callers.complaints() == []
+    assert clients.mismatches() == []
     assert data.count(b"data: {") == 300
     assert b"data: [DONE]" in data
 
--- a/tests/test_promise_config.py
+++ b/tests/test_promise_config.py
@@ -5,10 +5,10 @@
 import threading
 import time
 
-from tests.callers import Callers
+from tests.clients import VerifyingClients
 from tests.fleet import declarations
 
-LIMIT = 5.0
+MAX_PROPAGATION_SECONDS = 5.0
 
 
 def declare_rate(fleet, rate):
@@ -19,15 +19,15 @@
 
 def revisions(fleet, names=None):
     names = names or [host["host"] for host in fleet.hosts]
-    found = {}
+    revision_by_host = {}
     for name in names:
         state = fleet.dump(name) if fleet.is_running(name) else None
         if state is not None:
-            found[name] = state["revision"]["revision"]
-    return found
+            revision_by_host[name] = state["revision"]["revision"]
+    return revision_by_host
 
 
-def accepted(fleet):
+def accepted_revision(fleet):
     rows = fleet.get(f"{fleet.platform_url}/_rows")
     return int(rows["config"]["revision"]["N"])
 
@@ -37,11 +37,12 @@
     for rate in (1000, 2000, 3000):
         declare_rate(fleet, rate)
         fleet.apply()
-        wanted = accepted(fleet)
+        expected = accepted_revision(fleet)
         seconds = fleet.wait_for(
-            lambda wanted=wanted: set(revisions(fleet).values()) == {wanted}, LIMIT
+            lambda expected=expected: set(revisions(fleet).values()) == {expected},
+            MAX_PROPAGATION_SECONDS,
         )
-        assert seconds < LIMIT
+        assert seconds < MAX_PROPAGATION_SECONDS
 
 
 def test_of_two_operators_one_wins_and_the_other_is_told(fleet):
@@ -50,7 +51,7 @@
     Events: two operators apply different folders on the same base at once.
     Cause: writing without comparing the base.
     """
-    base = accepted(fleet)
+    base = accepted_revision(fleet)
     results = []
 
     def apply(number):
@@ -69,42 +70,46 @@
         thread.start()
     for thread in threads:
         thread.join()
-    codes = sorted(done.returncode for done in results)
-    assert codes == [0, 3, 3], [done.stderr for done in results]
-    assert accepted(fleet) == base + 1
-    loser = next(done for done in results if done.returncode == 3)
+    codes = sorted(completed.returncode for completed in results)
+    assert codes == [0, 3, 3], [completed.stderr for completed in results]
+    assert accepted_revision(fleet) == base + 1
+    loser = next(completed for completed in results if completed.returncode == 3)
     assert "was first" in loser.stderr
     assert "organisations.federation.requests_per_second" in loser.stderr
 
 
 def test_lost_answer_of_an_apply_is_read_back(fleet):
     """Symptom: an operator is told of a failure and the change is in force."""
-    before = accepted(fleet)
+    before = accepted_revision(fleet)
     declare_rate(fleet, random.randrange(10_000, 20_000))
     fleet.faults(table_lost_answers=1)
     printed = fleet.apply()
     fleet.faults(table_lost_answers=0)
     assert f"revision {before + 1} accepted" in printed
-    assert accepted(fleet) == before + 1
+    assert accepted_revision(fleet) == before + 1
 
 
 def test_platform_down_for_long_and_back(fleet):
     """Symptom: nodes lose their configuration or stop when the platform is down."""
-    before = accepted(fleet)
-    fleet.wait_for(lambda: set(revisions(fleet).values()) == {before}, LIMIT)
+    before = accepted_revision(fleet)
+    fleet.wait_for(
+        lambda: set(revisions(fleet).values()) == {before}, MAX_PROPAGATION_SECONDS
+    )
     fleet.faults(table_down=True, hosts_down=True)
-    with Callers(fleet, fleet.names("entry"), tasks=4) as callers:
+    with VerifyingClients(fleet, fleet.names("entry"), thread_count=4) as clients:
         time.sleep(6)
-    done = fleet.command("apply", str(fleet.folder / "declarations"))
-    assert done.returncode == 4, done.stderr
-    assert callers.refused() == []
-    assert callers.complaints() == []
+    completed = fleet.command("apply", str(fleet.folder / "declarations"))
+    assert completed.returncode == 4, completed.stderr
+    assert clients.failed_requests() == []
+    assert clients.mismatches() == []
     assert set(revisions(fleet).values()) == {before}
     fleet.faults(table_down=False, hosts_down=False)
     declare_rate(fleet, 777)
     fleet.apply()
-    wanted = accepted(fleet)
-    fleet.wait_for(lambda: set(revisions(fleet).values()) == {wanted}, LIMIT)
+    expected = accepted_revision(fleet)
+    fleet.wait_for(
+        lambda: set(revisions(fleet).values()) == {expected}, MAX_PROPAGATION_SECONDS
+    )
 
 
 def test_cut_off_domain_serves_on_and_catches_up(fresh_fleet):
@@ -118,39 +123,45 @@
     fleet = fresh_fleet
     domain = "anderlecht"
     inside = [h["host"] for h in fleet.hosts if h["failure_domain"] == domain]
-    before = accepted(fleet)
-    fleet.cut_off(domain)
+    before = accepted_revision(fleet)
+    fleet.partition(domain)
     declare_rate(fleet, 4321)
     fleet.apply()
-    wanted = accepted(fleet)
+    expected = accepted_revision(fleet)
     outside = [h["host"] for h in fleet.hosts if h["host"] not in inside]
-    fleet.wait_for(lambda: set(revisions(fleet, outside).values()) == {wanted}, LIMIT)
+    fleet.wait_for(
+        lambda: set(revisions(fleet, outside).values()) == {expected},
+        MAX_PROPAGATION_SECONDS,
+    )
     time.sleep(3)
-    with Callers(fleet, ["entry-0"], tasks=3) as callers:
-        callers.wait_answers(60)
-    assert callers.refused() == []
-    assert callers.complaints() == []
+    with VerifyingClients(fleet, ["entry-0"], thread_count=3) as clients:
+        clients.wait_results(60)
+    assert clients.failed_requests() == []
+    assert clients.mismatches() == []
     assert set(revisions(fleet, inside).values()) == {before}
 
     highest = {}
     stopped = threading.Event()
-    lowered = []
+    regressions = []
 
     def watch():
         while not stopped.is_set():
             for name, revision in revisions(fleet, outside + ["runner-0"]).items():
                 if revision < highest.get(name, 0):
-                    lowered.append((name, revision))
+                    regressions.append((name, revision))
                 highest[name] = max(revision, highest.get(name, 0))
 
     watcher = threading.Thread(target=watch)
     watcher.start()
-    fleet.heal()
+    fleet.heal_partitions()
     names = [host["host"] for host in fleet.hosts]
-    fleet.wait_for(lambda: set(revisions(fleet, names).values()) == {wanted}, LIMIT + 5)
+    fleet.wait_for(
+        lambda: set(revisions(fleet, names).values()) == {expected},
+        MAX_PROPAGATION_SECONDS + 5,
+    )
     stopped.set()
     watcher.join()
-    assert lowered == []
+    assert regressions == []
 
 
 def test_restarted_node_takes_no_traffic_by_a_stale_neighbours_word(fresh_fleet):
@@ -161,21 +172,21 @@
     Cause: being ready by the first configuration that comes along.
     """
     fleet = fresh_fleet
-    fleet.cut_off("gent-noord")
+    fleet.partition("gent-noord")
     declare_rate(fleet, 1234)
     fleet.apply()
-    wanted = accepted(fleet)
+    expected = accepted_revision(fleet)
     fleet.kill("entry-0")
-    fleet.heal()
+    fleet.heal_partitions()
     fleet.start_node("entry-0")
     fleet.wait_for(lambda: fleet.ready("entry-0"))
-    assert revisions(fleet, ["entry-0"]) == {"entry-0": wanted}
+    assert revisions(fleet, ["entry-0"]) == {"entry-0": expected}
 
 
-def refused_key(fleet, entry):
+def unknown_key_error(fleet, entry):
     """Return the answer to a key that no configuration has."""
-    answer = fleet.ask(entry, headers={"Authorization": "Bearer none-of-ours"})
-    return answer.status, json.loads(answer.data)["error"]["code"]
+    response = fleet.complete(entry, headers={"Authorization": "Bearer none-of-ours"})
+    return response.status, json.loads(response.data)["error"]["code"]
 
 
 def test_entry_host_that_is_cut_off_refuses_no_key_for_good(fleet):
@@ -188,19 +199,25 @@
     names = fleet.names("entry")
     for name in names:
         fleet.wait_for(
-            lambda name=name: refused_key(fleet, name) == (401, "unauthenticated"), 5.0
+            lambda name=name: (
+                unknown_key_error(fleet, name) == (401, "unauthenticated")
+            ),
+            5.0,
         )
     fleet.faults(table_down=True)
     try:
-        time.sleep(LIMIT + 1.0)
+        time.sleep(MAX_PROPAGATION_SECONDS + 1.0)
         for name in names:
-            assert refused_key(fleet, name) == (503, "not_ready")
-            assert fleet.ask(name).status == 200
+            assert unknown_key_error(fleet, name) == (503, "not_ready")
+            assert fleet.complete(name).status == 200
     finally:
         fleet.faults(table_down=False)
     for name in names:
         fleet.wait_for(
-            lambda name=name: refused_key(fleet, name) == (401, "unauthenticated"), 5.0
+            lambda name=name: (
+                unknown_key_error(fleet, name) == (401, "unauthenticated")
+            ),
+            5.0,
         )
 
 
@@ -212,13 +229,14 @@
     """
     fleet = fresh_fleet
     name = fleet.names("entry")[0]
-    often = fleet.platform_toml()
-    fleet.platform_toml = lambda: often + "poll_every = 30.0\n"
+    default_platform_toml = fleet.platform_toml()
+    fleet.platform_toml = lambda: default_platform_toml + "poll_every = 30.0\n"
     fleet.kill(name)
     fleet.start_node(name)
     fleet.wait_ready([name])
-    time.sleep(LIMIT + 1.0)
+    time.sleep(MAX_PROPAGATION_SECONDS + 1.0)
     seconds = fleet.wait_for(
-        lambda: refused_key(fleet, name) == (401, "unauthenticated"), LIMIT
+        lambda: unknown_key_error(fleet, name) == (401, "unauthenticated"),
+        MAX_PROPAGATION_SECONDS,
     )
     assert seconds < 3.0
--- a/tests/test_promise_leaving.py
+++ b/tests/test_promise_leaving.py
@@ -3,24 +3,24 @@
 import signal
 import time
 
-from tests.callers import Callers
+from tests.clients import VerifyingClients
 
 #: Seconds after the first sign of leaving in which new work may still start.
-GRACE = 3.0
+GRACE_SECONDS = 3.0
 
 
-def started_after(fleet, name, seconds, leave):
+def runs_started_after(fleet, name, seconds, leave):
     """Return how many runs start on a host later than some time after leaving."""
-    with Callers(fleet, fleet.names("entry"), tasks=6) as callers:
-        callers.wait_answers(60)
+    with VerifyingClients(fleet, fleet.names("entry"), thread_count=6) as clients:
+        clients.wait_results(60)
         leave()
         time.sleep(seconds)
         before = len(fleet.runs(name)["runs"])
-        callers.wait_answers(100)
+        clients.wait_results(100)
         after = len(fleet.runs(name)["runs"])
-    assert callers.complaints() == []
-    assert callers.not_run_but_ran() == []
-    return after - before, callers
+    assert clients.mismatches() == []
+    assert clients.falsely_not_run() == []
+    return after - before, clients
 
 
 def test_by_an_operators_drain(fresh_fleet):
@@ -29,9 +29,9 @@
     def leave():
         assert fresh_fleet.command("drain", "runner-0").returncode == 0
 
-    late, callers = started_after(fresh_fleet, "runner-0", 0.5, leave)
-    assert late == 0
-    assert callers.refused() == []
+    late_runs, clients = runs_started_after(fresh_fleet, "runner-0", 0.5, leave)
+    assert late_runs == 0
+    assert clients.failed_requests() == []
 
 
 def test_by_the_platforms_list_alone(fresh_fleet):
@@ -40,9 +40,11 @@
     def leave():
         fresh_fleet.list_hosts(leaving=("runner-0",))
 
-    late, callers = started_after(fresh_fleet, "runner-0", GRACE, leave)
-    assert late == 0
-    assert callers.refused() == []
+    late_runs, clients = runs_started_after(
+        fresh_fleet, "runner-0", GRACE_SECONDS, leave
+    )
+    assert late_runs == 0
+    assert clients.failed_requests() == []
 
 
 def test_by_sigterm(fresh_fleet):
@@ -51,9 +53,9 @@
     def leave():
         fresh_fleet.signal("runner-0", signal.SIGTERM)
 
-    late, callers = started_after(fresh_fleet, "runner-0", 0.5, leave)
-    assert late == 0
-    assert callers.refused() == []
+    late_runs, clients = runs_started_after(fresh_fleet, "runner-0", 0.5, leave)
+    assert late_runs == 0
+    assert clients.failed_requests() == []
     fresh_fleet.wait_for(lambda: not fresh_fleet.is_running("runner-0"))
 
 
@@ -64,15 +66,15 @@
     Cause: acting on what waited in its sockets without asking whose it still is.
     """
     fleet = fresh_fleet
-    with Callers(fleet, fleet.names("entry"), tasks=6) as callers:
-        callers.wait_answers(60)
-        fleet.freeze("runner-0")
+    with VerifyingClients(fleet, fleet.names("entry"), thread_count=6) as clients:
+        clients.wait_results(60)
+        fleet.suspend("runner-0")
         fleet.list_hosts(leaving=("runner-0",))
-        time.sleep(GRACE + 2.5)
+        time.sleep(GRACE_SECONDS + 2.5)
         before = len(fleet.runs("runner-0")["runs"])
-        fleet.wake("runner-0")
-        callers.wait_answers(100)
+        fleet.resume("runner-0")
+        clients.wait_results(100)
         after = len(fleet.runs("runner-0")["runs"])
     assert after == before
-    assert callers.complaints() == []
-    assert callers.not_run_but_ran() == []
+    assert clients.mismatches() == []
+    assert clients.falsely_not_run() == []
--- a/tests/test_promise_not_run.py
+++ b/tests/test_promise_not_run.py
@@ -2,7 +2,7 @@
 
 import time
 
-from tests.callers import Callers
+from tests.clients import VerifyingClients
 
 
 def test_killed_and_frozen_agents_under_load(fresh_fleet):
@@ -13,19 +13,21 @@
     Cause: taking a broken or silent connection for a proof.
     """
     fleet = fresh_fleet
-    with Callers(fleet, fleet.names("entry"), tasks=8, marked=True) as callers:
-        callers.wait_answers(50)
+    with VerifyingClients(
+        fleet, fleet.names("entry"), thread_count=8, non_idempotent=True
+    ) as clients:
+        clients.wait_results(50)
         fleet.kill("runner-0")
-        callers.wait_answers(50)
+        clients.wait_results(50)
         fleet.start_node("runner-0")
-        fleet.freeze("runner-1")
+        fleet.suspend("runner-1")
         time.sleep(4)
-        fleet.wake("runner-1")
-        callers.wait_answers(100)
-    assert callers.complaints() == []
-    assert callers.not_run_but_ran() == []
-    assert callers.ran_twice() == []
-    assert callers.count("done") > 100
+        fleet.resume("runner-1")
+        clients.wait_results(100)
+    assert clients.mismatches() == []
+    assert clients.falsely_not_run() == []
+    assert clients.repeatedly_run() == []
+    assert clients.count("done") > 100
 
 
 def test_engine_down_is_proof(fresh_fleet):
@@ -36,12 +38,14 @@
     """
     fleet = fresh_fleet
     fleet.kill("runner-0.engine")
-    with Callers(fleet, fleet.names("entry"), tasks=4, marked=True) as callers:
-        callers.wait_answers(80)
-    assert callers.complaints() == []
+    with VerifyingClients(
+        fleet, fleet.names("entry"), thread_count=4, non_idempotent=True
+    ) as clients:
+        clients.wait_results(80)
+    assert clients.mismatches() == []
     # Requests in progress at the kill are unknown; all later ones go elsewhere.
-    assert callers.count("unknown") + callers.count("cut") <= 4
-    assert callers.count("done") >= 70
+    assert clients.count("unknown") + clients.count("cut") <= 4
+    assert clients.count("done") >= 70
 
 
 def test_plain_service_whose_answer_is_lost_is_unknown(fleet):
@@ -53,9 +57,9 @@
     for name in fleet.names("billing"):
         fleet.post(fleet.engine_url(name) + "/_faults", {"drop_answers": 1})
     before = total_runs(fleet)
-    answer = fleet.call("entry-0", "/services/billing/invoices")
-    assert answer.status == 502, answer.data
-    assert b'"outcome": "unknown"' in answer.data
+    response = fleet.call("entry-0", "/services/billing/invoices")
+    assert response.status == 502, response.data
+    assert b'"outcome": "unknown"' in response.data
     for name in fleet.names("billing"):
         fleet.post(fleet.engine_url(name) + "/_faults", {"drop_answers": 0})
     assert total_runs(fleet) - before == 1
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -8,13 +8,13 @@
 import pytest
 
 
-def invoice(fleet, entry, key, **options):
+def post_invoice(fleet, entry, key, **options):
     headers = {"Idempotency-Key": key, **options.pop("headers", {})}
     body = json.dumps({"invoice": options.pop("number", 1)}).encode()
     return fleet.call(entry, "/services/billing/inv", headers=headers, body=body)
 
 
-def runs_of(fleet, key):
+def run_count(fleet, key):
     return sum(
         1
         for name in fleet.names("billing")
@@ -30,20 +30,20 @@
 
 def test_stored_answer_is_given_again_at_any_entry_host(fleet, key):
     """Symptom: a second warranty is issued when the caller asks again."""
-    first = invoice(fleet, "entry-0", key)
-    second = invoice(fleet, "entry-1", key)
+    first = post_invoice(fleet, "entry-0", key)
+    second = post_invoice(fleet, "entry-1", key)
     assert first.status == second.status == 201, second.data
     assert first.data == second.data
     assert second.headers["X-Stored-Answer"] == "true"
-    assert runs_of(fleet, key) == 1
+    assert run_count(fleet, key) == 1
 
 
 def test_key_with_another_body_is_refused(fleet, key):
     """Symptom: a caller gets the answer to another request."""
-    assert invoice(fleet, "entry-0", key).status == 201
-    other = invoice(fleet, "entry-0", key, number=2)
+    assert post_invoice(fleet, "entry-0", key).status == 201
+    other = post_invoice(fleet, "entry-0", key, number=2)
     assert other.status == 422, other.data
-    assert runs_of(fleet, key) == 1
+    assert run_count(fleet, key) == 1
 
 
 def test_same_key_at_all_entry_hosts_at_once(fleet):
@@ -57,7 +57,7 @@
         answers = []
 
         def ask(entry, key=key, answers=answers):
-            answers.append(invoice(fleet, entry, key))
+            answers.append(post_invoice(fleet, entry, key))
 
         threads = [
             threading.Thread(target=ask, args=(name,)) for name in fleet.names("entry")
@@ -66,8 +66,8 @@
             thread.start()
         for thread in threads:
             thread.join()
-        assert runs_of(fleet, key) == 1
-        statuses = sorted(answer.status for answer in answers)
+        assert run_count(fleet, key) == 1
+        statuses = sorted(response.status for response in answers)
         assert statuses[0] == 201
         assert set(statuses) <= {201, 409}
 
@@ -79,43 +79,45 @@
     Cause: guessing in place of reading back by the writer's token.
     """
     fleet.faults(table_lost_answers=1)
-    answer = invoice(fleet, "entry-0", key)
+    response = post_invoice(fleet, "entry-0", key)
     fleet.faults(table_lost_answers=0)
-    assert answer.status == 201, answer.data
-    assert runs_of(fleet, key) == 1
-    assert invoice(fleet, "entry-1", key).headers["X-Stored-Answer"] == "true"
+    assert response.status == 201, response.data
+    assert run_count(fleet, key) == 1
+    assert post_invoice(fleet, "entry-1", key).headers["X-Stored-Answer"] == "true"
 
 
 def test_platform_down_refuses_marked_requests_at_once_and_serves_the_rest(fleet, key):
     """Symptom: everything stops, or invoices run unclaimed, while the table is down."""
     fleet.faults(table_down=True)
     started = time.monotonic()
-    refused = invoice(fleet, "entry-0", key)
+    refused = post_invoice(fleet, "entry-0", key)
     seconds = time.monotonic() - started
-    unmarked = fleet.ask("entry-0")
+    unmarked = fleet.complete("entry-0")
     fleet.faults(table_down=False)
     assert refused.status == 503, refused.data
     assert json.loads(refused.data)["error"]["outcome"] == "not_run"
     assert int(refused.headers["Retry-After"]) >= 1
     assert seconds < 1.0
     assert unmarked.status == 200
-    assert runs_of(fleet, key) == 0
+    assert run_count(fleet, key) == 0
     # The key was given back: the caller may ask again with it.
-    fleet.wait_for(lambda: invoice(fleet, "entry-0", key).status == 201, seconds=10)
-    assert runs_of(fleet, key) == 1
+    fleet.wait_for(
+        lambda: post_invoice(fleet, "entry-0", key).status == 201, seconds=10
+    )
+    assert run_count(fleet, key) == 1
 
 
 def test_slow_table_does_not_outlast_the_deadline(fleet, key):
     """Symptom: a refusal comes long after its caller stopped waiting."""
     fleet.faults(table_delay=5)
     started = time.monotonic()
-    answer = invoice(fleet, "entry-0", key, headers={"X-Request-Timeout": "0.5"})
+    response = post_invoice(fleet, "entry-0", key, headers={"X-Request-Timeout": "0.5"})
     seconds = time.monotonic() - started
     fleet.faults(table_delay=0)
-    assert answer.status in (408, 503), answer.data
+    assert response.status in (408, 503), response.data
     assert seconds < 2.0
     time.sleep(5.5)
-    assert runs_of(fleet, key) == 0
+    assert run_count(fleet, key) == 0
 
 
 def test_entry_host_frozen_between_claim_and_send(fresh_fleet):
@@ -132,7 +134,7 @@
 
     def ask(key):
         try:
-            invoice(fleet, "entry-0", key, headers={"X-Request-Timeout": "1"})
+            post_invoice(fleet, "entry-0", key, headers={"X-Request-Timeout": "1"})
         except Exception:
             return
 
@@ -140,20 +142,20 @@
     for thread in threads:
         thread.start()
     time.sleep(0.3)
-    fleet.freeze("entry-0")
+    fleet.suspend("entry-0")
     time.sleep(1.5)
     fleet.faults(table_delay=0)
-    again = [invoice(fleet, "entry-1", key) for key in keys]
-    fleet.wake("entry-0")
+    retried = [post_invoice(fleet, "entry-1", key) for key in keys]
+    fleet.resume("entry-0")
     for thread in threads:
         thread.join(timeout=30)
     time.sleep(1.0)
-    assert all(runs_of(fleet, key) <= 1 for key in keys)
-    for key, answer in zip(keys, again, strict=True):
-        if answer.status != 201:
-            error = json.loads(answer.data)["error"]
+    assert all(run_count(fleet, key) <= 1 for key in keys)
+    for key, response in zip(keys, retried, strict=True):
+        if response.status != 201:
+            error = json.loads(response.data)["error"]
             # "Not run" may be said only of what did not and will not run.
-            assert error["outcome"] == "unknown" or runs_of(fleet, key) == 0
+            assert error["outcome"] == "unknown" or run_count(fleet, key) == 0
 
 
 def test_post_to_a_plain_service_is_not_repeated_without_a_mark(fleet):
@@ -177,11 +179,13 @@
     """
     for name in fleet.names("runner"):
         fleet.engine_faults(name, die_after_tokens=2)
-    answer = fleet.ask("entry-0", headers={"X-Idempotent": "false"}, max_tokens=6)
+    response = fleet.complete(
+        "entry-0", headers={"X-Idempotent": "false"}, max_tokens=6
+    )
     for name in fleet.names("runner"):
         fleet.engine_faults(name, die_after_tokens=0)
-    error = json.loads(answer.data)["error"]
-    assert answer.status == 502
+    error = json.loads(response.data)["error"]
+    assert response.status == 502
     assert error["outcome"] == "unknown"
     ran = [
         run
--- a/tests/test_promise_shutdown.py
+++ b/tests/test_promise_shutdown.py
@@ -2,7 +2,7 @@
 
 import signal
 
-from tests.callers import Callers
+from tests.clients import VerifyingClients
 from tests.test_promise_answers import open_stream
 
 TOKENS = 400
@@ -11,13 +11,13 @@
 def read_all(connection):
     data = b""
     while True:
-        piece = connection.recv(65536)
-        data += piece
-        if not piece or data.endswith(b"0\r\n\r\n"):
+        chunk = connection.recv(65536)
+        data += chunk
+        if not chunk or data.endswith(b"0\r\n\r\n"):
             return data
 
 
-def whole(data):
+def is_complete(data):
     return data.count(b"data: {") == TOKENS and b"data: [DONE]" in data
 
 
@@ -34,7 +34,7 @@
     fleet.signal("entry-0", signal.SIGTERM)
     fleet.wait_for(lambda: not fleet.ready("entry-0"), seconds=2)
     fleet.signal("entry-0", signal.SIGTERM)
-    assert all(whole(read_all(stream)) for stream in streams)
+    assert all(is_complete(read_all(stream)) for stream in streams)
     fleet.wait_for(lambda: not fleet.is_running("entry-0"))
     assert fleet.process_by_name["entry-0"].returncode == 0
 
@@ -48,7 +48,9 @@
     """
     fleet = fresh_fleet
     streams = [
-        open_stream(fleet, entry, tokens=TOKENS, prompt=f"{entry}{number}", marked=True)
+        open_stream(
+            fleet, entry, tokens=TOKENS, prompt=f"{entry}{number}", non_idempotent=True
+        )
         for entry in fleet.names("entry")
         for number in range(3)
     ]
@@ -64,9 +66,9 @@
     fleet.apply()
     fleet.signal("runner-1", signal.SIGTERM)
     fleet.signal("runner-1", signal.SIGTERM)
-    with Callers(fleet, fleet.names("entry"), tasks=3) as callers:
-        assert all(whole(read_all(stream)) for stream in streams)
-    assert callers.complaints() == []
-    assert callers.refused() == []
+    with VerifyingClients(fleet, fleet.names("entry"), thread_count=3) as clients:
+        assert all(is_complete(read_all(stream)) for stream in streams)
+    assert clients.mismatches() == []
+    assert clients.failed_requests() == []
     fleet.wait_for(lambda: not fleet.is_running("runner-1"))
     assert fleet.process_by_name["runner-1"].returncode == 0
--- a/tests/test_promise_weights.py
+++ b/tests/test_promise_weights.py
@@ -2,7 +2,7 @@
 
 import json
 
-from tests.callers import Callers
+from tests.clients import VerifyingClients
 from tests.conftest import weights
 from tests.fleet import Fleet, declarations
 
@@ -47,21 +47,21 @@
     Cause: loading unverified chunks, or switching before all are there.
     """
     fleet = fresh_fleet
-    with Callers(fleet, fleet.names("entry"), tasks=8) as callers:
-        callers.wait_answers(50)
+    with VerifyingClients(fleet, fleet.names("entry"), thread_count=8) as clients:
+        clients.wait_results(50)
         fleet.faults(origin_corrupt_share=0.1)
         fleet.declare("20-version.toml", _version("v2", "redac-v2"))
         fleet.apply()
         fleet.kill("runner-1")
-        callers.wait_answers(50)
+        clients.wait_results(50)
         fleet.start_node("runner-1")
         fleet.wait_for(
             lambda: declared_digest(fleet) != live_digests(fleet).get("x", "")
         )
         fleet.wait_for(lambda: all_live(fleet, declared_digest(fleet)))
-        callers.wait_answers(100)
-    assert callers.complaints() == []
-    assert callers.not_run_but_ran() == []
+        clients.wait_results(100)
+    assert clients.mismatches() == []
+    assert clients.falsely_not_run() == []
     failed = sum(
         fleet.dump(name)["swarm"]["failed_by_cause"].get("corrupt", 0)
         for name in fleet.names("runner")
@@ -76,15 +76,15 @@
     Cause: an agent that believes its own past orders.
     """
     fleet = fresh_fleet
-    with Callers(fleet, fleet.names("entry")) as callers:
-        callers.wait_answers(20)
+    with VerifyingClients(fleet, fleet.names("entry")) as clients:
+        clients.wait_results(20)
         fleet.kill("runner-0.engine")
-        callers.wait_answers(50)
+        clients.wait_results(50)
         fleet.start_engine("runner-0")
         fleet.wait_for(lambda: fleet.runs("runner-0") is not None)
         fleet.wait_for(lambda: fleet.runs("runner-0")["runs"])
-        callers.wait_answers(50)
-    assert callers.complaints() == []
+        clients.wait_results(50)
+    assert clients.mismatches() == []
     state = fleet.get(fleet.engine_url("runner-0") + "/state")
     assert state["loaded"] == [declared_digest(fleet)]
 
@@ -107,16 +107,16 @@
         fleet.apply()
         fleet.wait_for(lambda: fleet.counts()["origin_bytes"] > 20 * 16384)
         fleet.publish("redac-v2", weights(3, chunks=80))
-        with Callers(fleet, fleet.names("entry"), tasks=3) as callers:
+        with VerifyingClients(fleet, fleet.names("entry"), thread_count=3) as clients:
             # More than the whole was read, so nothing else is on its way.
             fleet.wait_for(lambda: fleet.counts()["origin_bytes"] > 100 * 16384)
-        assert callers.complaints() == []
-        assert callers.count("done") == len(callers.answers)
+        assert clients.mismatches() == []
+        assert clients.count("done") == len(clients.results)
         # The pinned bytes are gone from the origin: the old version stays live.
         assert all_live(fleet, before)
         # Declared anew (here under another version's name), the new bytes go live.
-        wanted = switch_to(fleet, "v3", "redac-v2")
-        fleet.wait_for(lambda: all_live(fleet, wanted))
+        expected = switch_to(fleet, "v3", "redac-v2")
+        fleet.wait_for(lambda: all_live(fleet, expected))
 
 
 def test_engine_with_room_for_one_version_changes_over_without_a_failed_request():
@@ -138,18 +138,18 @@
         fleet.declare("10-all.toml", declarations())
         fleet.apply("--wait", "20")
         fleet.wait_ready()
-        lowest = 3
-        with Callers(fleet, fleet.names("entry"), tasks=4) as callers:
+        min_live = 3
+        with VerifyingClients(fleet, fleet.names("entry"), thread_count=4) as clients:
             fleet.declare("20-version.toml", _version("v2", "redac-v2"))
             fleet.apply("--wait", "20")
-            wanted = declared_digest(fleet)
-            while not all_live(fleet, wanted):
+            expected = declared_digest(fleet)
+            while not all_live(fleet, expected):
                 live = [item for item in live_digests(fleet).values() if item]
-                lowest = min(lowest, len(live))
-            callers.wait_answers(20)
-        assert callers.complaints() == []
-        assert callers.refused() == []
-        assert lowest >= 2
+                min_live = min(min_live, len(live))
+            clients.wait_results(20)
+        assert clients.mismatches() == []
+        assert clients.failed_requests() == []
+        assert min_live >= 2
 
 
 def test_adapter_answers_only_on_its_own_base(fleet):
@@ -166,10 +166,10 @@
     fleet.declare("30-adapter.toml", adapter)
     fleet.apply("--wait", "20")
     fleet.wait_ready()
-    answer = fleet.ask(model="redacteur:grades", max_tokens=3)
-    assert answer.status == 200, answer.data
-    digest = answer.headers["X-Weights-Digest"]
-    assert json.loads(answer.data)["choices"][0]["text"].count(digest[:12]) == 3
+    response = fleet.complete(model="redacteur:grades", max_tokens=3)
+    assert response.status == 200, response.data
+    digest = response.headers["X-Weights-Digest"]
+    assert json.loads(response.data)["choices"][0]["text"].count(digest[:12]) == 3
 
     fleet.declare("40-wrong.toml", _version("v2", "redac-v2"))
     done = fleet.command("check", str(fleet.folder / "declarations"))
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -16,14 +16,14 @@
         assert "in force on every listed host" in printed
         fleet.wait_ready()
 
-        answer = fleet.ask("entry-1", max_tokens=5)
-        assert answer.status == 200, answer.data
-        digest = answer.headers["X-Weights-Digest"]
-        assert answer.headers["X-Served-Version"] == "v1"
-        text = json.loads(answer.data)["choices"][0]["text"]
+        response = fleet.complete("entry-1", max_tokens=5)
+        assert response.status == 200, response.data
+        digest = response.headers["X-Weights-Digest"]
+        assert response.headers["X-Served-Version"] == "v1"
+        text = json.loads(response.data)["choices"][0]["text"]
         assert text.count(digest[:12]) == 5
 
-        stream = fleet.ask("entry-2", max_tokens=5, stream=True)
+        stream = fleet.complete("entry-2", max_tokens=5, stream=True)
         assert stream.data.endswith(b"data: [DONE]\n\n")
         assert stream.data.count(digest[:12].encode()) == 5
 
