--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from tests.mutations import Mutation, copy_sources, copy_mutated
+from tests.mutations import Mutation, copy_mutated, copy_sources
 
 #: Name of the unmodified baseline.
 BASELINE = "nothing"
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -39,9 +39,9 @@
     ----------
     fleet : Fleet
     entries : list of str
-    tasks : int, default=6
+    thread_count : int, default=6
         Number of threads.
-    marked : bool, default=False
+    non_idempotent : bool, default=False
         Whether requests are marked as non-idempotent.
     stream : bool, default=False
         Whether responses are streamed.
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -1,9 +1,9 @@
-"""Take one mechanism away at a time and see that its test fails.
+"""Mutation tests: disable one mechanism at a time and check that its test fails.
 
-A test that passes with and without its mechanism proves nothing. Run by hand::
+A test that also passes without its mechanism proves nothing. Run by hand::
 
     python -m tests.mutations            # all, on scratch copies
-    python -m tests.mutations fencing    # those whose name has this word
+    python -m tests.mutations fencing    # those whose name contains this word
 """
 
 import shutil
@@ -18,7 +18,7 @@
 
 
 class Mutation:
-    """One mechanism taken away.
+    """Source change that disables one mechanism.
 
     Parameters
     ----------
@@ -26,12 +26,11 @@
     file : str
         Below ``hawthornspoke/``.
     old, new : str
-        The text that holds the mechanism, and what stands there without it.
-        Where two guards hold one promise, ``also`` takes the second away.
+        Source text that implements the mechanism, and its replacement.
     also : tuple of str, default=()
-        A further old and new text.
+        Second pair of old and new text, for mechanisms with two guards.
     test : str, default=""
-        pytest arguments of the test that has to fail.
+        pytest arguments of the test that must fail.
     """
 
     __slots__ = ("name", "file", "old", "new", "also", "test")
@@ -438,30 +437,30 @@
 
 
 def copy_sources(copy):
-    """Make a copy of the sources.
+    """Copy the sources.
 
     Parameters
     ----------
     copy : Path
-        Where the copy is made.
+        Destination folder.
     """
     ignored = shutil.ignore_patterns(".git", ".venv", "__pycache__", "journal")
     shutil.copytree(ROOT, copy, ignore=ignored)
 
 
 def copy_mutated(mutation, copy):
-    """Make a copy of the sources without a mechanism.
+    """Copy the sources and apply a mutation.
 
     Parameters
     ----------
     mutation : Mutation
     copy : Path
-        Where the copy is made.
+        Destination folder.
 
     Returns
     -------
     bool
-        False if the text that holds the mechanism doesn't stand there just once.
+        False if the text to replace does not occur exactly once.
     """
     copy_sources(copy)
     file = copy / "hawthornspoke" / mutation.file
@@ -478,7 +477,7 @@
 
 
 def run_mutation(mutation):
-    """Return whether the mutation's test failed without the mechanism."""
+    """Run a mutation's test on a mutated copy; return the result as text."""
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
         copy = Path(folder) / "copy"
         if not copy_mutated(mutation, copy):
@@ -496,7 +495,7 @@
 
 
 def main():
-    """Run the mutations and print a table; exit 1 if a test saw nothing."""
+    """Run the mutations and print a table; return 1 unless all tests failed."""
     words = sys.argv[1:]
     chosen = [
         item for item in MUTATIONS if not words or any(w in item.name for w in words)
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The one-file program: it runs the demo, and starts no other process."""
+"""The single-file executable runs the demo without starting other processes."""
 
 import random
 import subprocess
@@ -14,14 +14,14 @@
 
 @pytest.fixture(scope="module")
 def binary():
-    """Build the binary from the working tree."""
+    """Build the executable from the working tree."""
     build = [sys.executable, str(ROOT / "packaging" / "build_binary.py")]
     subprocess.run(build, check=True, capture_output=True)
     return BINARY
 
 
 def children(pid):
-    """Return the processes that a process has started."""
+    """Return the ids of a process's children."""
     pids = set()
     for task in Path(f"/proc/{pid}/task").glob("*/children"):
         pids |= set(task.read_text().split())
@@ -29,10 +29,10 @@
 
 
 def test_demo_runs_from_the_binary_as_one_process(binary, tmp_path):
-    """Symptom: the exit code was None, once, beside load.
+    """Guards against child processes and files, and a race of the test itself.
 
-    Events: the process ends; a look at its children finds no such process and ends
-    the loop. Cause: the exit code was read before the process was waited for.
+    Under load, the process can exit while its children are listed, which ends the
+    loop. The exit code is None unless the process is waited for before it is read.
     """
     port = str(random.randrange(15000, 20000))
     process = subprocess.Popen(
--- a/tests/test_boundary.py
+++ b/tests/test_boundary.py
@@ -1,12 +1,12 @@
-"""Names of the users' platform stand in platform/ and deploy/ only."""
+"""Names of the users' platform are confined to platform/ and deploy/."""
 
 import re
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
 
-#: Names on the platform's wire, in its settings and of its roles that a reader of
-#: the product must not need to know.
+#: Names of the platform's protocol, settings and roles that the product's code must
+#: not depend on.
 PLATFORM_NAMES = (
     "Attempt-Id",
     "Deadline-Ms",
@@ -35,7 +35,7 @@
     "per_seq_ms",
 )
 
-#: The soak surrounds the programs with the platform's own protocol.
+#: The soak test simulates the platform, so it uses the platform's protocol.
 ALLOWED_PATHS = (
     "platform/",
     "deploy/",
@@ -47,7 +47,7 @@
 
 
 def test_platform_names_stay_in_the_adapter():
-    # The product's own X-Deadline-Ms is another name than Deadline-Ms.
+    # The product's own header X-Deadline-Ms must not match Deadline-Ms.
     choices = "|".join(re.escape(name) for name in PLATFORM_NAMES)
     pattern = re.compile(rf"(?<![\w-])({choices})\b")
     found = []
@@ -66,7 +66,7 @@
 
 
 def test_adapter_stays_small():
-    """The adapter only translates; decisions would make it grow."""
+    """The adapter only translates protocols; a size limit keeps decisions out of it."""
     files = (ROOT / "platform" / "adapter").glob("*.py")
     lines = sum(len(path.read_text().splitlines()) for path in files)
     assert lines < 1200
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Connections between processes: what a failed call leaves behind."""
+"""State of RPC connections after failed calls."""
 
 import random
 import threading
@@ -18,7 +18,7 @@
 
 
 class SlowHandler:
-    """Answers documents after the seconds that their name says."""
+    """Delays each reply by the number of seconds given as the digest."""
 
     def document(self, digest):
         time.sleep(float(digest))
@@ -33,11 +33,10 @@
 
 
 def test_late_reply_never_answers_the_next_call():
-    """Symptom: a caller gets the answer to an earlier call.
+    """Guards against a reply that is matched to the wrong call.
 
-    Events: a call runs out of time; its reply arrives while the next one waits on
-    the same connection.
-    Cause: keeping a connection with an unread reply.
+    If a connection with an unread reply is reused after a timeout, the late reply
+    arrives while the next call waits on the same connection.
     """
     server, port = open_server()
     connection = Connection(address=ADDRESS, port=port)
@@ -49,15 +48,15 @@
 
 
 def test_a_call_after_its_deadline_is_not_sent():
-    """Symptom: a paused process acts for a caller who was told otherwise."""
+    """Guards against a resumed process executing a call that was reported as failed."""
     server, port = open_server()
     connection = Connection(address=ADDRESS, port=port)
     assert connection.call("document", "0", deadline=monotonic() - 1) == TOO_LATE
     server.close()
 
 
-def test_refused_connection_is_proof_and_a_cut_one_is_not():
-    """Symptom: "not run" is said of a call that a killed process had begun."""
+def test_refused_connection_proves_not_sent_and_a_broken_one_does_not():
+    """Guards against reporting "not run" for a call that a killed process had begun."""
     server, port = open_server()
     connection = Connection(address=ADDRESS, port=port)
     threading.Timer(0.2, server.close).start()
--- a/tests/test_dump.py
+++ b/tests/test_dump.py
@@ -1,4 +1,4 @@
-"""A look inside a process: over HTTP, by command and by signal."""
+"""Dumps of a process's state by HTTP, by command and by signal."""
 
 import json
 import signal
@@ -25,6 +25,6 @@
 
 
 def logged_dump(log):
-    """Return the state that a process wrote to its log, or None."""
+    """Return the last state that a process wrote to its log, or None."""
     lines = [line for line in log.read_text().splitlines() if line.startswith("{")]
     return json.loads(lines[-1]) if lines else None
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -1,4 +1,4 @@
-"""Drivers of engines: proofs, and answers that break off."""
+"""Engine drivers: truncated responses and proof that a request was not run."""
 
 import json
 import random
@@ -16,7 +16,7 @@
 
 
 def run_request(response):
-    """Run one request against an engine that gives this response."""
+    """Run one request against an engine that returns the given response."""
     port = random.randrange(12000, 15000)
     server = HttpServer(address=ADDRESS, port=port, handler=lambda request: response)
     server.open()
@@ -42,29 +42,29 @@
 
 
 def test_stream_cut_at_an_events_edge_is_not_finished():
-    """Symptom: half an answer is taken for a short, whole one.
+    """Guards against treating a truncated response as complete.
 
-    Events: an engine closes its stream between two events, without the end mark.
-    Cause: trusting the end of the body.
+    An engine closes its stream between two events without the end marker, so the
+    end of the body alone does not show that the response is complete.
     """
     with pytest.raises(CutAnswer):
         run_request(stream(EVENT, EVENT))
 
 
 def test_stream_cut_inside_an_event_is_not_finished():
-    """Symptom: a caller gets half an event."""
+    """Guards against delivering a partial event to the client."""
     with pytest.raises(CutAnswer):
         run_request(stream(EVENT, EVENT[:10]))
 
 
 @pytest.mark.parametrize("status", [404, 429])
-def test_refusals_of_an_engine_are_proof(status):
-    """Symptom: a request that the engine refused is told as unknown."""
+def test_rejection_by_an_engine_proves_not_run(status):
+    """Guards against reporting a request that the engine rejected as unknown."""
     (failure,) = run_request(Response(status=status))
     assert is_failure(failure)
 
 
-def test_server_error_is_no_proof():
-    """Symptom: "not run" is said of a request that failed half-way."""
+def test_server_error_does_not_prove_not_run():
+    """Guards against reporting a partially executed request as not run."""
     with pytest.raises(CutAnswer):
         run_request(Response(status=500))
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""Checks that hold for every registered machine, policy, strategy and engine."""
+"""Conventions of all registered machines, policies, strategies and engines."""
 
 import inspect
 import json
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("kind", REQUIRED_METHODS)
-def test_registered_objects_have_the_verbs_of_their_kind(kind):
+def test_registered_objects_have_the_required_methods(kind):
     registry, methods = REQUIRED_METHODS[kind]
     for name in registry.names():
         for method in methods:
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -1,4 +1,4 @@
-"""A request that ends each engine that begins to run it, at separate processes."""
+"""Quarantine of a request that crashes every engine that runs it."""
 
 import threading
 import time
@@ -7,13 +7,13 @@
 
 POISON = "a prompt that ends engines"
 
-#: Ends of engines under one request until it is known, and later ones allowed.
+#: Engine exits that quarantine a request, and exits allowed beyond that.
 QUARANTINE_THRESHOLD = 3
 MAX_EXTRA_EXITS = 3
 
 
 class EngineRestarter:
-    """Starts engines again that have ended, and counts the ends."""
+    """Restarts engines that have exited and counts the exits."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("stream", [False, True], ids=["whole", "stream"])
 def test_poison_request_at_all_entry_hosts_ends_few_engines(fresh_fleet, stream):
-    """Guards against engines that end again and again under one request."""
+    """Guards against one request that crashes engines repeatedly."""
     fleet = fresh_fleet
     with EngineRestarter(fleet) as restarter:
         stop_at = time.monotonic() + 12.0
--- a/tests/test_promise_answers.py
+++ b/tests/test_promise_answers.py
@@ -1,15 +1,15 @@
-"""Promise: each caller gets the whole answer to its own request."""
+"""Guarantee: each client receives the complete response to its own request."""
 
 import json
 import socket
 import time
 
-from tests.clients import VerifyingClients, _stream_text, check_text
+from tests.callers import VerifyingClients, _stream_text, check_text
 from tests.fleet import caller_headers
 
 
 def open_stream(fleet, entry, *, tokens, prompt="p", non_idempotent=False):
-    """Send a streaming request on a raw connection and return it."""
+    """Send a streaming request on a raw socket and return the socket."""
     host = fleet.host(entry)
     body = json.dumps(
         {"model": "redacteur", "prompt": prompt, "max_tokens": tokens, "stream": True}
@@ -26,11 +26,11 @@
     return connection
 
 
-def test_many_callers_at_once_get_their_own_answers(fleet):
-    """Symptom: a caller gets the end of another's answer.
+def test_concurrent_clients_get_their_own_responses(fleet):
+    """Guards against a client receiving part of another client's response.
 
-    Events: many requests on few reused connections end out of order.
-    Cause: a late answer left on a connection that goes back to the pool.
+    Many requests share a few connections and complete out of order. A late response
+    must not remain on a connection that is returned to the pool.
     """
     with (
         VerifyingClients(fleet, fleet.names("entry"), thread_count=10) as whole,
@@ -45,12 +45,12 @@
         assert clients.falsely_not_run() == []
 
 
-def test_late_answer_on_a_reused_connection_reaches_nobody_else(fleet):
-    """Symptom: after a timeout the next caller gets the answer of the first.
+def test_late_response_on_a_reused_connection_reaches_no_other_client(fleet):
+    """Guards against a late response being delivered to the next request.
 
-    Events: requests run out of time while the engine still works on them; others
-    follow at once through the same entry host.
-    Cause: keeping a connection whose last answer was not read.
+    Requests time out while the engine still runs them, and others follow
+    immediately through the same entry host. A connection with an unread response
+    must not be reused.
     """
     for name in fleet.names("runner"):
         fleet.engine_faults(name, slow_factor=30.0)
@@ -65,10 +65,10 @@
 
 
 def test_stream_that_breaks_off_is_resumed_by_the_same_weights(fleet):
-    """Symptom: a cut stream looks like a short, finished answer.
+    """Guards against a truncated stream that appears complete.
 
-    Events: one engine cuts every stream after three tokens.
-    Cause: taking the end of the bytes for the end of the answer.
+    One engine aborts every stream after three tokens. The end of the data must not
+    be taken for the end of the response.
     """
     fleet.engine_faults("runner-0", die_after_tokens=3)
     with VerifyingClients(
@@ -85,10 +85,10 @@
 
 
 def test_marked_stream_that_breaks_off_is_not_run_again_and_not_finished(fleet):
-    """Symptom: an invoice's text is generated twice, or half of one is believed.
+    """Guards against repeating a non-idempotent stream or accepting part of it.
 
-    Events: every engine cuts streams after three tokens; requests are marked.
-    Cause: resuming what may not be repeated, or ending it like a whole one.
+    Every engine aborts streams after three tokens and the requests are
+    non-idempotent, so they must be neither resumed nor ended as complete.
     """
     for name in fleet.names("runner"):
         fleet.engine_faults(name, die_after_tokens=3)
@@ -113,11 +113,11 @@
     assert after - before <= 1 + 1 + len(clients.results) + 2
 
 
-def test_caller_that_leaves_frees_the_engine(fleet):
-    """Symptom: engines work for callers who are long gone.
+def test_disconnected_client_frees_the_engine(fleet):
+    """Guards against engines running requests of disconnected clients.
 
-    Events: a caller closes its connection in mid-stream.
-    Cause: nobody tells the engine.
+    A client closes its connection during a stream; the cancellation must reach the
+    engine.
     """
     connection = open_stream(fleet, "entry-0", tokens=2000)
     connection.recv(4096)
@@ -135,11 +135,11 @@
     fleet.wait_for(idle, seconds=10)
 
 
-def test_slow_caller_gets_all_and_holds_up_nobody(fleet):
-    """Symptom: one slow reader stops answers to others, or loses its middle.
+def test_slow_client_gets_the_whole_stream_and_blocks_no_other(fleet):
+    """Guards against a slow reader that blocks others or loses data.
 
-    Events: a caller reads a long stream in small sips; others ask meanwhile.
-    Cause: shared buffers without a bound, or dropping what does not fit.
+    A client reads a long stream in small chunks while others send requests. The
+    faults are shared unbounded buffers and data dropped from a full buffer.
     """
     connection = open_stream(fleet, "entry-0", tokens=300, prompt="slow")
     with VerifyingClients(fleet, ["entry-0"], thread_count=2) as clients:
@@ -156,8 +156,8 @@
     assert b"data: [DONE]" in data
 
 
-def test_check_sees_wrong_answers():
-    """The checker itself must not be blind."""
+def test_check_text_detects_wrong_responses():
+    """Guards against a verification that accepts incorrect responses."""
     digest = "a" * 64
     assert check_text("", "p", digest)
     assert check_text("aaaaaaaaaaaa:000000:0 ", "p", digest)
--- a/tests/test_promise_config.py
+++ b/tests/test_promise_config.py
@@ -1,11 +1,11 @@
-"""Promise: an accepted configuration is in force in seconds and never reverts."""
+"""Guarantee: accepted configurations apply within seconds and never revert."""
 
 import json
 import random
 import threading
 import time
 
-from tests.clients import VerifyingClients
+from tests.callers import VerifyingClients
 from tests.fleet import declarations
 
 MAX_PROPAGATION_SECONDS = 5.0
@@ -33,7 +33,7 @@
 
 
 def test_changes_are_in_force_within_five_seconds(fleet):
-    """Symptom: some host goes on by an old limit for a minute."""
+    """Guards against a host that applies an old limit for a minute."""
     for rate in (1000, 2000, 3000):
         declare_rate(fleet, rate)
         fleet.apply()
@@ -45,11 +45,11 @@
         assert seconds < MAX_PROPAGATION_SECONDS
 
 
-def test_of_two_operators_one_wins_and_the_other_is_told(fleet):
-    """Symptom: an operator's change vanishes although it was accepted.
+def test_two_operators_on_one_base_get_one_acceptance_and_a_conflict(fleet):
+    """Guards against losing an accepted change.
 
-    Events: two operators apply different folders on the same base at once.
-    Cause: writing without comparing the base.
+    Three operators concurrently apply different folders with the same base
+    revision. A write that does not compare the base overwrites another change.
     """
     base = accepted_revision(fleet)
     results = []
@@ -79,7 +79,7 @@
 
 
 def test_lost_answer_of_an_apply_is_read_back(fleet):
-    """Symptom: an operator is told of a failure and the change is in force."""
+    """Guards against reporting a failure for a change that was applied."""
     before = accepted_revision(fleet)
     declare_rate(fleet, random.randrange(10_000, 20_000))
     fleet.faults(table_lost_answers=1)
@@ -90,7 +90,7 @@
 
 
 def test_platform_down_for_long_and_back(fleet):
-    """Symptom: nodes lose their configuration or stop when the platform is down."""
+    """Guards against nodes that lose their configuration during a platform outage."""
     before = accepted_revision(fleet)
     fleet.wait_for(
         lambda: set(revisions(fleet).values()) == {before}, MAX_PROPAGATION_SECONDS
@@ -112,13 +112,13 @@
     )
 
 
-def test_cut_off_domain_serves_on_and_catches_up(fresh_fleet):
-    """Symptom: a failure domain that is cut off stops, or goes back when it heals.
+def test_partitioned_domain_keeps_serving_and_catches_up(fresh_fleet):
+    """Guards against a partitioned failure domain that stops serving or reverts.
 
-    Events: one domain is cut off from the others and the platform; a revision is
-    accepted; a node in the cut domain restarts, so that its only source is a
-    stale neighbour; the cut heals.
-    Cause: needing the platform to serve, or taking the last heard revision.
+    A domain is partitioned from the other domains and the platform, a revision is
+    accepted and the partition is removed. The faults are to require the platform for
+    serving, and to take the revision heard last, which may come from a stale
+    neighbour of a node that restarted in the partitioned domain.
     """
     fleet = fresh_fleet
     domain = "anderlecht"
@@ -164,12 +164,12 @@
     assert regressions == []
 
 
-def test_restarted_node_takes_no_traffic_by_a_stale_neighbours_word(fresh_fleet):
-    """Symptom: after a restart an entry host admits by limits replaced long ago.
+def test_restarted_node_is_not_ready_with_a_stale_configuration(fresh_fleet):
+    """Guards against a restarted entry host that applies outdated limits.
 
-    Events: an entry host restarts while its neighbours can't reach the platform
-    and are behind; it can.
-    Cause: being ready by the first configuration that comes along.
+    An entry host that can reach the platform restarts while its neighbours cannot
+    and have an old revision. It must not become ready with the first configuration
+    that it receives.
     """
     fleet = fresh_fleet
     fleet.partition("gent-noord")
@@ -184,17 +184,17 @@
 
 
 def unknown_key_error(fleet, entry):
-    """Return the answer to a key that no configuration has."""
+    """Return status and error code of a request with an unknown key."""
     response = fleet.complete(entry, headers={"Authorization": "Bearer none-of-ours"})
     return response.status, json.loads(response.data)["error"]["code"]
 
 
-def test_entry_host_that_is_cut_off_refuses_no_key_for_good(fleet):
-    """Symptom: a caller whose key had just been added was refused for good.
+def test_entry_host_without_the_table_rejects_no_key_permanently(fleet):
+    """Guards against a permanent rejection (401) of a key that was just added.
 
-    Events: an entry host loses the table; a key may be added meanwhile; its caller is
-    told 401 and does not return. Cause: whether the host knows the newest
-    configuration was asked once, at its start.
+    While an entry host cannot read the table, a key may be added; a client that gets
+    401 does not retry. The fault was that the host checked whether its configuration
+    is current only once, at startup.
     """
     names = fleet.names("entry")
     for name in names:
@@ -222,10 +222,10 @@
 
 
 def test_host_that_reads_the_table_rarely_denies_after_one_more_read(fresh_fleet):
-    """Symptom: wrong keys were told to come back for half a minute.
+    """Guards against answering unknown keys with "retry later" for half a minute.
 
-    Events: an entry host that leaves the table to others meets a key that it doesn't
-    know, 30 s after its last read. Cause: it waited for its own turn to read.
+    An entry host that rarely reads the table itself receives an unknown key up to
+    30 s after its last read. The fault was to wait for its next scheduled read.
     """
     fleet = fresh_fleet
     name = fleet.names("entry")[0]
--- a/tests/test_promise_leaving.py
+++ b/tests/test_promise_leaving.py
@@ -1,16 +1,16 @@
-"""Promise: a leaving endpoint gets no new work after a few seconds."""
+"""Guarantee: a leaving endpoint gets no new requests after a few seconds."""
 
 import signal
 import time
 
-from tests.clients import VerifyingClients
+from tests.callers import VerifyingClients
 
-#: Seconds after the first sign of leaving in which new work may still start.
+#: Seconds after the first notice of leaving in which new requests may still start.
 GRACE_SECONDS = 3.0
 
 
 def runs_started_after(fleet, name, seconds, leave):
-    """Return how many runs start on a host later than some time after leaving."""
+    """Return the number of runs started on a host after a delay, and the clients."""
     with VerifyingClients(fleet, fleet.names("entry"), thread_count=6) as clients:
         clients.wait_results(60)
         leave()
@@ -24,7 +24,7 @@
 
 
 def test_by_an_operators_drain(fresh_fleet):
-    """Symptom: a drained host still gets requests, or drops those it has."""
+    """Guards against a drained host that gets new requests or drops running ones."""
 
     def leave():
         assert fresh_fleet.command("drain", "runner-0").returncode == 0
@@ -35,7 +35,7 @@
 
 
 def test_by_the_platforms_list_alone(fresh_fleet):
-    """Symptom: a host that the platform takes away fails its last callers."""
+    """Guards against failed requests on a host that the platform removes."""
 
     def leave():
         fresh_fleet.list_hosts(leaving=("runner-0",))
@@ -48,7 +48,7 @@
 
 
 def test_by_sigterm(fresh_fleet):
-    """Symptom: requests are cut off when an agent is stopped."""
+    """Guards against requests that are aborted when an agent is stopped."""
 
     def leave():
         fresh_fleet.signal("runner-0", signal.SIGTERM)
@@ -60,10 +60,10 @@
 
 
 def test_frozen_agent_that_wakes_runs_nothing_old(fresh_fleet):
-    """Symptom: a host that was frozen starts minutes-old requests when it wakes.
+    """Guards against a resumed host that runs outdated requests.
 
-    Events: an agent is frozen under load, is listed as leaving, and is woken.
-    Cause: acting on what waited in its sockets without asking whose it still is.
+    An agent is suspended under load, is listed as leaving and is resumed. Requests
+    queued in its sockets must not run if their connections have been closed.
     """
     fleet = fresh_fleet
     with VerifyingClients(fleet, fleet.names("entry"), thread_count=6) as clients:
--- a/tests/test_promise_not_run.py
+++ b/tests/test_promise_not_run.py
@@ -1,16 +1,15 @@
-"""Promise: when a caller is told "not run", it truly was not run."""
+"""Guarantee: a request that is reported as "not run" was not run."""
 
 import time
 
-from tests.clients import VerifyingClients
+from tests.callers import VerifyingClients
 
 
 def test_killed_and_frozen_agents_under_load(fresh_fleet):
-    """Symptom: a caller is told "not run", asks again, and the work is done twice.
+    """Guards against a request that is run twice after a false "not run".
 
-    Events: under load an agent is killed and started again, another is frozen for
-    four seconds and woken.
-    Cause: taking a broken or silent connection for a proof.
+    Under load, one agent is killed and restarted and another is suspended for four
+    seconds. A broken or silent connection does not prove that a request was not run.
     """
     fleet = fresh_fleet
     with VerifyingClients(
@@ -30,11 +29,11 @@
     assert clients.count("done") > 100
 
 
-def test_engine_down_is_proof(fresh_fleet):
-    """Symptom: a marked request fails as unknown although nothing was sent.
+def test_refused_engine_connection_proves_not_run(fresh_fleet):
+    """Guards against reporting "unknown" for a request that was never sent.
 
-    Events: an engine is killed; its agent still takes requests.
-    Cause: not telling a refused connection from a broken one.
+    An engine is killed while its agent still accepts requests. A refused connection
+    must be distinguished from a broken one.
     """
     fleet = fresh_fleet
     fleet.kill("runner-0.engine")
@@ -43,16 +42,16 @@
     ) as clients:
         clients.wait_results(80)
     assert clients.mismatches() == []
-    # Requests in progress at the kill are unknown; all later ones go elsewhere.
+    # Requests running at the kill are unknown; later ones go to other engines.
     assert clients.count("unknown") + clients.count("cut") <= 4
     assert clients.count("done") >= 70
 
 
 def test_plain_service_whose_answer_is_lost_is_unknown(fleet):
-    """Symptom: an invoice that was issued is reported as not issued.
+    """Guards against reporting an executed call as not run.
 
-    Events: the service runs the call and its answer breaks off.
-    Cause: taking an error on the way back for a refusal.
+    The service executes the call and its response is truncated. An error while
+    reading the response must not be treated as a rejection.
     """
     for name in fleet.names("billing"):
         fleet.post(fleet.engine_url(name) + "/_faults", {"drop_answers": 1})
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -1,4 +1,4 @@
-"""Promise: a request marked as not to be repeated runs at most once."""
+"""Guarantee: a request marked as non-idempotent runs at most once."""
 
 import json
 import threading
@@ -29,7 +29,7 @@
 
 
 def test_stored_answer_is_given_again_at_any_entry_host(fleet, key):
-    """Symptom: a second warranty is issued when the caller asks again."""
+    """Guards against a second execution when the client retries with the same key."""
     first = post_invoice(fleet, "entry-0", key)
     second = post_invoice(fleet, "entry-1", key)
     assert first.status == second.status == 201, second.data
@@ -39,7 +39,7 @@
 
 
 def test_key_with_another_body_is_refused(fleet, key):
-    """Symptom: a caller gets the answer to another request."""
+    """Guards against returning the stored response of a different request."""
     assert post_invoice(fleet, "entry-0", key).status == 201
     other = post_invoice(fleet, "entry-0", key, number=2)
     assert other.status == 422, other.data
@@ -47,10 +47,10 @@
 
 
 def test_same_key_at_all_entry_hosts_at_once(fleet):
-    """Symptom: a factory is billed twice.
+    """Guards against duplicate execution of concurrent requests with one key.
 
-    Events: the same key arrives at three entry hosts in the same moment.
-    Cause: looking before writing, without a condition.
+    The same key arrives at three entry hosts simultaneously. A read followed by an
+    unconditional write lets more than one of them claim it.
     """
     for _ in range(8):
         key = uuid.uuid4().hex
@@ -73,10 +73,10 @@
 
 
 def test_lost_answer_of_the_claim_is_read_back(fleet, key):
-    """Symptom: a request blocks itself, or runs twice.
+    """Guards against a request that blocks itself or runs twice.
 
-    Events: the claim is written and the table's answer is lost.
-    Cause: guessing in place of reading back by the writer's token.
+    The claim is written and the table's response is lost. The writer must read the
+    row back and compare its token instead of assuming success or failure.
     """
     fleet.faults(table_lost_answers=1)
     response = post_invoice(fleet, "entry-0", key)
@@ -87,7 +87,7 @@
 
 
 def test_platform_down_refuses_marked_requests_at_once_and_serves_the_rest(fleet, key):
-    """Symptom: everything stops, or invoices run unclaimed, while the table is down."""
+    """Guards against a full outage or unclaimed runs while the table is down."""
     fleet.faults(table_down=True)
     started = time.monotonic()
     refused = post_invoice(fleet, "entry-0", key)
@@ -100,7 +100,7 @@
     assert seconds < 1.0
     assert unmarked.status == 200
     assert run_count(fleet, key) == 0
-    # The key was given back: the caller may ask again with it.
+    # The key was released, so the client can retry with it.
     fleet.wait_for(
         lambda: post_invoice(fleet, "entry-0", key).status == 201, seconds=10
     )
@@ -108,7 +108,7 @@
 
 
 def test_slow_table_does_not_outlast_the_deadline(fleet, key):
-    """Symptom: a refusal comes long after its caller stopped waiting."""
+    """Guards against a rejection that arrives long after the client's deadline."""
     fleet.faults(table_delay=5)
     started = time.monotonic()
     response = post_invoice(fleet, "entry-0", key, headers={"X-Request-Timeout": "0.5"})
@@ -121,12 +121,11 @@
 
 
 def test_entry_host_frozen_between_claim_and_send(fresh_fleet):
-    """Symptom: a request runs long after its caller gave it up and asked again.
+    """Guards against running a request after its client retried elsewhere.
 
-    Events: requests with keys are under way when their entry host is frozen past
-    their deadline; their callers ask another host with the same keys; the first
-    host wakes.
-    Cause: claims that expire into a second run, or a send after the deadline.
+    An entry host is suspended past the deadline of its requests, their clients retry
+    at another host with the same keys, and the first host resumes. The faults are
+    claims that expire and allow a second run, and a send after the deadline.
     """
     fleet = fresh_fleet
     fleet.faults(table_delay=0.4)
@@ -154,12 +153,12 @@
     for key, response in zip(keys, retried, strict=True):
         if response.status != 201:
             error = json.loads(response.data)["error"]
-            # "Not run" may be said only of what did not and will not run.
+            # "Not run" is allowed only if the request has not run and never will.
             assert error["outcome"] == "unknown" or run_count(fleet, key) == 0
 
 
 def test_post_to_a_plain_service_is_not_repeated_without_a_mark(fleet):
-    """Symptom: a POST runs again on another host after a lost answer."""
+    """Guards against repeating a POST on another host after a lost response."""
     for name in fleet.names("billing"):
         fleet.post(fleet.engine_url(name) + "/_faults", {"drop_answers": 5})
     before = sum(len(fleet.runs(name)["runs"]) for name in fleet.names("billing"))
@@ -172,10 +171,10 @@
 
 
 def test_marked_request_is_not_run_again_after_a_server_error(fleet):
-    """Symptom: a warranty is written twice after an engine's error.
+    """Guards against repeating a non-idempotent request after a server error.
 
-    Events: every engine runs the request and then answers with a server error.
-    Cause: retrying on an error as if it were a refusal.
+    Every engine runs the request and then fails. An error must not be retried like
+    a rejection.
     """
     for name in fleet.names("runner"):
         fleet.engine_faults(name, die_after_tokens=2)
--- a/tests/test_promise_shutdown.py
+++ b/tests/test_promise_shutdown.py
@@ -1,8 +1,8 @@
-"""Promise: a graceful shutdown of a host cuts off no request in progress."""
+"""Guarantee: a graceful shutdown of a host aborts no running request."""
 
 import signal
 
-from tests.clients import VerifyingClients
+from tests.callers import VerifyingClients
 from tests.test_promise_answers import open_stream
 
 TOKENS = 400
@@ -22,10 +22,10 @@
 
 
 def test_entry_host_finishes_its_streams(fresh_fleet):
-    """Symptom: a deployment of the entry hosts cuts off callers.
+    """Guards against an entry host deployment that aborts streams.
 
-    Events: streams are in progress; SIGTERM, and a second one a moment later.
-    Cause: exiting on the signal, or on the second.
+    SIGTERM is sent twice while streams are running. The process must exit
+    immediately on neither the first nor the second signal.
     """
     fleet = fresh_fleet
     streams = [open_stream(fleet, "entry-0", tokens=TOKENS) for _ in range(5)]
@@ -40,11 +40,10 @@
 
 
 def test_agent_finishes_its_streams_also_during_a_load(fresh_fleet):
-    """Symptom: stopping an agent cuts off answers, or a half-made load is used.
+    """Guards against aborted streams and partially loaded weights at shutdown.
 
-    Events: streams run on every host; a new version is on its way in; SIGTERM
-    twice to one agent.
-    Cause: not waiting, or waiting for the load.
+    An agent gets SIGTERM twice while streams are running on all hosts and a new
+    version is being loaded. It must wait for the streams, but not for the load.
     """
     fleet = fresh_fleet
     streams = [
--- a/tests/test_promise_weights.py
+++ b/tests/test_promise_weights.py
@@ -1,8 +1,8 @@
-"""Promise: no answer by partial weights or by a mixture of two versions."""
+"""Guarantee: no response from partial weights or a mixture of two versions."""
 
 import json
 
-from tests.clients import VerifyingClients
+from tests.callers import VerifyingClients
 from tests.conftest import weights
 from tests.fleet import Fleet, declarations
 
@@ -39,12 +39,12 @@
 
 
 def test_switch_under_load_with_corrupt_chunks_and_a_killed_agent(fresh_fleet):
-    """Every answer is wholly of the one digest that its header names.
+    """Guards against responses from partially loaded or mixed weights.
 
-    Symptom: a technician gets an answer by half-loaded or mixed weights.
-    Events: a new version spreads under load; every tenth chunk from the origin
-    arrives corrupted; one agent is killed in mid-load and started again.
-    Cause: loading unverified chunks, or switching before all are there.
+    A new version is distributed under load, every tenth chunk from the origin is
+    corrupted, and an agent is killed and restarted during a load. The faults are
+    loading unverified chunks and switching before all chunks are present. Each
+    response must be generated entirely from the digest in its header.
     """
     fleet = fresh_fleet
     with VerifyingClients(fleet, fleet.names("entry"), thread_count=8) as clients:
@@ -69,11 +69,11 @@
     assert failed > 0
 
 
-def test_engine_that_comes_back_empty_is_made_whole_again(fresh_fleet):
-    """Symptom: requests fail for ever on a host whose engine was restarted.
+def test_engine_restarted_without_weights_is_reloaded(fresh_fleet):
+    """Guards against permanent failures on a host whose engine was restarted.
 
-    Events: the engine is killed behind a live agent and starts empty.
-    Cause: an agent that believes its own past orders.
+    The engine is killed while its agent keeps running, and restarts without weights.
+    The agent must not rely on its earlier orders.
     """
     fleet = fresh_fleet
     with VerifyingClients(fleet, fleet.names("entry")) as clients:
@@ -90,10 +90,10 @@
 
 
 def test_origin_bytes_that_change_during_the_spread_are_never_loaded():
-    """Symptom: a version made of bytes from before and after a change.
+    """Guards against a version that mixes bytes from before and after a change.
 
-    Events: the origin's bytes under a declared name change in mid-spread.
-    Cause: trusting names in place of digests pinned at acceptance.
+    The origin's bytes of a declared source change during the distribution. Chunks
+    must be verified by the digests pinned at acceptance, not trusted by name.
     """
     options = ["--origin-rate", "400000"]
     with Fleet(agents=3, plain=0, platform_options=options) as fleet:
@@ -108,22 +108,22 @@
         fleet.wait_for(lambda: fleet.counts()["origin_bytes"] > 20 * 16384)
         fleet.publish("redac-v2", weights(3, chunks=80))
         with VerifyingClients(fleet, fleet.names("entry"), thread_count=3) as clients:
-            # More than the whole was read, so nothing else is on its way.
+            # More than the full size was read, so no valid chunk is still in transit.
             fleet.wait_for(lambda: fleet.counts()["origin_bytes"] > 100 * 16384)
         assert clients.mismatches() == []
         assert clients.count("done") == len(clients.results)
-        # The pinned bytes are gone from the origin: the old version stays live.
+        # The origin no longer has the pinned bytes, so the old version stays live.
         assert all_live(fleet, before)
-        # Declared anew (here under another version's name), the new bytes go live.
+        # Once they are declared as another version, the new bytes become live.
         expected = switch_to(fleet, "v3", "redac-v2")
         fleet.wait_for(lambda: all_live(fleet, expected))
 
 
 def test_engine_with_room_for_one_version_changes_over_without_a_failed_request():
-    """Symptom: capacity drops to nothing, or answers are mixed, during a swap.
+    """Guards against a loss of capacity or mixed responses during a swap.
 
-    Events: engines hold one version only; a new one is declared under load.
-    Cause: all hosts swap at once, or a swap under running requests.
+    Engines can hold only one version and a new one is declared under load. The faults
+    are all hosts swapping at the same time and a swap with running requests.
     """
     size = len(weights(1))
     with Fleet(
@@ -153,10 +153,10 @@
 
 
 def test_adapter_answers_only_on_its_own_base(fleet):
-    """Symptom: fluent nonsense from an adapter on weights it was not made for.
+    """Guards against an adapter applied to weights it was not trained for.
 
-    Events: an adapter is declared on a base that the service does not run.
-    Cause: accepting a folder without checking across its keys.
+    An adapter is declared for a base that the service does not run. Declarations
+    must be validated across keys before they are accepted.
     """
     fleet.publish("grades", weights(5, chunks=2))
     adapter = (
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak of the real programs, and every seed that ever failed."""
+"""Short soak test with a fixed seed and all seeds that failed before."""
 
 import shutil
 
@@ -6,7 +6,7 @@
 
 from tests.soak.soak import play
 
-#: Seeds that failed once, with the cause; each is played again.
+#: Seeds that failed before, with the cause, as regression tests.
 FAILED_BEFORE = {}
 
 SECONDS = 6.0
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Every recorded trace, replayed against its stated outcomes."""
+"""Replay of all recorded traces against their expected outcomes."""
 
 from pathlib import Path
 
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes: declare, apply, spread, answer."""
+"""End-to-end path: declare, apply, distribute weights, serve requests."""
 
 import json
 import random
@@ -31,5 +31,5 @@
         assert call.status == 201, call.data
         assert len(fleet.runs("billing-0")["runs"]) == 1
 
-        # One copy was read from the origin for five hosts.
+        # About one copy was read from the origin for all five model hosts.
         assert fleet.counts()["origin_bytes"] <= 1.2 * len(WEIGHTS)
