--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,10 +1,10 @@
-"""A randomized soak: the real programs, faults from outside, promises checked.
+"""Randomized soak test of the real programs with externally injected faults.
 
-``python -m tests.soak --seed 7 --seconds 20`` plays one seed, ``--seeds 50`` many.
+``python -m tests.soak --seed 7 --seconds 20`` runs one seed, ``--seeds 50`` many.
 """
 
 import sys
 from pathlib import Path
 
-# The stand-in of the store lies beside the adapter's tests.
+# The simulated store is part of the adapter's tests.
 sys.path.append(str(Path(__file__).parent.parent.parent / "platform" / "tests"))
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play seeds from the command line."""
+"""Command-line interface of the soak test."""
 
 import random
 import shutil
@@ -6,32 +6,32 @@
 
 from cyclopts import App
 
-from tests.soak.soak import play
+from tests.soak.soak import run_soak
 
 app = App(name="soak")
 
 
 @app.default
 def main(seed: int | None = None, seeds: int = 1, seconds: float = 15.0):
-    """Play seeds one after the other; exit 1 if a promise was broken.
+    """Run seeds one after the other; exit with 1 if a guarantee was violated.
 
     Parameters
     ----------
     seed
-        The first one; drawn if not given.
+        First seed; random by default.
     seeds
-        How many.
+        Number of consecutive seeds.
     seconds
-        Of faults in each.
+        Duration of fault injection for each seed.
     """
     first = random.randrange(1_000_000) if seed is None else seed
     failed = 0
     for number in range(first, first + seeds):
-        broken, faults, folder = play(number, seconds)
-        print(f"seed {number}: {len(faults)} faults, {len(broken)} broken")
-        for line in broken[:20]:
+        violations, faults, folder = run_soak(number, seconds)
+        print(f"seed {number}: {len(faults)} faults, {len(violations)} violations")
+        for line in violations[:20]:
             print(f"  {line}")
-        if broken:
+        if violations:
             failed += 1
             print(f"  faults: {' '.join(faults)}\n  logs: {folder}")
         else:
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,23 +1,23 @@
-"""Callers that keep their connections and check what they are answered."""
+"""Clients with persistent connections that verify their responses."""
 
 import asyncio
 import itertools
 import random
 
-from tests.soak.programs import FRONT
-from tests.soak.world import answer_to, events_of
+from tests.soak.programs import FRONT_PORT
+from tests.soak.world import expected_events, expected_response
 
-#: Seconds that a caller waits for an answer; longer than each route's limit.
-PATIENCE = 6.0
+#: Response timeout in seconds; longer than the time limit of every route.
+RESPONSE_TIMEOUT_SECONDS = 6.0
 
 
 class Record:
-    """One request and what the caller was told.
+    """One request and its outcome as seen by the client.
 
     Attributes
     ----------
     status : int or None
-        None if the connection ended without an answer.
+        None if the connection closed without a response.
     """
 
     __slots__ = ("id", "prefix", "key", "sent_at", "ended_at", "status", "entry")
@@ -28,14 +28,14 @@
         self.ended_at = self.status = None
 
 
-class Callers:
-    """Some callers before the entry hosts.
+class VerifyingClients:
+    """Concurrent clients of the entry hosts.
 
     Parameters
     ----------
     entries : list of Program
     keys : set of str
-        Shared with the soak, which takes keys away.
+        API keys in use; shared with the soak test, which revokes some.
     seed : int
     """
 
@@ -43,29 +43,29 @@
         self.entries, self.keys = entries, keys
         self.random = random.Random(seed)
         self.records = []
-        self.broken = []
+        self.violations = []
         self._numbers = itertools.count()
 
     async def run(self, count):
-        """Call until cancelled."""
-        await asyncio.gather(*(self._caller() for _ in range(count)))
+        """Send requests from ``count`` clients until cancelled."""
+        await asyncio.gather(*(self._run_client() for _ in range(count)))
 
-    async def _caller(self):
+    async def _run_client(self):
         while True:
             entry = self.random.choice(self.entries)
             try:
-                reader, writer = await asyncio.open_connection(entry.ip, FRONT)
+                reader, writer = await asyncio.open_connection(entry.ip, FRONT_PORT)
             except OSError:
                 await asyncio.sleep(0.1)
                 continue
             try:
-                while await self._one(entry, reader, writer):
+                while await self._send_request(entry, reader, writer):
                     await asyncio.sleep(self.random.expovariate(8.0))
             finally:
                 writer.transport.abort()
 
-    async def _one(self, entry, reader, writer):
-        """Make one request; return whether the connection can be used again."""
+    async def _send_request(self, entry, reader, writer):
+        """Send one request; return whether the connection can be reused."""
         prefix = self.random.choice(("/once/", "/again/", "/stream/"))
         request_id = f"q{next(self._numbers)}"
         loop = asyncio.get_running_loop()
@@ -88,7 +88,7 @@
         ]
         try:
             writer.write(("\r\n".join(lines) + "\r\n\r\n").encode())
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
                 return await self._read(record, reader)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             return False
@@ -105,7 +105,7 @@
             body = await reader.readexactly(length)
         record.status = status
         if status == 200:
-            self._check(record, head, body)
+            self._check_response(record, head, body)
         return "connection: close" not in head.lower()
 
     async def _read_chunks(self, reader):
@@ -115,13 +115,15 @@
         await reader.readexactly(2)
         return body
 
-    def _check(self, record, head, body):
+    def _check_response(self, record, head, body):
         if "response-seal: s" not in head.lower():
-            self.broken.append(f"{record.id}: a success without a seal")
-        right = answer_to(record.id)
+            self.violations.append(f"{record.id}: successful response without a seal")
+        expected_body = expected_response(record.id)
         if record.prefix == "/stream/":
-            texts = events_of(record.id)
+            texts = expected_events(record.id)
             events = [f"id: {n}\ndata: {t}\n\n" for n, t in enumerate(texts, 1)]
-            right = "".join(events).encode()
-        if body != right:
-            self.broken.append(f"{record.id}: not its whole answer: {body[:80]!r}")
+            expected_body = "".join(events).encode()
+        if body != expected_body:
+            self.violations.append(
+                f"{record.id}: unexpected response body: {body[:80]!r}"
+            )
--- a/tests/soak/programs.py
+++ b/tests/soak/programs.py
@@ -1,4 +1,4 @@
-"""The real programs as processes: settings, start, signals, end."""
+"""Processes of the real programs: settings, start, signals and termination."""
 
 import json
 import os
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-FRONT, READY, FIRST_INNER = 9000, 9002, 9400
+FRONT_PORT, READY_PORT, FIRST_INTERNAL_PORT = 9000, 9002, 9400
 
 SETTINGS = """
 nodeName = "{name}"
@@ -37,7 +37,7 @@
 
 
 class Program:
-    """One process of ours, started and ended by its id only.
+    """One process, signalled only by its process id.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
         ``"entry"`` or ``"agent"``.
     name, ip, zone, app, store : str
     folder : Path
-        For its settings and its log.
+        Folder for settings and log.
     """
 
     def __init__(self, *, role, name, ip, zone, app, store, folder):
@@ -59,17 +59,17 @@
                 zone=zone,
                 app=app,
                 store=store,
-                front=FRONT,
-                ready=READY,
-                inner=FIRST_INNER,
-                last=FIRST_INNER + 15,
+                front=FRONT_PORT,
+                ready=READY_PORT,
+                inner=FIRST_INTERNAL_PORT,
+                last=FIRST_INTERNAL_PORT + 15,
             )
         )
         self.process = None
         self.stopping_until = 0.0
 
     def start(self):
-        """Start the process, its lines going to a file."""
+        """Start the process, appending its output to the log file."""
         environment = {
             "HAWTHORNSPOKE_SETTINGS": str(self.path),
             "PATH": os.environ.get("PATH", ""),
@@ -84,35 +84,35 @@
             )
 
     @property
-    def alive(self):
-        """Whether the process runs."""
+    def is_running(self):
+        """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
-    def send(self, number):
-        """Send a signal, if the process still runs."""
-        if self.alive:
+    def send_signal(self, number):
+        """Send a signal if the process is running."""
+        if self.is_running:
             os.kill(self.process.pid, number)
 
-    def end(self):
+    def stop(self):
         """Kill the process and wait for it."""
         if self.process is not None:
-            self.send(signal.SIGCONT)
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGCONT)
+            self.send_signal(signal.SIGKILL)
             self.process.wait()
 
-    def own_faults(self):
-        """Return lines by which the program says that it failed itself."""
-        found = []
+    def internal_errors(self):
+        """Return log lines that report internal errors of the program."""
+        error_lines = []
         if not self.log_path.exists():
-            return found
+            return error_lines
         for line in self.log_path.read_text(errors="replace").splitlines():
             if line.startswith("Traceback"):
-                found.append(f"{self.name}: {line}")
+                error_lines.append(f"{self.name}: {line}")
                 continue
             try:
                 event = json.loads(line)
             except ValueError:
                 continue
             if event.get("event") in ("handler_failed", "task_failed", "loop_ended"):
-                found.append(f"{self.name}: {line}")
-        return found
+                error_lines.append(f"{self.name}: {line}")
+        return error_lines
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""One seed of the soak: start, faults in series and overlapping, checks."""
+"""One run of the soak test: start, sequential and overlapping faults, checks."""
 
 import asyncio
 import collections
@@ -8,8 +8,8 @@
 import tempfile
 from pathlib import Path
 
-from tests.soak.clients import Callers
-from tests.soak.programs import FIRST_INNER, Program
+from tests.soak.clients import VerifyingClients
+from tests.soak.programs import FIRST_INTERNAL_PORT, Program
 from tests.soak.world import (
     LLM,
     MODEL,
@@ -21,27 +21,28 @@
     configuration,
 )
 
-ENTRIES, ENGINES, PLAINS, CALLERS = 3, 3, 2, 12
-APP_PORT, REAL_PORT, STORE_PORT = 9100, 9200, 9500
+ENTRY_COUNT, ENGINE_COUNT, PLAIN_COUNT, CLIENT_COUNT = 3, 3, 2, 12
+PROXY_PORT, ENGINE_PORT, STORE_PORT = 9100, 9200, 9500
 
-#: Seconds after a key is taken away from which requests with it may not run, and
-#: after a fault from which half of the requests must be served again.
-REVOKE_BOUND = 5.0
-CALM = 8.0
+#: Seconds after the revocation of a key from which requests with it must not run, and
+#: seconds after the last fault from which half of the requests must be served again.
+REVOCATION_SECONDS = 5.0
+RECOVERY_SECONDS = 8.0
 
-#: Share of the calm seconds' requests that must be served.
-LEAST_SERVED = 0.5
+#: Minimum fraction of requests served during the recovery period.
+MIN_SERVED_SHARE = 0.5
 
 
 class Soak:
-    """Everything of one seed.
+    """Simulated environment, programs and faults of one seed.
 
     Parameters
     ----------
     seed : int
     seconds : float
+        Duration of fault injection.
     folder : Path
-        For settings and logs; kept if something is broken.
+        Folder for settings and logs; kept if a guarantee was violated.
     """
 
     def __init__(self, *, seed, seconds, folder):
@@ -55,26 +56,28 @@
         self.engines, self.proxies, self.agents, self.entries = [], [], [], []
         self.faults = []
 
-    async def play(self):
-        """Play the seed; return what was broken."""
+    async def run(self):
+        """Run the seed; return the violations."""
         await self._start()
-        callers = Callers(entries=self.entries, keys=self.keys, seed=self.seed)
-        beats = asyncio.create_task(self._beat())
+        verifying_clients = VerifyingClients(
+            entries=self.entries, keys=self.keys, seed=self.seed
+        )
+        heartbeat = asyncio.create_task(self._maintain_environment())
         try:
             await asyncio.sleep(3.0)
-            calls = asyncio.create_task(callers.run(CALLERS))
-            await self._disturb()
-            calm_from = asyncio.get_running_loop().time() + CALM
-            await asyncio.sleep(CALM + 4.0)
-            calls.cancel()
-            await asyncio.gather(calls, return_exceptions=True)
+            client_task = asyncio.create_task(verifying_clients.run(CLIENT_COUNT))
+            await self._inject_faults()
+            recovery_start = asyncio.get_running_loop().time() + RECOVERY_SECONDS
+            await asyncio.sleep(RECOVERY_SECONDS + 4.0)
+            client_task.cancel()
+            await asyncio.gather(client_task, return_exceptions=True)
             await asyncio.sleep(0.5)
         finally:
-            beats.cancel()
+            heartbeat.cancel()
             self._end()
-            # Connections of the proxies end by themselves once both sides are gone.
+            # The proxies' connections close once both peers are gone.
             await asyncio.sleep(0.3)
-        return self._judge(callers, calm_from)
+        return self._find_violations(verifying_clients, recovery_start)
 
     async def _start(self):
         await self.store.start()
@@ -88,19 +91,19 @@
         )
         await self.store_proxy.start()
         self._configure()
-        for number in range(ENGINES + PLAINS):
+        for number in range(ENGINE_COUNT + PLAIN_COUNT):
             await self._add_engine(number)
-        for number in range(ENTRIES):
+        for number in range(ENTRY_COUNT):
             self.entries.append(self._program("entry", number, f"127.0.3.{number + 1}"))
         for program in self.entries + self.agents:
             program.start()
 
     async def _add_engine(self, number):
         ip = f"127.0.1.{number + 1}"
-        service = LLM if number < ENGINES else PLAIN
-        engine = Engine(number=number, ip=ip, port=REAL_PORT, service=service)
+        service = LLM if number < ENGINE_COUNT else PLAIN
+        engine = Engine(number=number, ip=ip, port=ENGINE_PORT, service=service)
         await engine.start()
-        proxy = Proxy(ip=ip, port=APP_PORT, target_ip=ip, target_port=REAL_PORT)
+        proxy = Proxy(ip=ip, port=PROXY_PORT, target_ip=ip, target_port=ENGINE_PORT)
         await proxy.start()
         self.engines.append(engine)
         self.proxies.append(proxy)
@@ -113,7 +116,7 @@
             name=f"{role}-{number}",
             ip=ip,
             zone=f"z{number % 2}",
-            app=f"{ip}:{APP_PORT}",
+            app=f"{ip}:{PROXY_PORT}",
             store=f"127.0.2.2:{STORE_PORT}",
             folder=self.folder,
         )
@@ -121,32 +124,32 @@
     def _configure(self):
         self.store.put("op", "config", configuration(self.config_version, self.keys))
 
-    async def _beat(self):
-        """Write the engines' rows as they change, and restart what has ended."""
-        known = {}
+    async def _maintain_environment(self):
+        """Update the engines' rows in the store and restart programs that exited."""
+        previous_rows = {}
         while True:
             rows = {
-                engine.id: engine.entry(f"{engine.ip}:{APP_PORT}")
+                engine.id: engine.entry(f"{engine.ip}:{PROXY_PORT}")
                 for engine in self.engines
             }
-            for key in known.keys() - rows.keys():
+            for key in previous_rows.keys() - rows.keys():
                 self.store.put("servers", key, None)
             for key, row in rows.items():
-                if known.get(key) != row:
+                if previous_rows.get(key) != row:
                     self.store.put("servers", key, row)
-            known = rows
+            previous_rows = rows
             for program in self.entries + self.agents:
-                if not program.alive:
+                if not program.is_running:
                     program.start()
             await asyncio.sleep(0.3)
 
-    async def _disturb(self):
+    async def _inject_faults(self):
         loop = asyncio.get_running_loop()
         end = loop.time() + self.seconds
-        kinds = [name for name in dir(self) if name.startswith("_fault_")]
+        fault_methods = [name for name in dir(self) if name.startswith("_fault_")]
         running = []
         while loop.time() < end:
-            name = self.random.choice(kinds)
+            name = self.random.choice(fault_methods)
             self.faults.append(name.removeprefix("_fault_"))
             running.append(asyncio.create_task(getattr(self, name)()))
             await asyncio.sleep(self.random.uniform(0.2, 1.5))
@@ -155,23 +158,23 @@
                 raise outcome
 
     async def _fault_kill(self):
-        self.random.choice(self.entries + self.agents).send(signal.SIGKILL)
+        self.random.choice(self.entries + self.agents).send_signal(signal.SIGKILL)
 
     async def _fault_terminate(self):
         program = self.random.choice(self.entries + self.agents)
-        program.send(signal.SIGTERM)
+        program.send_signal(signal.SIGTERM)
         if self.random.random() < 0.3:
             await asyncio.sleep(0.2)
-            program.send(signal.SIGTERM)
+            program.send_signal(signal.SIGTERM)
 
     async def _fault_hang_up(self):
-        self.random.choice(self.entries + self.agents).send(signal.SIGHUP)
+        self.random.choice(self.entries + self.agents).send_signal(signal.SIGHUP)
 
     async def _fault_pause(self):
         program = self.random.choice(self.entries + self.agents)
-        program.send(signal.SIGSTOP)
+        program.send_signal(signal.SIGSTOP)
         await asyncio.sleep(self.random.uniform(0.5, 4.0))
-        program.send(signal.SIGCONT)
+        program.send_signal(signal.SIGCONT)
 
     async def _fault_link(self):
         proxy = self.random.choice([*self.proxies, self.store_proxy])
@@ -205,9 +208,9 @@
         self.origin.down = False
 
     async def _fault_wrong_pieces(self):
-        self.origin.wrong = 0.2
+        self.origin.corrupt_share = 0.2
         await asyncio.sleep(2.0)
-        self.origin.wrong = 0.0
+        self.origin.corrupt_share = 0.0
 
     async def _fault_version(self):
         self.weights_version += 1
@@ -227,7 +230,7 @@
 
     def _end(self):
         for program in self.entries + self.agents:
-            program.end()
+            program.stop()
         for proxy in [*self.proxies, self.store_proxy]:
             proxy.fault = None
             proxy.close()
@@ -236,42 +239,50 @@
         self.origin.server.close()
         self.store.close()
 
-    def _judge(self, callers, calm_from):
-        broken = list(callers.broken)
+    def _find_violations(self, verifying_clients, recovery_start):
+        violations = list(verifying_clients.violations)
         runs = collections.Counter()
         for engine in self.engines:
-            broken += engine.broken
+            violations += engine.violations
             for request_id, organisation, _ in engine.runs:
                 runs[request_id] += 1
                 if organisation != "org":
-                    broken.append(f"{request_id}: run for {organisation}")
-        for record in callers.records:
-            broken += self._judge_one(record, runs[record.id])
+                    violations.append(f"{request_id}: run for {organisation}")
+        for record in verifying_clients.records:
+            violations += self._check_record(record, runs[record.id])
         for program in self.entries + self.agents:
-            broken += program.own_faults()
-        late = [item for item in callers.records if item.sent_at >= calm_from]
-        served = sum(item.status == 200 for item in late)
-        if not late or served < LEAST_SERVED * len(late):
-            broken.append(f"calm again, {served} of {len(late)} requests served")
-        return broken
-
-    def _judge_one(self, record, count):
+            violations += program.internal_errors()
+        recovery_records = [
+            item for item in verifying_clients.records if item.sent_at >= recovery_start
+        ]
+        served = sum(item.status == 200 for item in recovery_records)
+        if not recovery_records or served < MIN_SERVED_SHARE * len(recovery_records):
+            violations.append(
+                f"only {served} of {len(recovery_records)} requests served after faults"
+            )
+        return violations
+
+    def _check_record(self, record, count):
         once = record.prefix == "/once/"
         if once and count > 1:
             yield f"{record.id}: ran {count} times"
         if once and record.status in (408, 421, 429, 503) and count:
-            yield f"{record.id}: told {record.status}, and it ran"
-        dead_at = self.revoked.get(record.key)
-        if dead_at is not None and record.sent_at > dead_at + REVOKE_BOUND and count:
-            yield f"{record.id}: ran with a key that was revoked"
-
-
-def play(seed, seconds):
-    """Play one seed; return (what was broken, the faults, the folder)."""
+            yield f"{record.id}: rejected with {record.status}, but it ran"
+        revoked_at = self.revoked.get(record.key)
+        if (
+            revoked_at is not None
+            and record.sent_at > revoked_at + REVOCATION_SECONDS
+            and count
+        ):
+            yield f"{record.id}: ran with a revoked key"
+
+
+def run_soak(seed, seconds):
+    """Run one seed; return the violations, the faults and the folder."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     soak = Soak(seed=seed, seconds=seconds, folder=folder)
-    broken = asyncio.run(soak.play())
-    return broken, soak.faults, folder
+    violations = asyncio.run(soak.run())
+    return violations, soak.faults, folder
 
 
-__all__ = ["FIRST_INNER", "play"]
+__all__ = ["FIRST_INTERNAL_PORT", "run_soak"]
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""What surrounds the programs: store, origin, engines, and a proxy before them."""
+"""Simulated environment of the programs: store, origin, engines and proxies."""
 
 import asyncio
 import json
@@ -11,33 +11,37 @@
 
 from hawthornspoke.httpio import HttpServer
 
-PIECES, SIZE, LAYERS, SLOTS = 16, 2000, 8, 6
+PIECE_COUNT, PIECE_SIZE, LAYERS, SLOTS = 16, 2000, 8, 6
 MODEL, LLM, PLAIN, ORIGIN = "m1", "llm", "plain", "origin"
-STEP = 0.02
+STEP_SECONDS = 0.02
 
-#: Milliseconds by which an engine's clock is put back at times before it restarts.
+#: Milliseconds by which an engine's clock is set back at some restarts.
 CLOCK_JUMP_MS = 3_600_000
 
-KINDS = {"/once/": "non_idempotent", "/again/": "idempotent", "/stream/": "streaming"}
+ROUTE_TYPES = {
+    "/once/": "non_idempotent",
+    "/again/": "idempotent",
+    "/stream/": "streaming",
+}
 
 
 def piece(version, index):
-    """Return the right bytes of a piece."""
-    return random.Random(f"{version}/{index}").randbytes(SIZE)
+    """Return the expected bytes of a piece."""
+    return random.Random(f"{version}/{index}").randbytes(PIECE_SIZE)
 
 
-def answer_to(request_id):
-    """Return the one right answer to a request."""
+def expected_response(request_id):
+    """Return the expected response body of a request."""
     return f"answer to {request_id}".encode()
 
 
-def events_of(request_id):
-    """Return the data of each event of a stream's one right answer."""
+def expected_events(request_id):
+    """Return the data of the expected events of a stream."""
     return [f"{request_id}-{number}" for number in range(1, 13)]
 
 
 class Engine:
-    """An engine or a plain service; it records what it runs.
+    """Simulated engine or plain service that records the requests it runs.
 
     Parameters
     ----------
@@ -59,22 +63,22 @@
         self.sequence = 0
         self.running = 0
         self.runs = []
-        self.broken = []
+        self.violations = []
         self.leaving = False
         self.server = None
 
     async def start(self):
-        """Listen."""
+        """Start listening."""
         self.server = HttpServer(
             host=self.ip, port=self.port, handler=self.handle, on_broken=print
         )
         await self.server.start()
 
     def crash(self):
-        """Lose the weights and all connections, and start again.
+        """Lose the weights and all connections, as in a crash.
 
-        Every other time under the same id, at times with a clock that was put back
-        and without what was staged, as after a loss of power.
+        Every other restart keeps the id. Every fourth one also sets the clock back and
+        loses the staged pieces, as after a power failure.
         """
         self.server.close()
         self.generation += 1
@@ -130,17 +134,19 @@
             return reply.send(409)
         self.busy = True
         self.sequence += 1
-        taken = dict(self.staged)
-        asyncio.get_running_loop().create_task(self._load(order["version"], taken))
+        staged_pieces = dict(self.staged)
+        asyncio.get_running_loop().create_task(
+            self._load(order["version"], staged_pieces)
+        )
         return reply.send(202)
 
-    async def _load(self, version, taken):
+    async def _load(self, version, staged_pieces):
         generation = self.generation
         while self.running and generation == self.generation:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
         if generation == self.generation:
-            self.version, self.loaded, self.busy = version, taken, False
+            self.version, self.loaded, self.busy = version, staged_pieces, False
 
     def _stage(self, request, query, reply):
         index = int(query["sampleCount"][0]) if "sampleCount" in query else None
@@ -159,8 +165,8 @@
         if request.get("Expect-Instance") != self.id:
             return reply.send(421, [*echo, ("Instance-Id", self.id)])
         expected = request.get("Expect-Version")
-        whole = self.service != LLM or self.version is not None
-        if not whole or (expected and int(expected) != self.version):
+        has_weights = self.service != LLM or self.version is not None
+        if not has_weights or (expected and int(expected) != self.version):
             return reply.send(421, [*echo, ("Instance-Id", self.id)])
         if self.running >= SLOTS or self.busy or self.leaving:
             return reply.send(503, [*echo, ("Not-Executed", "1")])
@@ -177,8 +183,8 @@
             if request.target.startswith("/stream/"):
                 await self._stream(request, reply, head)
             else:
-                await asyncio.sleep(STEP)
-                reply.send(200, head, answer_to(request_id))
+                await asyncio.sleep(STEP_SECONDS)
+                reply.send(200, head, expected_response(request_id))
         finally:
             if generation == self.generation:
                 self.running -= 1
@@ -187,26 +193,28 @@
     async def _stream(self, request, reply, head):
         after = int(request.get("Last-Event-Id") or 0)
         reply.start(200, head)
-        texts = events_of(request.get("Attempt-Id"))
+        texts = expected_events(request.get("Attempt-Id"))
         for number in range(after + 1, len(texts) + 1):
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(STEP_SECONDS)
             await reply.write(f"id: {number}\ndata: {texts[number - 1]}\n\n".encode())
         reply.finish()
 
     def _check_weights(self):
         if self.service != LLM:
             return
-        right = {index: piece(self.version, index) for index in range(PIECES)}
-        if self.loaded != right:
-            self.broken.append(f"engine {self.id} runs on spoilt weights")
+        expected_pieces = {
+            index: piece(self.version, index) for index in range(PIECE_COUNT)
+        }
+        if self.loaded != expected_pieces:
+            self.violations.append(f"engine {self.id} runs with incorrect weights")
 
 
 class Origin:
-    """The origin of weights; it may be down or send wrong bytes."""
+    """Simulated weight origin that can be down or send corrupted bytes."""
 
     def __init__(self):
         self.down = False
-        self.wrong = 0.0
+        self.corrupt_share = 0.0
         self.random = random.Random(1)
         self.server = None
 
@@ -223,23 +231,26 @@
         query = parse_qs(parts.query)
         version = int(query["version"][0])
         if "/manifest/" in parts.path:
-            digests = [sha256(piece(version, n)).hexdigest() for n in range(PIECES)]
+            digests = [
+                sha256(piece(version, n)).hexdigest() for n in range(PIECE_COUNT)
+            ]
             body = {"version": version, "hashes": digests}
             return reply.send(200, (), json.dumps(body).encode())
         data = piece(version, int(query["sampleCount"][0]))
-        if self.random.random() < self.wrong:
+        if self.random.random() < self.corrupt_share:
             data = b"?" + data[1:]
         return reply.send(200, (), data)
 
 
 class Proxy:
-    """Passes connections on, and spoils them on demand.
+    """TCP proxy with fault injection.
 
     Attributes
     ----------
     fault : str or None
-        ``"silent"`` (nothing passes), ``"one_way"`` (answers don't), ``"slow"``,
-        ``"refuse"`` (new connections are reset).
+        ``"silent"`` (no data is forwarded), ``"one_way"`` (no responses are
+        forwarded), ``"slow"`` (data is delayed), ``"refuse"`` (new connections are
+        reset).
     """
 
     def __init__(self, *, ip, port, target_ip, target_port):
@@ -253,7 +264,7 @@
         self._server = await asyncio.start_server(self._accept, self.ip, self.port)
 
     def reset_all(self):
-        """Reset every open connection."""
+        """Abort all open connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -266,22 +277,26 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                *self.target
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
-        there = asyncio.create_task(self._pass(reader, far_writer, ("silent",)))
-        back = asyncio.create_task(
-            self._pass(far_reader, writer, ("silent", "one_way"))
+        self._writers |= {writer, upstream_writer}
+        forward_task = asyncio.create_task(
+            self._forward(reader, upstream_writer, ("silent",))
+        )
+        backward_task = asyncio.create_task(
+            self._forward(upstream_reader, writer, ("silent", "one_way"))
         )
-        await asyncio.gather(there, back, return_exceptions=True)
-        self._writers -= {writer, far_writer}
+        await asyncio.gather(forward_task, backward_task, return_exceptions=True)
+        self._writers -= {writer, upstream_writer}
 
-    async def _pass(self, reader, writer, held_by):
+    async def _forward(self, reader, writer, blocking_faults):
         try:
             while data := await reader.read(65536):
-                while self.fault in held_by:
+                while self.fault in blocking_faults:
                     await asyncio.sleep(0.05)
                 if self.fault == "slow":
                     await asyncio.sleep(0.1)
@@ -293,7 +308,7 @@
 
 
 def configuration(version, keys):
-    """Return a configuration with one route of each kind."""
+    """Return a configuration with one route of each type."""
     routes = [
         {
             "name": prefix,
@@ -308,19 +323,19 @@
             "public": False,
             "resumable": kind == "streaming",
         }
-        for prefix, kind in KINDS.items()
+        for prefix, kind in ROUTE_TYPES.items()
     ]
     engine = {
         "slots": SLOTS,
         "interval": 1,
         "modelList": [{"name": MODEL, "warmupS": 0.05}],
-        "step_ms": STEP * 1000,
+        "step_ms": STEP_SECONDS * 1000,
         "per_seq_ms": 0.0,
         "read_per_s": 30000.0,
         "usual": {"prompt": 100, "answer": 12},
         "layers": LAYERS,
-        "blocks": PIECES,
-        "blockBytes": SIZE,
+        "blocks": PIECE_COUNT,
+        "blockBytes": PIECE_SIZE,
     }
     services = [
         {"name": PLAIN, "maxConns": 100},
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.soak.soak import play
+from tests.soak.soak import run_soak
 
 #: Seeds that failed before, with the cause, as regression tests.
 FAILED_BEFORE = {}
@@ -14,6 +14,6 @@
 
 @pytest.mark.parametrize("seed", [1, *FAILED_BEFORE])
 def test_promises_hold_under_faults(seed):
-    broken, faults, folder = play(seed, SECONDS)
-    assert broken == [], f"faults: {faults}, logs: {folder}"
+    violations, faults, folder = run_soak(seed, SECONDS)
+    assert violations == [], f"faults: {faults}, logs: {folder}"
     shutil.rmtree(folder)
