--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -56,7 +56,7 @@
         self.engines, self.proxies, self.agents, self.entries = [], [], [], []
         self.faults = []
 
-    async def run(self):
+    async def execute(self):
         """Run the seed; return the violations."""
         await self._start()
         verifying_clients = VerifyingClients(
@@ -281,7 +281,7 @@
     """Run one seed; return the violations, the faults and the folder."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     soak = Soak(seed=seed, seconds=seconds, folder=folder)
-    violations = asyncio.run(soak.run())
+    violations = asyncio.run(soak.execute())
     return violations, soak.faults, folder
 
 
