--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -33,7 +33,7 @@
     "hosts",
     "faults",
     "live / (M/L)",
-    "whole / (M/L)",
+    "complete / (M/L)",
     "origin copies",
     "max sent per host, copies",
     "control B/s per node",
@@ -178,7 +178,7 @@
         self, fleet, states, started, origin_bytes_before, cpu, sent
     ):
         live = max(state["live_since_by_key"]["redacteur"] for state in states.values())
-        whole = max(
+        complete_at = max(
             transfer["completed_at"]
             for state in states.values()
             for transfer in state["swarm"]["by_digest"].values()
@@ -198,7 +198,7 @@
         read = fleet.counts()["origin_bytes"] - origin_bytes_before
         return {
             "time": (live - started) / self.window,
-            "whole": (whole - started) / self.window,
+            "complete": (complete_at - started) / self.window,
             "copies": read / self.size,
             "most_sent": max(bytes_sent) / self.size,
             "control": sum(control) / len(control),
@@ -213,7 +213,7 @@
             self.hosts,
             "+".join(self.faults) or "none",
             f"{measurements['time']:.3f}",
-            f"{measurements['whole']:.3f}",
+            f"{measurements['complete']:.3f}",
             f"{measurements['copies']:.3f}",
             f"{measurements['most_sent']:.2f}",
             f"{measurements['control']:.0f}",
@@ -256,7 +256,7 @@
     """Return the time to first token of a streamed response, or None on error."""
     import json
 
-    from tests.fleet import caller_headers
+    from tests.fleet import auth_headers
 
     sent = time.monotonic()
     body = {"model": "redacteur", "prompt": f"{sent}", "max_tokens": 4, "stream": True}
@@ -264,7 +264,7 @@
         "POST",
         fleet.entry_url(entry) + "/v1/completions",
         body=json.dumps(body).encode(),
-        headers=caller_headers(),
+        headers=auth_headers(),
         preload_content=False,
         timeout=10,
     )
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -8,7 +8,7 @@
 import urllib3
 
 from benchmarks.report import quantile
-from tests.fleet import caller_headers
+from tests.fleet import auth_headers
 
 
 class Load:
@@ -84,7 +84,7 @@
                 "POST",
                 self.fleet.entry_url(entry) + "/v1/completions",
                 body=json.dumps(body).encode(),
-                headers={**caller_headers(), **extra_headers},
+                headers={**auth_headers(), **extra_headers},
                 preload_content=False,
                 timeout=20,
             )
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -79,8 +79,8 @@
     requests = [
         item for item in load.results if item.extra_headers["Priority"] == priority
     ]
-    whole = [item for item in requests if item.status == 200]
-    return len(whole) / max(1, len(requests))
+    completed_requests = [item for item in requests if item.status == 200]
+    return len(completed_requests) / max(1, len(requests))
 
 
 def engine_requests(fleet):
--- a/hawthornspoke/standins/_faults.py
+++ b/hawthornspoke/standins/_faults.py
@@ -69,6 +69,6 @@
             return True
 
     def handle(self, request):
-        """Answer ``POST /_faults``."""
+        """Handle ``POST /_faults``."""
         self.set(request.json() or {})
         return json_response(self._by_name)
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -7,7 +7,7 @@
 
 import urllib3
 
-from tests.fleet import caller_headers
+from tests.fleet import auth_headers
 
 TOKENS = 6
 
@@ -136,7 +136,7 @@
             "max_tokens": TOKENS,
             "stream": self.stream,
         }
-        headers = caller_headers()
+        headers = auth_headers()
         if self.non_idempotent:
             headers["X-Idempotent"] = "false"
         started = time.monotonic()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -336,7 +336,7 @@
             "POST",
             self.entry_url(entry) + "/v1/completions",
             body=json.dumps(tree).encode(),
-            headers={**caller_headers(), **(headers or {})},
+            headers={**auth_headers(), **(headers or {})},
             timeout=30,
         )
 
@@ -345,7 +345,7 @@
             method,
             self.entry_url(entry) + path,
             body=body,
-            headers={**caller_headers(), **(headers or {})},
+            headers={**auth_headers(), **(headers or {})},
             timeout=30,
         )
 
@@ -424,7 +424,7 @@
     return time.monotonic() - started
 
 
-def caller_headers():
+def auth_headers():
     return {"Authorization": f"Bearer {API_KEY}", "Content-Type": "application/json"}
 
 
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -60,7 +60,7 @@
     server, port = open_server()
     connection = Connection(address=ADDRESS, port=port)
     threading.Timer(0.2, server.close).start()
-    cut = connection.call("document", "1", deadline=monotonic() + 3)
+    broken = connection.call("document", "1", deadline=monotonic() + 3)
     refused = connection.call("document", "0", deadline=monotonic() + 1)
-    assert cut == REPLY_LOST
+    assert broken == REPLY_LOST
     assert refused == NOT_SENT
--- a/tests/test_promise_answers.py
+++ b/tests/test_promise_answers.py
@@ -5,7 +5,7 @@
 import time
 
 from tests.callers import VerifyingClients, _stream_text, check_text
-from tests.fleet import caller_headers
+from tests.fleet import auth_headers
 
 
 def open_stream(fleet, entry, *, tokens, prompt="p", non_idempotent=False):
@@ -16,7 +16,7 @@
     )
     connection = socket.create_connection((host["address"], fleet.base_port + 3))
     fields = {
-        **caller_headers(),
+        **auth_headers(),
         **({"X-Idempotent": "false"} if non_idempotent else {}),
     }
     headers = "".join(f"{key}: {item}\r\n" for key, item in fields.items())
@@ -33,14 +33,14 @@
     must not remain on a connection that is returned to the pool.
     """
     with (
-        VerifyingClients(fleet, fleet.names("entry"), thread_count=10) as whole,
+        VerifyingClients(fleet, fleet.names("entry"), thread_count=10) as plain_clients,
         VerifyingClients(
             fleet, fleet.names("entry"), thread_count=10, stream=True
-        ) as streams,
+        ) as streaming_clients,
     ):
-        whole.wait_results(150)
-        streams.wait_results(150)
-    for clients in (whole, streams):
+        plain_clients.wait_results(150)
+        streaming_clients.wait_results(150)
+    for clients in (plain_clients, streaming_clients):
         assert clients.mismatches() == []
         assert clients.falsely_not_run() == []
 
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -54,20 +54,21 @@
     """
     for _ in range(8):
         key = uuid.uuid4().hex
-        answers = []
+        responses = []
 
-        def ask(entry, key=key, answers=answers):
-            answers.append(post_invoice(fleet, entry, key))
+        def send_request(entry, key=key, responses=responses):
+            responses.append(post_invoice(fleet, entry, key))
 
         threads = [
-            threading.Thread(target=ask, args=(name,)) for name in fleet.names("entry")
+            threading.Thread(target=send_request, args=(name,))
+            for name in fleet.names("entry")
         ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
         assert run_count(fleet, key) == 1
-        statuses = sorted(response.status for response in answers)
+        statuses = sorted(response.status for response in responses)
         assert statuses[0] == 201
         assert set(statuses) <= {201, 409}
 
@@ -131,13 +132,13 @@
     fleet.faults(table_delay=0.4)
     keys = [uuid.uuid4().hex for _ in range(6)]
 
-    def ask(key):
+    def send_request(key):
         try:
             post_invoice(fleet, "entry-0", key, headers={"X-Request-Timeout": "1"})
         except Exception:
             return
 
-    threads = [threading.Thread(target=ask, args=(key,)) for key in keys]
+    threads = [threading.Thread(target=send_request, args=(key,)) for key in keys]
     for thread in threads:
         thread.start()
     time.sleep(0.3)
