--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The one-file program: it runs the demo, and starts no other process."""
+"""The single-file executable runs the demo without starting other processes."""
 
 import random
 import subprocess
@@ -14,25 +14,25 @@
 
 @pytest.fixture(scope="module")
 def binary():
-    """Build the binary from the working tree."""
+    """Build the executable from the working tree."""
     build = [sys.executable, str(ROOT / "packaging" / "build_binary.py")]
     subprocess.run(build, check=True, capture_output=True)
     return BINARY
 
 
 def children(pid):
-    """Return the processes that a process has started."""
-    found = set()
+    """Return the ids of a process's children."""
+    pids = set()
     for task in Path(f"/proc/{pid}/task").glob("*/children"):
-        found |= set(task.read_text().split())
-    return found
+        pids |= set(task.read_text().split())
+    return pids
 
 
 def test_demo_runs_from_the_binary_as_one_process(binary, tmp_path):
-    """Symptom: the exit code was None, once, beside load.
+    """Guards against child processes and files, and a race of the test itself.
 
-    Events: the process ends; a look at its children finds no such process and ends
-    the loop. Cause: the exit code was read before the process was waited for.
+    Under load, the process can exit while its children are listed, which ends the
+    loop. The exit code is None unless the process is waited for before it is read.
     """
     port = str(random.randrange(15000, 20000))
     process = subprocess.Popen(
@@ -41,15 +41,15 @@
         stdout=subprocess.PIPE,
         text=True,
     )
-    seen = set()
+    child_pids = set()
     while process.poll() is None:
         try:
-            seen |= children(process.pid)
+            child_pids |= children(process.pid)
         except OSError:
             break
         time.sleep(0.02)
     printed, _ = process.communicate()
     assert process.returncode == 0, printed
     assert "1.00 copies read from the origin" in printed
-    assert seen == set()
+    assert child_pids == set()
     assert list(tmp_path.iterdir()) == []
--- a/tests/test_promise_shutdown.py
+++ b/tests/test_promise_shutdown.py
@@ -1,8 +1,8 @@
-"""Promise: a graceful shutdown of a host cuts off no request in progress."""
+"""Guarantee: a graceful shutdown of a host aborts no running request."""
 
 import signal
 
-from tests.callers import Callers
+from tests.callers import VerifyingClients
 from tests.test_promise_answers import open_stream
 
 TOKENS = 400
@@ -11,21 +11,21 @@
 def read_all(connection):
     data = b""
     while True:
-        piece = connection.recv(65536)
-        data += piece
-        if not piece or data.endswith(b"0\r\n\r\n"):
+        chunk = connection.recv(65536)
+        data += chunk
+        if not chunk or data.endswith(b"0\r\n\r\n"):
             return data
 
 
-def whole(data):
+def is_complete(data):
     return data.count(b"data: {") == TOKENS and b"data: [DONE]" in data
 
 
 def test_entry_host_finishes_its_streams(fresh_fleet):
-    """Symptom: a deployment of the entry hosts cuts off callers.
+    """Guards against an entry host deployment that aborts streams.
 
-    Events: streams are in progress; SIGTERM, and a second one a moment later.
-    Cause: exiting on the signal, or on the second.
+    SIGTERM is sent twice while streams are running. The process must exit
+    immediately on neither the first nor the second signal.
     """
     fleet = fresh_fleet
     streams = [open_stream(fleet, "entry-0", tokens=TOKENS) for _ in range(5)]
@@ -34,21 +34,22 @@
     fleet.signal("entry-0", signal.SIGTERM)
     fleet.wait_for(lambda: not fleet.ready("entry-0"), seconds=2)
     fleet.signal("entry-0", signal.SIGTERM)
-    assert all(whole(read_all(stream)) for stream in streams)
+    assert all(is_complete(read_all(stream)) for stream in streams)
     fleet.wait_for(lambda: not fleet.is_running("entry-0"))
     assert fleet.process_by_name["entry-0"].returncode == 0
 
 
 def test_agent_finishes_its_streams_also_during_a_load(fresh_fleet):
-    """Symptom: stopping an agent cuts off answers, or a half-made load is used.
+    """Guards against aborted streams and partially loaded weights at shutdown.
 
-    Events: streams run on every host; a new version is on its way in; SIGTERM
-    twice to one agent.
-    Cause: not waiting, or waiting for the load.
+    An agent gets SIGTERM twice while streams are running on all hosts and a new
+    version is being loaded. It must wait for the streams, but not for the load.
     """
     fleet = fresh_fleet
     streams = [
-        open_stream(fleet, entry, tokens=TOKENS, prompt=f"{entry}{number}", marked=True)
+        open_stream(
+            fleet, entry, tokens=TOKENS, prompt=f"{entry}{number}", non_idempotent=True
+        )
         for entry in fleet.names("entry")
         for number in range(3)
     ]
@@ -64,9 +65,9 @@
     fleet.apply()
     fleet.signal("runner-1", signal.SIGTERM)
     fleet.signal("runner-1", signal.SIGTERM)
-    with Callers(fleet, fleet.names("entry"), tasks=3) as callers:
-        assert all(whole(read_all(stream)) for stream in streams)
-    assert callers.complaints() == []
-    assert callers.refused() == []
+    with VerifyingClients(fleet, fleet.names("entry"), thread_count=3) as clients:
+        assert all(is_complete(read_all(stream)) for stream in streams)
+    assert clients.mismatches() == []
+    assert clients.failed_requests() == []
     fleet.wait_for(lambda: not fleet.is_running("runner-1"))
     assert fleet.process_by_name["runner-1"].returncode == 0
