--- a/hawthornspoke/store/_table.py
+++ b/hawthornspoke/store/_table.py
@@ -93,8 +93,8 @@
         }
         response = self._send("GetItem", request, timeout=timeout)
         if is_failure(response):
-            # A read has no side effects, so a lost response is mapped from UNSURE to
-            # UNAVAILABLE.
+            # A read has no side effects, so a lost response only means that the table
+            # is unavailable.
             return UNAVAILABLE.because(
                 response.reason, retry_after=response.retry_after
             )
