--- a/hawthornspoke/agent/_engines.py
+++ b/hawthornspoke/agent/_engines.py
@@ -90,7 +90,7 @@
             urllib3.exceptions.NewConnectionError,
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
-            return ENGINE_DOWN.because(str(error), retry_after=1.0)
+            return ENGINE_DOWN.with_reason(str(error), retry_after=1.0)
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise CutAnswer(str(error))
 
@@ -304,9 +304,9 @@
 
     def _rejection(self, answer):
         if answer.status == 404:
-            return NOT_LOADED.because("the engine has not loaded these weights")
+            return NOT_LOADED.with_reason("the engine has not loaded these weights")
         if answer.status == 429:
-            return ENGINE_BUSY.because("the engine is full", retry_after=1.0)
+            return ENGINE_BUSY.with_reason("the engine is full", retry_after=1.0)
         return None
 
     def _events(self, answer):
@@ -331,12 +331,12 @@
                 "PUT", path, body=data, headers=None, timeout=STATE_TIMEOUT * 5
             )
         except CutAnswer as error:
-            return ORDER_FAILED.because(str(error))
+            return ORDER_FAILED.with_reason(str(error))
         if isinstance(answer, Failure):
             return answer
         answer.read()
         if answer.status >= 300:
-            return ORDER_FAILED.because(f"engine answered {answer.status}")
+            return ORDER_FAILED.with_reason(f"engine answered {answer.status}")
         return None
 
     def _order(self, order):
@@ -349,14 +349,14 @@
                 timeout=ORDER_TIMEOUT,
             )
         except CutAnswer as error:
-            return ORDER_FAILED.because(str(error))
+            return ORDER_FAILED.with_reason(str(error))
         if isinstance(answer, Failure):
             return answer
         text = answer.read().decode(errors="replace")
         if answer.status == 409 and "fenc" in text:
-            return FENCED.because(text)
+            return FENCED.with_reason(text)
         if answer.status >= 300:
-            return ORDER_FAILED.because(f"engine answered {answer.status}: {text}")
+            return ORDER_FAILED.with_reason(f"engine answered {answer.status}: {text}")
         return None
 
 
@@ -417,15 +417,15 @@
 
     def stage(self, digest, index, data):
         """Return a failure: a plain service has no weights."""
-        return ORDER_FAILED.because("a plain service takes no weights")
+        return ORDER_FAILED.with_reason("a plain service takes no weights")
 
     def drop_staged(self, digest):
         """Do nothing: a plain service has no weights."""
 
     def load(self, manifest, *, base, fence):
         """Return a failure: a plain service has no weights."""
-        return ORDER_FAILED.because("a plain service takes no weights")
+        return ORDER_FAILED.with_reason("a plain service takes no weights")
 
     def unload(self, digest, *, fence):
         """Return a failure: a plain service has no weights."""
-        return ORDER_FAILED.because("a plain service takes no weights")
+        return ORDER_FAILED.with_reason("a plain service takes no weights")
--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -178,7 +178,7 @@
                 break
             manifest = self._fetch_manifest_from(address, port, message.digest)
         if manifest is None:
-            manifest = NO_MANIFEST.because(message.digest[:12])
+            manifest = NO_MANIFEST.with_reason(message.digest[:12])
         return ManifestFound(digest=message.digest, manifest=manifest)
 
     def _fetch_manifest_from(self, address, port, digest):
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -7,7 +7,7 @@
 from hawthornspoke.agent._engines import ENGINES
 from hawthornspoke.agent._fetch_actor import MANIFEST_INDEX, pack_bitmap
 from hawthornspoke.agent._runs import Run
-from hawthornspoke.base import contact_clock, monotonic
+from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.node import NodeHandler, NodeProcess
 from hawthornspoke.protocol import (
     PROTOCOL_VERSION,
@@ -55,7 +55,7 @@
         run = Run(
             submit=request,
             deadline=monotonic() + remaining,
-            boottime_deadline=contact_clock() + remaining,
+            boottime_deadline=boottime_clock() + remaining,
             is_caller_disconnected=RpcServer.caller_check(),
         )
         if RpcServer.is_caller_disconnected():
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -3,7 +3,7 @@
 import queue
 import threading
 
-from hawthornspoke.base import Failure, contact_clock, monotonic
+from hawthornspoke.base import Failure, boottime_clock, monotonic
 from hawthornspoke.protocol import Event, EventKind
 
 CALLER_DISCONNECTED = Failure(code="busy", reason="caller is gone")
@@ -79,7 +79,7 @@
             return CALLER_DISCONNECTED
         is_expired = monotonic() >= self.deadline
         if self.boottime_deadline is not None:
-            is_expired = is_expired or contact_clock() >= self.boottime_deadline
+            is_expired = is_expired or boottime_clock() >= self.boottime_deadline
         return DEADLINE_PASSED if is_expired else None
 
     def push(self, event):
--- a/hawthornspoke/base/_clock.py
+++ b/hawthornspoke/base/_clock.py
@@ -15,7 +15,7 @@
     return time.monotonic()
 
 
-def contact_clock():
+def boottime_clock():
     """Return seconds on a clock that includes the time a host is suspended.
 
     A resumed host still holds the state from before the suspension, however long it
@@ -31,7 +31,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def wall():
+def wall_time():
     """Return seconds since the Unix epoch.
 
     Returns
--- a/hawthornspoke/base/_failure.py
+++ b/hawthornspoke/base/_failure.py
@@ -5,7 +5,7 @@
     """A failed outcome, compared by its code.
 
     Modules define one sentinel per kind of failure and return copies with a specific
-    reason from :meth:`because`.
+    reason from :meth:`with_reason`.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
     Examples
     --------
     >>> MISSING = Failure(code="missing")
-    >>> MISSING.because("no row 'config'") == MISSING
+    >>> MISSING.with_reason("no row 'config'") == MISSING
     True
     """
 
@@ -30,7 +30,7 @@
         self.reason = reason
         self.retry_after = retry_after
 
-    def because(self, reason, *, retry_after=None):
+    def with_reason(self, reason, *, retry_after=None):
         """Return a copy of this failure with a specific reason.
 
         Parameters
--- a/hawthornspoke/base/_sockets.py
+++ b/hawthornspoke/base/_sockets.py
@@ -19,7 +19,7 @@
 )
 
 
-def has_hung_up(connection):
+def is_closed_by_peer(connection):
     """Return whether the peer has closed a connection.
 
     Parameters
--- a/hawthornspoke/base/_standstill.py
+++ b/hawthornspoke/base/_standstill.py
@@ -1,6 +1,6 @@
 """Detection of process stalls, to bound the arrival time of received messages."""
 
-from hawthornspoke.base._clock import contact_clock
+from hawthornspoke.base._clock import boottime_clock
 
 #: Seconds between two heartbeats of the event loop, made each tick, from which the
 #: process counts as stalled. A busy loop is up to 0.1 s late; the error that this adds
@@ -12,7 +12,7 @@
 CATCH_UP_TIME = 0.5
 
 
-class Standstill:
+class StallDetector:
     """Detects stalls of this process.
 
     Messages carry the age of the information in them, and stay in the socket buffer
@@ -22,22 +22,22 @@
 
     Parameters
     ----------
-    on_woke : callable
+    on_resume : callable
         Called with the duration of the stall in seconds.
-    clock : callable, default=contact_clock
+    clock : callable, default=boottime_clock
         Includes the time the host is suspended.
     """
 
     __slots__ = (
-        "_on_woke",
+        "_on_resume",
         "_clock",
         "_last_heartbeat",
         "_stalled_since",
         "_resumed_at",
     )
 
-    def __init__(self, *, on_woke, clock=contact_clock):
-        self._on_woke = on_woke
+    def __init__(self, *, on_resume, clock=boottime_clock):
+        self._on_resume = on_resume
         self._clock = clock
         self._last_heartbeat = clock()
         self._stalled_since = None
@@ -59,10 +59,10 @@
         now = self._clock()
         if now >= self._last_heartbeat + STALL_THRESHOLD:
             self._stalled_since, self._resumed_at = self._last_heartbeat, now
-            self._on_woke(round(now - self._last_heartbeat, 3))
+            self._on_resume(round(now - self._last_heartbeat, 3))
         self._last_heartbeat = now
 
-    def arrived_after(self):
+    def earliest_arrival(self):
         """Return a lower bound of the arrival time of data that is read now.
 
         Returns
--- a/hawthornspoke/base/_validation.py
+++ b/hawthornspoke/base/_validation.py
@@ -25,7 +25,7 @@
         self.choices = choices
         self.optional = optional
 
-    def complaint(self, value):
+    def error_message(self, value):
         """Return an error message for a value that is not accepted.
 
         Parameters
@@ -90,6 +90,6 @@
         Names the class, the parameter, the accepted values and the given value.
     """
     for name, bounds in bounds_by_name.items():
-        complaint = bounds.complaint(getattr(owner, name))
-        if complaint:
-            raise ValueError(f"{type(owner).__name__}.{name}: {complaint}")
+        error_message = bounds.error_message(getattr(owner, name))
+        if error_message:
+            raise ValueError(f"{type(owner).__name__}.{name}: {error_message}")
--- a/hawthornspoke/base/tests/test_sockets.py
+++ b/hawthornspoke/base/tests/test_sockets.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from hawthornspoke.base import has_hung_up
+from hawthornspoke.base import is_closed_by_peer
 
 
 @pytest.fixture
@@ -30,14 +30,14 @@
 
 def test_open_connection(pair):
     near, _ = pair
-    assert not has_hung_up(near)
+    assert not is_closed_by_peer(near)
 
 
 def test_closed_connection(pair):
     near, far = pair
     far.close()
     wait_for_delivery()
-    assert has_hung_up(near)
+    assert is_closed_by_peer(near)
 
 
 def test_reset_connection(pair):
@@ -45,20 +45,20 @@
     far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     far.close()
     wait_for_delivery()
-    assert has_hung_up(near)
+    assert is_closed_by_peer(near)
 
 
 def test_connection_closed_locally(pair):
     near, _ = pair
     near.close()
-    assert has_hung_up(near)
+    assert is_closed_by_peer(near)
 
 
 def test_unread_data_is_not_consumed(pair):
     near, far = pair
     far.sendall(b"hi")
     wait_for_delivery()
-    assert not has_hung_up(near)
+    assert not is_closed_by_peer(near)
     assert near.recv(10) == b"hi"
 
 
@@ -66,7 +66,7 @@
     near, _ = pair
     near.settimeout(5.0)
     before = time.monotonic()
-    assert not has_hung_up(near)
+    assert not is_closed_by_peer(near)
     assert time.monotonic() < before + 1.0
 
 
@@ -79,10 +79,10 @@
             asyncio.Protocol, sock=near
         )
         transport_socket = transport.get_extra_info("socket")
-        assert not has_hung_up(transport_socket)
+        assert not is_closed_by_peer(transport_socket)
         far.close()
         wait_for_delivery()
-        assert has_hung_up(transport_socket)
+        assert is_closed_by_peer(transport_socket)
         assert not transport.is_closing()
         transport.close()
 
@@ -99,4 +99,4 @@
 
     monkeypatch.setattr(select, "poll", NoPoll)
     near, _ = pair
-    assert not has_hung_up(near)
+    assert not is_closed_by_peer(near)
--- a/hawthornspoke/base/tests/test_standstill.py
+++ b/hawthornspoke/base/tests/test_standstill.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hawthornspoke.base import Standstill
+from hawthornspoke.base import StallDetector
 from hawthornspoke.base._standstill import CATCH_UP_TIME, STALL_THRESHOLD
 from hawthornspoke.base._ticks import TICK_INTERVAL
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def detector(clock, stalls):
-    instance = Standstill(on_woke=stalls.append, clock=clock)
+    instance = StallDetector(on_resume=stalls.append, clock=clock)
     instance.record_heartbeat()
     return instance
 
@@ -37,13 +37,13 @@
 def test_running_loop_reads_data_that_has_just_arrived(detector, clock):
     for _ in range(20):
         clock.now += TICK_INTERVAL
-        assert detector.arrived_after() == clock.now
+        assert detector.earliest_arrival() == clock.now
         detector.record_heartbeat()
 
 
 def test_first_read_after_a_stall_is_dated_to_the_last_heartbeat(detector, clock):
     clock.now += 4.0
-    assert detector.arrived_after() == 10.0
+    assert detector.earliest_arrival() == 10.0
 
 
 def test_reads_shortly_after_a_stall_may_have_been_buffered(detector, clock, stalls):
@@ -52,15 +52,15 @@
     assert stalls == [4.0]
     clock.now += CATCH_UP_TIME / 2
     detector.record_heartbeat()
-    assert detector.arrived_after() == 10.0
+    assert detector.earliest_arrival() == 10.0
     clock.now += CATCH_UP_TIME / 2
     detector.record_heartbeat()
-    assert detector.arrived_after() == clock.now
+    assert detector.earliest_arrival() == clock.now
 
 
 def test_busy_loop_is_not_stalled(detector, clock, stalls):
     clock.now += STALL_THRESHOLD * 0.9
-    assert detector.arrived_after() == clock.now
+    assert detector.earliest_arrival() == clock.now
     detector.record_heartbeat()
-    assert detector.arrived_after() == clock.now
+    assert detector.earliest_arrival() == clock.now
     assert not stalls
--- a/hawthornspoke/catalog/__init__.py
+++ b/hawthornspoke/catalog/__init__.py
@@ -3,9 +3,9 @@
 from hawthornspoke.catalog._declared import (
     FIRST_VERSION,
     SEND_MARGIN,
-    UNKNOWN,
+    UNKNOWN_TIME,
     DeclaredVersions,
-    age_of,
+    declaration_age,
 )
 from hawthornspoke.catalog._incarnation import UNKNOWN_START, Incarnation
 from hawthornspoke.catalog._table import RouteTable, choose_share
@@ -22,17 +22,17 @@
     Route,
     Service,
     Share,
-    event_patience,
+    event_timeout,
 )
 
 __all__ = [
     "AT_MOST_ONCE",
     "FIRST_VERSION",
-    "SEND_MARGIN",
     "IDEMPOTENT",
+    "SEND_MARGIN",
     "STREAM",
-    "UNKNOWN",
     "UNKNOWN_START",
+    "UNKNOWN_TIME",
     "CallerLimits",
     "Catalog",
     "DeclaredVersions",
@@ -45,7 +45,7 @@
     "RouteTable",
     "Service",
     "Share",
-    "age_of",
     "choose_share",
-    "event_patience",
+    "declaration_age",
+    "event_timeout",
 ]
--- a/hawthornspoke/catalog/_declared.py
+++ b/hawthornspoke/catalog/_declared.py
@@ -7,7 +7,7 @@
 FIRST_VERSION = 1
 
 #: Time of a declaration whose time is not known.
-UNKNOWN = float("-inf")
+UNKNOWN_TIME = float("-inf")
 
 #: Seconds before the bound from which newer weights are preferred to older ones, and
 #: from which weights that expire at that bound are no longer loaded. A request begins
@@ -28,7 +28,7 @@
 
     def __init__(self, *, version, is_from_platform):
         self.version = version
-        self.not_before = UNKNOWN
+        self.not_before = UNKNOWN_TIME
         self.not_after = float("inf")
         self.is_from_platform = is_from_platform
 
@@ -56,7 +56,9 @@
     def __init__(self):
         self._declared_by_model = {}
 
-    def add(self, declared, *, at, known_until=UNKNOWN, heard_by=float("inf")):
+    def add(
+        self, declared, *, at, known_until=UNKNOWN_TIME, report_received_at=float("inf")
+    ):
         """Add a declaration from the platform.
 
         A known version only has its time updated; an older one is ignored.
@@ -72,10 +74,11 @@
         ----------
         declared : DeclaredWeights
         at : float
-            Lower bound of the time of the declaration, ``UNKNOWN`` if there is none.
-        known_until : float, default=UNKNOWN
+            Lower bound of the time of the declaration, ``UNKNOWN_TIME`` if there is
+            none.
+        known_until : float, default=UNKNOWN_TIME
             Time until which all declarations were known.
-        heard_by : float, default=inf
+        report_received_at : float, default=inf
             Time at which this report had been received.
 
         Returns
@@ -107,10 +110,10 @@
             del declarations[:-MAX_DECLARATIONS]
         item.is_from_platform = True
         item.raise_lower_bound(at)
-        item.not_after = min(item.not_after, heard_by)
+        item.not_after = min(item.not_after, report_received_at)
         return is_new
 
-    def hear(self, model, version, *, at, heard_by=float("inf")):
+    def add_lower_bound(self, model, version, *, at, report_received_at=float("inf")):
         """Add an agent's lower bound of the time at which a version was declared.
 
         Every agent reports a valid lower bound, so the latest is the tightest; that of
@@ -127,7 +130,7 @@
         version : int
         at : float
             Lower bound of the time of the declaration.
-        heard_by : float, default=inf
+        report_received_at : float, default=inf
             Time at which this report had been received.
         """
         declarations = self._declared_by_model.setdefault(model, [])
@@ -139,15 +142,15 @@
             declarations.append(item)
             del declarations[:-MAX_DECLARATIONS]
         item.raise_lower_bound(at)
-        item.not_after = min(item.not_after, heard_by)
+        item.not_after = min(item.not_after, report_received_at)
 
-    def dated(self, model, *, youngest):
+    def declared_versions(self, model, *, declared_after):
         """Return the versions that were declared after a given time.
 
         Parameters
         ----------
         model : str
-        youngest : float
+        declared_after : float
             Earliest time of the returned declarations.
 
         Returns
@@ -158,7 +161,7 @@
         return [
             (item.version, item.not_before)
             for item in self._declared_by_model.get(model, ())
-            if item.not_before >= youngest and item.not_before != UNKNOWN
+            if item.not_before >= declared_after and item.not_before != UNKNOWN_TIME
         ]
 
     def latest(self, model):
@@ -167,11 +170,11 @@
         return None if newest is None else newest.version
 
     def since(self, model):
-        """Return the declaration time of that version, or ``UNKNOWN``."""
+        """Return the declaration time of that version, or ``UNKNOWN_TIME``."""
         newest = self._newest_from_platform(model)
-        return UNKNOWN if newest is None else newest.not_before
+        return UNKNOWN_TIME if newest is None else newest.not_before
 
-    def too_old_at(self, model, version, *, bound):
+    def expires_at(self, model, version, *, bound):
         """Return the time from which a version may no longer begin to answer.
 
         Parameters
@@ -205,7 +208,7 @@
         """Return the state as plain data."""
         return {
             model: [
-                {"version": item.version, "age": age_of(item.not_before, now)}
+                {"version": item.version, "age": declaration_age(item.not_before, now)}
                 for item in declarations
             ]
             for model, declarations in self._declared_by_model.items()
@@ -216,6 +219,6 @@
     return next((item for item in declarations if item.version == version), None)
 
 
-def age_of(declared_at, now):
+def declaration_age(declared_at, now):
     """Return the age of a declaration in seconds, None if it is unknown."""
-    return None if declared_at == UNKNOWN else round(now - declared_at, 3)
+    return None if declared_at == UNKNOWN_TIME else round(now - declared_at, 3)
--- a/hawthornspoke/catalog/_incarnation.py
+++ b/hawthornspoke/catalog/_incarnation.py
@@ -22,7 +22,7 @@
     started_ms: int | None = None
 
     @classmethod
-    def told(cls, value):
+    def from_value(cls, value):
         """Return the incarnation given by a field of a message.
 
         Parameters
--- a/hawthornspoke/catalog/_types.py
+++ b/hawthornspoke/catalog/_types.py
@@ -14,7 +14,7 @@
 MIN_EVENT_TIMEOUT = 2.0
 
 
-def event_patience(*, objective, max_event_interval):
+def event_timeout(*, objective, max_event_interval):
     """Return the time that callers of a stream wait for an event before they give up.
 
     Parameters
@@ -73,7 +73,7 @@
         Whether requests need no API key.
     resumable : bool
         Whether a stream may continue at another endpoint after its last event.
-    event_patience : float or None
+    event_timeout : float or None
         Seconds that callers wait for the next event of a stream before they give up.
     """
 
@@ -88,7 +88,7 @@
     priority: int
     public: bool = False
     resumable: bool = False
-    event_patience: float | None = None
+    event_timeout: float | None = None
 
     @property
     def repeatable(self):
@@ -110,11 +110,11 @@
         running request.
     step_per_request : float
         Seconds that each running request adds to a decode step.
-    steps_per_pass : int
+    steps_per_prefill : int
         Decode steps between two prefills of waiting prompts.
-    read_rate : float
+    prefill_rate : float
         Prefill rate in prompt tokens per second.
-    usual_prompt, usual_answer : float
+    mean_prompt_tokens, mean_answer_tokens : float
         Mean number of tokens of a prompt and of an answer.
     layers : int
         Number of layers of the model.
@@ -130,10 +130,10 @@
     slots: int
     step: float
     step_per_request: float
-    steps_per_pass: int
-    read_rate: float
-    usual_prompt: float
-    usual_answer: float
+    steps_per_prefill: int
+    prefill_rate: float
+    mean_prompt_tokens: float
+    mean_answer_tokens: float
     layers: int = 0
     pieces: int = 0
     piece_bytes: int = 0
--- a/hawthornspoke/catalog/tests/profiles.py
+++ b/hawthornspoke/catalog/tests/profiles.py
@@ -20,10 +20,10 @@
         "slots": 4,
         "step": 0.007,
         "step_per_request": 0.00002,
-        "steps_per_pass": 6,
-        "read_rate": 30000.0,
-        "usual_prompt": 900.0,
-        "usual_answer": 120.0,
+        "steps_per_prefill": 6,
+        "prefill_rate": 30000.0,
+        "mean_prompt_tokens": 900.0,
+        "mean_answer_tokens": 120.0,
         "layers": 16,
     }
     return EngineProfile(**{**fields, **changes})
--- a/hawthornspoke/catalog/tests/test_event_patience.py
+++ b/hawthornspoke/catalog/tests/test_event_patience.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hawthornspoke.catalog import event_patience
+from hawthornspoke.catalog import event_timeout
 
 
 @pytest.mark.parametrize(
@@ -10,6 +10,6 @@
     [(0.4, 0.2, 2.0), (0.6, 0.2, 2.4), (0.4, 0.3, 2.4), (0.0, 0.0, 2.0)],
 )
 def test_largest_of_the_three_terms_applies(objective, max_event_interval, expected):
-    assert event_patience(
+    assert event_timeout(
         objective=objective, max_event_interval=max_event_interval
     ) == pytest.approx(expected)
--- a/hawthornspoke/catalog/tests/test_incarnation.py
+++ b/hawthornspoke/catalog/tests/test_incarnation.py
@@ -21,8 +21,8 @@
 @pytest.mark.parametrize("value", [None, True, 1.5, 1e12, "17", [], -1, 2**63])
 def test_invalid_start_time_gives_an_unknown_incarnation(value):
     """A malformed row, or one too large for the wire format, must not end a process."""
-    assert Incarnation.told(value) == UNKNOWN_START
+    assert Incarnation.from_value(value) == UNKNOWN_START
 
 
 def test_integer_is_a_start_time():
-    assert Incarnation.told(1_760_000_000_123).started_ms == 1_760_000_000_123
+    assert Incarnation.from_value(1_760_000_000_123).started_ms == 1_760_000_000_123
--- a/hawthornspoke/claims/_claim.py
+++ b/hawthornspoke/claims/_claim.py
@@ -256,7 +256,7 @@
             return self._claim_succeeded()
         if row.get("fingerprint", "") != self.fingerprint:
             self.phase = "refused"
-            failure = KEY_REUSED.because("the key was used for another request")
+            failure = KEY_REUSED.with_reason("the key was used for another request")
             return [RefuseRequest(failure=failure, was_run=False)]
         if row["state"] == RowState.DONE.value:
             self.phase = "done"
@@ -265,7 +265,7 @@
             return self._write(row["token"])
         self.phase = "refused"
         reason = "a request with this key was sent and its outcome is not known"
-        failure = OUTCOME_UNKNOWN.because(reason, retry_after=RETRY_AFTER)
+        failure = OUTCOME_UNKNOWN.with_reason(reason, retry_after=RETRY_AFTER)
         return [RefuseRequest(failure=failure, was_run=True)]
 
     def _claim_succeeded(self):
@@ -275,6 +275,6 @@
     def _refuse_not_run(self, reason):
         """Refuse and release the key, since the write may still have succeeded."""
         self.phase = "not_run"
-        failure = PLATFORM_DOWN.because(reason, retry_after=RETRY_AFTER)
+        failure = PLATFORM_DOWN.with_reason(reason, retry_after=RETRY_AFTER)
         refusal = RefuseRequest(failure=failure, was_run=False)
         return [refusal, ReleaseClaim()]
--- a/hawthornspoke/cli/_app.py
+++ b/hawthornspoke/cli/_app.py
@@ -109,8 +109,8 @@
         Also plot the report to this PNG or SVG file.
     """
     from hawthornspoke.report import (
-        BoundUnknown,
-        NoPlots,
+        MissingBoundError,
+        PlotError,
         as_json,
         as_text,
         build_report,
@@ -122,7 +122,7 @@
         print(as_json(built) if json else as_text(built))
         if plot is not None:
             plot_report(built, plot)
-    except (FileNotFoundError, BoundUnknown, NoPlots) as error:
+    except (FileNotFoundError, MissingBoundError, PlotError) as error:
         print(error, file=sys.stderr)
         return codes.FAILED
     return codes.OK
--- a/hawthornspoke/config/_document.py
+++ b/hawthornspoke/config/_document.py
@@ -217,8 +217,8 @@
     dict or Failure
     """
     if digest_of(data) != digest:
-        return BAD_DOCUMENT.because(f"bytes are not those of {digest[:12]}")
+        return BAD_DOCUMENT.with_reason(f"bytes are not those of {digest[:12]}")
     try:
         return json.loads(zlib.decompress(data))
     except (ValueError, zlib.error) as error:
-        return BAD_DOCUMENT.because(f"{digest[:12]}: {error}")
+        return BAD_DOCUMENT.with_reason(f"{digest[:12]}: {error}")
--- a/hawthornspoke/config/_loader.py
+++ b/hawthornspoke/config/_loader.py
@@ -68,17 +68,17 @@
     """
     merged = Declarations(tree={}, file_by_key={}, overridden_by_key={}, failures=[])
     if not folder.is_dir():
-        merged.failures.append(UNREADABLE.because(f"{folder}: not a folder"))
+        merged.failures.append(UNREADABLE.with_reason(f"{folder}: not a folder"))
         return merged
     files = [file for file in folder.iterdir() if file.name.endswith(SUFFIX)]
     files.sort(key=lambda file: file.name)
     if not files:
-        merged.failures.append(UNREADABLE.because(f"{folder}: no {SUFFIX} files"))
+        merged.failures.append(UNREADABLE.with_reason(f"{folder}: no {SUFFIX} files"))
     for file in files:
         try:
             table = tomllib.loads(file.read_text(encoding="utf-8"))
         except (OSError, ValueError) as error:
-            merged.failures.append(UNREADABLE.because(f"{file.name}: {error}"))
+            merged.failures.append(UNREADABLE.with_reason(f"{file.name}: {error}"))
             continue
         _merge(merged, merged.tree, table, file=file.name, path=())
     return merged
--- a/hawthornspoke/config/_manifest.py
+++ b/hawthornspoke/config/_manifest.py
@@ -80,11 +80,11 @@
             size=int(tree["size"]),
         )
     except (ValueError, KeyError, TypeError) as error:
-        return BAD_MANIFEST.because(f"not a manifest: {error!r}")
+        return BAD_MANIFEST.with_reason(f"not a manifest: {error!r}")
     if manifest.chunk_size <= 0 or len(manifest.chunks) > MAX_CHUNKS:
-        return BAD_MANIFEST.because("chunk size or number of chunks out of range")
+        return BAD_MANIFEST.with_reason("chunk size or number of chunks out of range")
     expected = -(-manifest.size // manifest.chunk_size)
     if expected != len(manifest.chunks):
         reason = f"{len(manifest.chunks)} chunks for {manifest.size} bytes"
-        return BAD_MANIFEST.because(reason)
+        return BAD_MANIFEST.with_reason(reason)
     return manifest
--- a/hawthornspoke/config/_schema.py
+++ b/hawthornspoke/config/_schema.py
@@ -110,11 +110,11 @@
         for key, bounds in schema.items():
             if key not in table:
                 continue
-            complaint = bounds.complaint(table[key])
-            if complaint is None and bounds is TEXT_LIST:
-                complaint = _text_list_complaint(table[key])
-            if complaint:
-                self._add_failure((*path, key), complaint)
+            error_message = bounds.error_message(table[key])
+            if error_message is None and bounds is TEXT_LIST:
+                error_message = _text_list_error_message(table[key])
+            if error_message:
+                self._add_failure((*path, key), error_message)
         for key in required:
             if key not in table:
                 self._add_failure((*path, key), "missing, required")
@@ -195,7 +195,7 @@
     def _add_failure(self, path, reason):
         file = self.declarations.file_of(path)
         key = ".".join(path)
-        self.failures.append(BAD_DECLARATION.because(f"{file}: {key}: {reason}"))
+        self.failures.append(BAD_DECLARATION.with_reason(f"{file}: {key}: {reason}"))
 
 
 def _string_items(value):
@@ -204,7 +204,7 @@
     return [item for item in value if isinstance(item, str)]
 
 
-def _text_list_complaint(value):
+def _text_list_error_message(value):
     if all(isinstance(item, str) for item in value):
         return None
     return f"expected a list of strings, got {value!r}"
--- a/hawthornspoke/entry/_attempt.py
+++ b/hawthornspoke/entry/_attempt.py
@@ -138,7 +138,9 @@
                 # The connection is out of sync, so none of its data can be trusted.
                 self._connection.close()
                 reason = "the endpoint answered another request"
-                self.result = self._failed_after_submit(WRONG_ANSWER.because(reason))
+                self.result = self._failed_after_submit(
+                    WRONG_ANSWER.with_reason(reason)
+                )
                 return
             self.received_revision = max(self.received_revision, reply.revision or 0)
             for event in reply.events or ():
@@ -165,7 +167,7 @@
         context = self.context
         remaining = context.remaining()
         if remaining <= 0:
-            return TOO_LATE.because("no time left")
+            return TOO_LATE.with_reason("no time left")
         submit = Submit(
             version=PROTOCOL_VERSION,
             revision=self.revision,
@@ -200,7 +202,7 @@
         if failure is None and self.context.request.caller_gone():
             failure = CALLER_GONE
         if failure is None and self.context.remaining() <= 0:
-            failure = TOO_LATE.because("no time left")
+            failure = TOO_LATE.with_reason("no time left")
         self._presend_failure = failure
         return failure
 
@@ -215,7 +217,7 @@
 
     def _stop_reason(self):
         if monotonic() >= self.context.deadline:
-            return TIMED_OUT.because("no whole answer before the deadline")
+            return TIMED_OUT.with_reason("no whole answer before the deadline")
         if self.context.request.caller_gone():
             return CALLER_GONE
         return None
@@ -225,10 +227,10 @@
         if failure in (NOT_SENT, TOO_LATE) or self._presend_failure is not None:
             if self.first_byte is None:
                 return AttemptResult(done=False, was_run=False, failure=failure)
-            return self._failed_after_submit(CUT_OFF.because(failure.reason))
+            return self._failed_after_submit(CUT_OFF.with_reason(failure.reason))
         if monotonic() >= self.context.deadline:
-            return self._failed_after_submit(TIMED_OUT.because(failure.reason))
-        return self._failed_after_submit(CUT_OFF.because(failure.reason))
+            return self._failed_after_submit(TIMED_OUT.with_reason(failure.reason))
+        return self._failed_after_submit(CUT_OFF.with_reason(failure.reason))
 
     def _result_of_final_event(self, event):
         self.pool.give_back(self._connection)
@@ -244,15 +246,15 @@
                 done=False, was_run=False, failure=failure, live=event.digest
             )
         if failure == ENGINE_ENDED:
-            cut_off = CUT_OFF.because("the engine's process ended")
+            cut_off = CUT_OFF.with_reason("the engine's process ended")
             return AttemptResult(
                 done=False, was_run=True, failure=cut_off, engine_exit_id=failure.reason
             )
         if monotonic() >= self.context.deadline - DEADLINE_SLACK:
             # The agent waits for the engine until the same deadline and may report
             # its own failure first; the cause is still the expired deadline.
-            return self._failed_after_submit(TIMED_OUT.because(event.reason or ""))
-        return self._failed_after_submit(CUT_OFF.because(event.reason or ""))
+            return self._failed_after_submit(TIMED_OUT.with_reason(event.reason or ""))
+        return self._failed_after_submit(CUT_OFF.with_reason(event.reason or ""))
 
     def _failed_after_submit(self, failure):
         return AttemptResult(done=False, was_run=True, failure=failure)
--- a/hawthornspoke/entry/_client.py
+++ b/hawthornspoke/entry/_client.py
@@ -73,7 +73,7 @@
         try:
             return self.actor.ask(call, timeout=ASK_TIMEOUT)
         except (pykka.Timeout, pykka.ActorDeadError) as error:
-            return CONTROL_OVERLOADED.because(repr(error), retry_after=1.0)
+            return CONTROL_OVERLOADED.with_reason(repr(error), retry_after=1.0)
 
     def _tell(self, method, arguments):
         if self.actor.is_alive():
--- a/hawthornspoke/entry/_context.py
+++ b/hawthornspoke/entry/_context.py
@@ -2,7 +2,7 @@
 
 import uuid
 
-from hawthornspoke.base import Failure, contact_clock, digest_of, monotonic
+from hawthornspoke.base import Failure, boottime_clock, digest_of, monotonic
 from hawthornspoke.quarantine import fingerprint_of
 
 BAD_REQUEST = Failure(code="bad_request")
@@ -59,7 +59,7 @@
         self.request = request
         self.request_id = uuid.uuid4().hex
         self.arrived_at = monotonic()
-        self.contact_arrived_at = contact_clock()
+        self.contact_arrived_at = boottime_clock()
         self.deadline = self.arrived_at + default_timeout
         self.urgency = DEFAULT_URGENCY
         self.key = ""
@@ -87,7 +87,7 @@
             which does not extend the time that the caller waits.
         """
         given = self.deadline - self.arrived_at
-        contact_left = self.contact_arrived_at + given - contact_clock()
+        contact_left = self.contact_arrived_at + given - boottime_clock()
         return min(contact_left, self.deadline - monotonic())
 
     def quarantine_fingerprint(self):
@@ -137,22 +137,24 @@
         return _read_model_request(context)
     if path.startswith(SERVICE_PREFIX):
         return _read_service_request(context)
-    return BAD_REQUEST.because(f"no such path: {path}")
+    return BAD_REQUEST.with_reason(f"no such path: {path}")
 
 
 def _read_headers(context):
     headers = context.request.headers
     context.key = headers.get(HEADER_IDEMPOTENCY_KEY, "").strip('"')
     if len(context.key) > MAX_KEY_LENGTH:
-        return BAD_REQUEST.because(f"Idempotency-Key over {MAX_KEY_LENGTH} characters")
+        return BAD_REQUEST.with_reason(
+            f"Idempotency-Key over {MAX_KEY_LENGTH} characters"
+        )
     timeout = _parse_float(headers.get(HEADER_TIMEOUT))
     if timeout is not None:
         if not 0 < timeout <= MAX_TIMEOUT:
             reason = f"X-Request-Timeout: seconds, 0 to {MAX_TIMEOUT:g}"
-            return BAD_REQUEST.because(reason)
+            return BAD_REQUEST.with_reason(reason)
         context.deadline = context.arrived_at + timeout
     elif HEADER_TIMEOUT in headers:
-        return BAD_REQUEST.because("X-Request-Timeout: not a number of seconds")
+        return BAD_REQUEST.with_reason("X-Request-Timeout: not a number of seconds")
     return _read_priority(context, headers.get(HEADER_PRIORITY, ""))
 
 
@@ -162,17 +164,17 @@
         if name != "u" or not equals:
             continue
         if not value.isdigit() or int(value) > MAX_URGENCY_VALUE:
-            return BAD_REQUEST.because("Priority: u=0 to u=7")
+            return BAD_REQUEST.with_reason("Priority: u=0 to u=7")
         context.urgency = int(value)
     return None
 
 
 def _read_model_request(context):
     if context.request.method != "POST":
-        return BAD_REQUEST.because("completions are asked for by POST")
+        return BAD_REQUEST.with_reason("completions are asked for by POST")
     parsed = context.request.json()
     if not isinstance(parsed, dict) or not isinstance(parsed.get("model"), str):
-        return BAD_REQUEST.because('the body has to be JSON with a "model"')
+        return BAD_REQUEST.with_reason('the body has to be JSON with a "model"')
     context.is_model = True
     context.parsed_body = parsed
     context.path = context.request.path
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -2,7 +2,7 @@
 
 import hashlib
 
-from hawthornspoke.base import Failure, contact_clock, is_failure, monotonic
+from hawthornspoke.base import Failure, boottime_clock, is_failure, monotonic
 from hawthornspoke.config import ServiceView
 from hawthornspoke.entry._suspects import QuarantineSync
 from hawthornspoke.limits import (
@@ -187,31 +187,31 @@
             return allowed
         if allowed != organisation:
             reason = "the key is another organisation's now"
-            return self._denial(UNAUTHENTICATED.because(reason), now)
+            return self._denial(UNAUTHENTICATED.with_reason(reason), now)
         view = self.core.membership.by_id.get(node)
         is_known = view is not None and view.member is not None
         if not is_known or view.status == "leaving" or view.member.leaving:
-            return DRAINING.because(f"{node} leaves")
+            return DRAINING.with_reason(f"{node} leaves")
         return self.quarantine_sync.quarantine_failure(fingerprint, now=now)
 
     def _authorise(self, authorization, service_name, now):
         """Return the organisation that may use a service, or a Failure."""
         if not self.core.holder.confirmed(now=now):
             reason = "no configuration is in force here yet"
-            return NOT_READY.because(reason, retry_after=1.0)
+            return NOT_READY.with_reason(reason, retry_after=1.0)
         if not authorization.lower().startswith(BEARER_PREFIX):
             # No configuration permits requests without a key, so its age is irrelevant.
-            return UNAUTHENTICATED.because("no bearer key in Authorization")
+            return UNAUTHENTICATED.with_reason("no bearer key in Authorization")
         organisation = self._authenticate(authorization)
         if is_failure(organisation):
             return self._denial(organisation, now)
         service = self.service_by_name.get(service_name)
         if service is None:
-            missing = NO_SUCH_SERVICE.because(f"no service {service_name!r}")
+            missing = NO_SUCH_SERVICE.with_reason(f"no service {service_name!r}")
             return self._denial(missing, now)
         if not service.serves(organisation):
             reason = f"{service_name!r} is not open to {organisation!r}"
-            return self._denial(FORBIDDEN.because(reason), now)
+            return self._denial(FORBIDDEN.with_reason(reason), now)
         return organisation
 
     def _denial(self, failure, now):
@@ -221,14 +221,14 @@
         partitioned while a key was added would return it wrongly, while other hosts
         accept the key. ``not_ready`` makes the caller retry at another host.
         """
-        may_deny = self.core.holder.may_deny(
-            binds_after=MAX_PROPAGATION_DELAY, contact_now=contact_clock()
+        may_reject = self.core.holder.may_reject(
+            propagation_bound=MAX_PROPAGATION_DELAY, contact_now=boottime_clock()
         )
-        if may_deny:
+        if may_reject:
             return failure
         self.core.hasten_table(now=now)
         reason = f"{failure.code}, by a configuration that may be old"
-        return NOT_READY.because(reason, retry_after=1.0)
+        return NOT_READY.with_reason(reason, retry_after=1.0)
 
     def choose(self, *, service, adapter, prefix, digest, excluded, fingerprint, now):
         """Choose an endpoint.
@@ -438,7 +438,7 @@
         key = authorization[len(BEARER_PREFIX) :].strip()
         name = self.organisation_by_key.get(hashlib.sha256(key.encode()).hexdigest())
         if name is None:
-            return UNAUTHENTICATED.because("the key is not one of an organisation")
+            return UNAUTHENTICATED.with_reason("the key is not one of an organisation")
         return name
 
     def _live_endpoints(self, service, adapter, digest):
--- a/hawthornspoke/entry/_forward.py
+++ b/hawthornspoke/entry/_forward.py
@@ -149,7 +149,7 @@
             if event.kind == EventKind.HEAD:
                 if not self._has_expected_weights(event, endpoint):
                     attempt.abandon()
-                    attempt.result.failure = WRONG_ANSWER.because("other weights")
+                    attempt.result.failure = WRONG_ANSWER.with_reason("other weights")
                     break
                 if not self._head_sent:
                     self._head_sent = True
--- a/hawthornspoke/entry/_pipeline.py
+++ b/hawthornspoke/entry/_pipeline.py
@@ -112,11 +112,11 @@
         if context.is_model != (service.kind == "model"):
             path = "/v1/..." if service.kind == "model" else "/services/..."
             reason = f"{service.name!r} is a {service.kind} service: use {path}"
-            return self._refuse(context, BAD_REQUEST.because(reason))
+            return self._refuse(context, BAD_REQUEST.with_reason(reason))
         if context.adapter and context.adapter not in service.adapters:
             known = ", ".join(sorted(service.adapters)) or "none"
             reason = f"no adapter {context.adapter!r}; there are: {known}"
-            return self._refuse(context, BAD_REQUEST.because(reason))
+            return self._refuse(context, BAD_REQUEST.with_reason(reason))
         return None
 
     def _check_deadline(self, context):
@@ -124,7 +124,7 @@
             return None
         return self._refuse(
             context,
-            TOO_LATE.because("the time was up on arrival"),
+            TOO_LATE.with_reason("the time was up on arrival"),
         )
 
     def _claim(self, context):
@@ -200,7 +200,7 @@
         self._record_outcome(context, UNKNOWN)
         response = json_response(
             error_body(
-                CUT_OFF.because(final_failure.failure.reason),
+                CUT_OFF.with_reason(final_failure.failure.reason),
                 outcome=UNKNOWN,
                 request_id=context.request_id,
             )
--- a/hawthornspoke/entry/_suspects.py
+++ b/hawthornspoke/entry/_suspects.py
@@ -63,7 +63,7 @@
         if until is None:
             return None
         reason = "engines ended under this request"
-        return QUARANTINED.because(reason, retry_after=until - now)
+        return QUARANTINED.with_reason(reason, retry_after=until - now)
 
     def record_engine_exit(self, exit_id, fingerprint, *, in_use, now):
         """Record an engine exit during a request of this host."""
--- a/hawthornspoke/fields/_fields.py
+++ b/hawthornspoke/fields/_fields.py
@@ -51,7 +51,7 @@
         try:
             return decode(*arguments)
         except FieldError as error:
-            return UNUSABLE.because(str(error))
+            return UNUSABLE.with_reason(str(error))
 
     return wrapper
 
--- a/hawthornspoke/gate/_gate.py
+++ b/hawthornspoke/gate/_gate.py
@@ -263,7 +263,7 @@
         outcomes = []
         for request_id in list(self.waiting_by_id):
             del self.waiting_by_id[request_id]
-            failure = DRAINING.because("endpoint is leaving", retry_after=0.0)
+            failure = DRAINING.with_reason("endpoint is leaving", retry_after=0.0)
             outcomes.append(self._refuse(request_id, failure))
         return outcomes + self._report_drained()
 
@@ -335,9 +335,11 @@
 
     def _admission_failure(self, message, *, now):
         if self._is_duplicate(message.request_id):
-            return DUPLICATE.because(f"request {message.request_id} was seen before")
+            return DUPLICATE.with_reason(
+                f"request {message.request_id} was seen before"
+            )
         if self.draining:
-            return DRAINING.because("endpoint is leaving", retry_after=0.0)
+            return DRAINING.with_reason("endpoint is leaving", retry_after=0.0)
         if self._has_wrong_digest(message):
             return self._wrong_digest_failure(message)
         if now >= message.deadline:
@@ -345,7 +347,7 @@
         wait = self.expected_wait()
         if now + wait >= message.deadline:
             reason = f"expected wait {wait:.2f} s outlasts the deadline"
-            return BUSY.because(reason, retry_after=wait)
+            return BUSY.with_reason(reason, retry_after=wait)
         return None
 
     def _is_duplicate(self, request_id):
@@ -363,11 +365,11 @@
     def _wrong_digest_failure(self, admit):
         live = self.live_by_service.get(admit.service)
         live_text = "nothing" if live is None else repr(live[:12])
-        return WRONG_DIGEST.because(f"{admit.service}: live here is {live_text}")
+        return WRONG_DIGEST.with_reason(f"{admit.service}: live here is {live_text}")
 
     def _deadline_failure(self):
         wait = self.expected_wait()
-        return DEADLINE_PASSED.because("not started in time", retry_after=wait)
+        return DEADLINE_PASSED.with_reason("not started in time", retry_after=wait)
 
     def _sort_key(self, entry, now):
         """Return the sort key: urgency reduced by waiting time, then arrival time."""
@@ -404,7 +406,7 @@
             wait = self.expected_wait()
             is_newest = last_entry.since == now
             kind = BUSY if is_newest else OUTRANKED
-            failure = kind.because("queue is full", retry_after=wait)
+            failure = kind.with_reason("queue is full", retry_after=wait)
             outcomes.append(self._refuse(request_id, failure))
         return outcomes
 
--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from hawthornspoke.base import Failure, contact_clock, has_hung_up
+from hawthornspoke.base import Failure, boottime_clock, is_closed_by_peer
 from hawthornspoke.httpio._message import HOP_BY_HOP, Response, encode_head
 
 #: Milliseconds that sent bytes may stay unacknowledged before the connection fails.
@@ -156,7 +156,7 @@
         """Check the socket itself for a close that the event loop hasn't seen yet."""
         if not self.is_open:
             return True
-        return has_hung_up(self.transport.get_extra_info("socket"))
+        return is_closed_by_peer(self.transport.get_extra_info("socket"))
 
     def connection_made(self, transport):
         """Store the transport and set the socket options."""
@@ -169,7 +169,7 @@
         self.reusable = False
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.end(BROKEN.because(str(exc) if exc else "closed"))
+            exchange.end(BROKEN.with_reason(str(exc) if exc else "closed"))
 
     def eof_received(self):
         """Complete a response that is delimited by the end of its connection.
@@ -215,7 +215,7 @@
             self.reusable = False
             exchange, self.exchange = self.exchange, None
             if exchange is not None:
-                exchange.end(NOT_HTTP.because(str(error)))
+                exchange.end(NOT_HTTP.with_reason(str(error)))
             self.abort()
 
     def release(self):
@@ -231,7 +231,7 @@
             self.abort()
             return False
         self.idle_deadline = (
-            contact_clock() + self._idle_timeout * IDLE_TIMEOUT_FRACTION
+            boottime_clock() + self._idle_timeout * IDLE_TIMEOUT_FRACTION
         )
         return True
 
@@ -375,5 +375,5 @@
         async with asyncio.timeout(timeout):
             _, connection = await connecting
     except (OSError, TimeoutError) as error:
-        return CONNECT_FAILED.because(f"{address}: {error or type(error).__name__}")
+        return CONNECT_FAILED.with_reason(f"{address}: {error or type(error).__name__}")
     return connection
--- a/hawthornspoke/httpio/_fetch.py
+++ b/hawthornspoke/httpio/_fetch.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hawthornspoke.base import Failure, contact_clock
+from hawthornspoke.base import Failure, boottime_clock
 from hawthornspoke.httpio._client import (
     BROKEN,
     NOT_SENT,
@@ -81,7 +81,7 @@
 
 
 async def _fetch_once(pool, address, *, method, target, headers, body, timeout, fresh):
-    deadline = contact_clock() + timeout
+    deadline = boottime_clock() + timeout
     connection = None
     complete = False
     data = encode_request(
@@ -95,18 +95,20 @@
             connection = await pool.acquire(address, address, fresh=fresh)
             if isinstance(connection, Failure):
                 return connection
-            if contact_clock() >= deadline or not connection.is_open:
+            if boottime_clock() >= deadline or not connection.is_open:
                 # After the process was frozen, this task can resume before its
                 # timeout fires; it would then send a request that was decided on
                 # data that is seconds old.
-                return NOT_SENT.because(
+                return NOT_SENT.with_reason(
                     f"{method} {target}: deadline passed before sending"
                 )
             answer = await connection.send(data, expected_id=None).read_whole()
             complete = not isinstance(answer, Failure)
             return answer
     except TimeoutError:
-        return BROKEN.because(f"{method} {target}: no response within {timeout:g} s")
+        return BROKEN.with_reason(
+            f"{method} {target}: no response within {timeout:g} s"
+        )
     finally:
         if isinstance(connection, ClientConnection):
             if complete:
--- a/hawthornspoke/httpio/_pool.py
+++ b/hawthornspoke/httpio/_pool.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hawthornspoke.base import contact_clock
+from hawthornspoke.base import boottime_clock
 from hawthornspoke.httpio._client import open_connection
 
 
@@ -70,7 +70,7 @@
         ClientConnection or Failure
         """
         idle = self._idle_connections(key, start)
-        now = contact_clock()
+        now = boottime_clock()
         while idle and not fresh:
             connection = idle.pop().connection
             if now < connection.idle_deadline and connection.is_open:
@@ -87,7 +87,7 @@
             entry = _IdleConnection(connection=connection, start=start)
             self._idle_by_key.setdefault(key, []).append(entry)
             if self.closes_idle:
-                delay = max(0.0, connection.idle_deadline - contact_clock())
+                delay = max(0.0, connection.idle_deadline - boottime_clock())
                 asyncio.get_running_loop().call_later(delay, self.sweep)
 
     def drop(self, key):
@@ -97,7 +97,7 @@
 
     def sweep(self):
         """Close connections that are past their idle deadline."""
-        now = contact_clock()
+        now = boottime_clock()
         for idle in self._idle_by_key.values():
             expired = [item for item in idle if now >= item.connection.idle_deadline]
             for item in expired:
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from hawthornspoke.base import contact_clock, has_hung_up, monotonic
+from hawthornspoke.base import boottime_clock, is_closed_by_peer, monotonic
 from hawthornspoke.httpio._message import Request, encode_head, status_line
 
 #: Maximum bytes of pipelined requests buffered while a request is handled.
@@ -194,7 +194,7 @@
         """Check the socket itself for a close that the event loop hasn't seen yet."""
         if self.transport is None or self.transport.is_closing():
             return True
-        return has_hung_up(self.transport.get_extra_info("socket"))
+        return is_closed_by_peer(self.transport.get_extra_info("socket"))
 
     def close(self):
         """Close after buffered data has been sent."""
@@ -346,7 +346,7 @@
 
 def _current_times():
     """Return the current time on the monotonic clock and on the contact clock."""
-    return monotonic(), contact_clock()
+    return monotonic(), boottime_clock()
 
 
 class HttpServer:
--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -181,7 +181,7 @@
         self.limited += 1
         wait = (1.0 - bucket.tokens) / max(rate * share, 1e-6)
         reason = f"over {rate:g} requests/s of {message.organisation}"
-        return [Limited(failure=OVER_LIMIT.because(reason, retry_after=wait))]
+        return [Limited(failure=OVER_LIMIT.with_reason(reason, retry_after=wait))]
 
     def demand(self, *, now):
         """Return this host's demand for gossip.
--- a/hawthornspoke/mirror/_dating.py
+++ b/hawthornspoke/mirror/_dating.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from hawthornspoke.catalog import UNKNOWN
+from hawthornspoke.catalog import UNKNOWN_TIME
 
 #: Maximum number of answers kept: about ten seconds at three per second.
 MAX_ANSWERS = 32
@@ -90,10 +90,10 @@
         Returns
         -------
         float
-            Seconds on the clock of this host; ``UNKNOWN`` if no answer was made before
-            the row was written.
+            Seconds on the clock of this host; ``UNKNOWN_TIME`` if no answer was made
+            before the row was written.
         """
         made_at = self.last_answer_before(revision)
         if made_at is None:
-            return UNKNOWN
+            return UNKNOWN_TIME
         return self.answer_time_bound(made_at, received_at=received_at)
--- a/hawthornspoke/mirror/_intake.py
+++ b/hawthornspoke/mirror/_intake.py
@@ -142,4 +142,6 @@
             return outcome
         if outcome.service in self._services:
             return outcome
-        return UNUSABLE.because(f"no configuration names service {outcome.service!r}")
+        return UNUSABLE.with_reason(
+            f"no configuration names service {outcome.service!r}"
+        )
--- a/hawthornspoke/mirror/_neighbours.py
+++ b/hawthornspoke/mirror/_neighbours.py
@@ -4,8 +4,8 @@
 import copy
 import zlib
 
-from hawthornspoke.base import Failure, contact_clock, is_failure, monotonic
-from hawthornspoke.catalog import UNKNOWN
+from hawthornspoke.base import Failure, boottime_clock, is_failure, monotonic
+from hawthornspoke.catalog import UNKNOWN_TIME
 from hawthornspoke.mirror._readers import NeighbourListReceived, ReaderFailed, Readers
 from hawthornspoke.mirror._types import NOT_READING, News, Row
 from hawthornspoke.peering import connect, listen
@@ -140,10 +140,12 @@
             After ``NOT_READING`` the next neighbour in order has to be queried; after
             any other failure this host has to read the platform itself.
         """
-        asked_at = contact_clock()
+        asked_at = boottime_clock()
         answer = await self._query(address, table, after, wait)
         if not is_failure(answer) and not _validate_and_decompress(answer):
-            answer = UNREADABLE.because("a field is missing or can't be decompressed")
+            answer = UNREADABLE.with_reason(
+                "a field is missing or can't be decompressed"
+            )
         if is_failure(answer):
             self._log.change("neighbour_failed", peer=address, reason=answer.reason)
             self.readers.step(ReaderFailed(address=address), now=monotonic())
@@ -165,7 +167,9 @@
             return answer
         news = answer.table_news
         if news is None or not news.current:
-            return NOT_READING.because("the neighbour does not read the platform now")
+            return NOT_READING.with_reason(
+                "the neighbour does not read the platform now"
+            )
         return news
 
     async def _connect(self, address):
@@ -202,12 +206,12 @@
     async def _answer(self, link, frame):
         ask = frame.table_ask
         after = None if ask.after < 0 else ask.after
-        asked_at = contact_clock()
+        asked_at = boottime_clock()
         news = None
         while self._watch.is_current() or self._may_take_over(asked_at):
             if self._watch.is_current():
                 news = self._watch.mirror.changes_since(ask.table, after)
-            waited = contact_clock() - asked_at
+            waited = boottime_clock() - asked_at
             if waited >= ask.wait_ms / 1000 or (news is not None and news.rows):
                 break
             if not link.is_open:
@@ -215,7 +219,7 @@
             await self._wait_for_news(asked_at + ask.wait_ms / 1000)
         answer = TableNews(current=False)
         if news is not None and self._watch.is_current():
-            now = contact_clock()
+            now = boottime_clock()
             answer = TableNews(
                 current=True,
                 whole=news.whole,
@@ -237,7 +241,7 @@
         if not self._watch.is_current():
             await asyncio.sleep(POLL_INTERVAL)
             return
-        seconds = min(deadline, self._watch.current_until) - contact_clock()
+        seconds = min(deadline, self._watch.current_until) - boottime_clock()
         await self._watch.wait_for_changes(min(max(0.0, seconds), MAX_WAIT))
 
     def _may_take_over(self, asked_at):
@@ -253,11 +257,11 @@
         now = monotonic()
         if self.readers.is_avoided(self._address, now):
             return False
-        return contact_clock() < asked_at + TAKEOVER_WINDOW
+        return boottime_clock() < asked_at + TAKEOVER_WINDOW
 
     def _encode_row_with_age(self, table, row, now):
         encoded = copy.copy(self._encode_row(table, row))
-        if row.written_at != UNKNOWN:
+        if row.written_at != UNKNOWN_TIME:
             encoded.written_age_ms = int((now - row.written_at) * 1000) + 1
         return encoded
 
@@ -307,12 +311,12 @@
         rows=[_decode_row(row, answered_at) for row in answer.rows or ()],
         revision=answer.up_to,
         whole=bool(answer.whole),
-        confirmed_at=min(answered_at - answer.age_ms / 1000, contact_clock()),
+        confirmed_at=min(answered_at - answer.age_ms / 1000, boottime_clock()),
     )
 
 
 def _decode_row(row, answered_at):
-    written_at = UNKNOWN
+    written_at = UNKNOWN_TIME
     if row.written_age_ms is not None:
         written_at = answered_at - row.written_age_ms / 1000
     return Row(
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -126,7 +126,7 @@
         if is_failure(news):
             return news
         if news.made_at is None:
-            return fields.UNUSABLE.because("the platform's answer has no time")
+            return fields.UNUSABLE.with_reason("the platform's answer has no time")
         for row in news.rows:
             if row.key != KEY or row.data is None:
                 continue
--- a/hawthornspoke/mirror/_record.py
+++ b/hawthornspoke/mirror/_record.py
@@ -81,7 +81,7 @@
     if row.data is None:
         return []
     if made_at is None:
-        return fields.UNUSABLE.because("the platform's answer has no time")
+        return fields.UNUSABLE.with_reason("the platform's answer has no time")
     declaration_times = _decode(row.data)
     if not isinstance(declaration_times, list):
         return declaration_times
@@ -91,11 +91,11 @@
             declaration_time.not_before > made_at
             or declaration_time.revision >= row.revision
         ):
-            return fields.UNUSABLE.because(
+            return fields.UNUSABLE.with_reason(
                 f"version {declaration_time.version}: declared in the future"
             )
         if previous is not None and not _is_after(declaration_time, previous):
-            return fields.UNUSABLE.because(
+            return fields.UNUSABLE.with_reason(
                 f"version {declaration_time.version}: not in order of declaration"
             )
         previous = declaration_time
--- a/hawthornspoke/mirror/_record_keeper.py
+++ b/hawthornspoke/mirror/_record_keeper.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
-from hawthornspoke.base import contact_clock, is_failure
-from hawthornspoke.catalog import UNKNOWN
+from hawthornspoke.base import boottime_clock, is_failure
+from hawthornspoke.catalog import UNKNOWN_TIME
 from hawthornspoke.mirror._record import (
     RECORD_TABLE,
     DeclarationTime,
@@ -117,7 +117,7 @@
             return
         self._newest_revision_by_model[declared.model] = row.revision
         not_before = self._clock.last_answer_before(row.revision)
-        if row.written_at != UNKNOWN and (not_before is None or not from_platform):
+        if row.written_at != UNKNOWN_TIME and (not_before is None or not from_platform):
             # The neighbour that sent the time has written it. This process may know an
             # earlier bound from a time when it read the platform itself, but if that
             # were written as well, each of 99 entry hosts would call the platform for
@@ -127,7 +127,7 @@
             version=declared.version,
             revision=row.revision,
             not_before=not_before,
-            learned_at=contact_clock(),
+            learned_at=boottime_clock(),
         )
         self._wake.set()
 
@@ -147,7 +147,7 @@
             outcome = await self._read(model, pending)
         else:
             outcome = await self._write(model, pending)
-        is_over = contact_clock() >= pending.learned_at + RETRY_TIME_LIMIT
+        is_over = boottime_clock() >= pending.learned_at + RETRY_TIME_LIMIT
         if is_failure(outcome):
             self._log.change(
                 "record_failed", model=model, reason=outcome.reason, is_over=is_over
@@ -157,11 +157,11 @@
             del self._pending_by_model[model]
 
     async def _read(self, model, pending):
-        asked_at = contact_clock()
+        asked_at = boottime_clock()
         news = await self._store.read(RECORD_TABLE, first=model, past=model + "\0")
         if is_failure(news):
             return news
-        received_at = contact_clock()
+        received_at = boottime_clock()
         if news.made_at is not None:
             self._clock.add_answer(
                 asked_at=asked_at, made_at=news.made_at, revision=news.revision
--- a/hawthornspoke/mirror/_types.py
+++ b/hawthornspoke/mirror/_types.py
@@ -1,7 +1,7 @@
 """Rows of the platform's tables, and answers to queries for changes."""
 
 from hawthornspoke.base import Failure
-from hawthornspoke.catalog import UNKNOWN
+from hawthornspoke.catalog import UNKNOWN_TIME
 
 #: The changes since the requested revision are no longer available.
 HISTORY_GONE = Failure(code="history_gone")
@@ -20,14 +20,14 @@
         None if the row was removed.
     revision : int
         Revision of the transaction that wrote it.
-    written_at : float, default=UNKNOWN
+    written_at : float, default=UNKNOWN_TIME
         Lower bound on the time of writing, in seconds on the contact clock, which
-        continues while a host is suspended; ``UNKNOWN`` if there is none.
+        continues while a host is suspended; ``UNKNOWN_TIME`` if there is none.
     """
 
     __slots__ = ("key", "data", "revision", "written_at")
 
-    def __init__(self, *, key, data, revision, written_at=UNKNOWN):
+    def __init__(self, *, key, data, revision, written_at=UNKNOWN_TIME):
         self.key = key
         self.data = data
         self.revision = revision
@@ -66,9 +66,9 @@
     made_at : float or None, default=None
         When the platform made the answer, in seconds on its own monotonic clock; None
         if the answer does not state it.
-    known_until : float, default=UNKNOWN
+    known_until : float, default=UNKNOWN_TIME
         Time up to which this process knew the complete table before this answer, in
-        seconds on the contact clock; ``UNKNOWN`` if it did not.
+        seconds on the contact clock; ``UNKNOWN_TIME`` if it did not.
     """
 
     __slots__ = (
@@ -88,7 +88,7 @@
         whole=False,
         confirmed_at=None,
         made_at=None,
-        known_until=UNKNOWN,
+        known_until=UNKNOWN_TIME,
     ):
         self.rows = rows
         self.revision = revision
--- a/hawthornspoke/mirror/_watch.py
+++ b/hawthornspoke/mirror/_watch.py
@@ -4,8 +4,8 @@
 import contextlib
 import random
 
-from hawthornspoke.base import contact_clock, is_failure
-from hawthornspoke.catalog import UNKNOWN
+from hawthornspoke.base import boottime_clock, is_failure
+from hawthornspoke.catalog import UNKNOWN_TIME
 from hawthornspoke.mirror._dating import PlatformClock
 from hawthornspoke.mirror._tables import Mirror
 from hawthornspoke.mirror._types import HISTORY_GONE, NOT_READING
@@ -170,7 +170,7 @@
         -------
         bool
         """
-        return contact_clock() < self.current_until
+        return boottime_clock() < self.current_until
 
     def is_first_read_pending(self):
         """Return whether this host waits for its first answer of the platform.
@@ -220,7 +220,7 @@
         while True:
             in_burst = (
                 table.confirms_configuration
-                and contact_clock() < changed_at + BURST_GAP
+                and boottime_clock() < changed_at + BURST_GAP
             )
             reader = None if failed else self._neighbours.reader()
             if reader is not None:
@@ -231,9 +231,9 @@
                 revision = None
                 # The first time without delay, since there may be a change. With a
                 # platform that answers so each time, this would be a busy loop.
-                if contact_clock() < history_lost_at + RETRY_PAUSE[1]:
+                if boottime_clock() < history_lost_at + RETRY_PAUSE[1]:
                     await asyncio.sleep(random.uniform(*RETRY_PAUSE))
-                history_lost_at = contact_clock()
+                history_lost_at = boottime_clock()
                 continue
             if is_failure(news):
                 # If a neighbour does not answer, others may not either, so the platform
@@ -255,9 +255,9 @@
                 continue
             in_burst = (
                 table.confirms_configuration
-                and contact_clock() < changed_at + BURST_GAP
+                and boottime_clock() < changed_at + BURST_GAP
             )
-            newest_seen, changed_at = newest, contact_clock()
+            newest_seen, changed_at = newest, boottime_clock()
             await asyncio.sleep(self._pause_after_change(table, reader))
             if in_burst and reader is None:
                 revision = None
@@ -265,8 +265,8 @@
     async def _await_neighbours(self):
         """Wait until an agent has reported the neighbours, or for the timeout."""
         readers = self._neighbours.readers
-        deadline = contact_clock() + self._discovery_timeout
-        while not readers.has_neighbour_list() and contact_clock() < deadline:
+        deadline = boottime_clock() + self._discovery_timeout
+        while not readers.has_neighbour_list() and boottime_clock() < deadline:
             await asyncio.sleep(DISCOVERY_POLL_INTERVAL)
         if readers.has_neighbour_list():
             await asyncio.sleep(NEIGHBOUR_CONNECT_TIME)
@@ -313,7 +313,7 @@
         # shows immediately that the platform is reachable again.
         whole = revision is None
         wait = 0.0 if whole or failed else table.wait * random.uniform(*WAIT_SPREAD)
-        asked_at = contact_clock()
+        asked_at = boottime_clock()
         if table.confirms_configuration:
             self._reads_platform = True
             overdue_after = (
@@ -333,7 +333,7 @@
         # An empty answer was made at the end of the wait, any other one as soon as
         # there were changes, possibly immediately.
         hold_time = wait if not news.rows else 0.0
-        now = contact_clock()
+        now = boottime_clock()
         confirmed_at = min(asked_at + hold_time, now)
         news.confirmed_at = confirmed_at
         self._set_write_times(table, news, asked_at, confirmed_at)
@@ -345,7 +345,7 @@
 
     def _set_write_times(self, table, news, asked_at, confirmed_at):
         """Set lower bounds on the write times of the rows of a platform's answer."""
-        clock, now = self.clock, contact_clock()
+        clock, now = self.clock, boottime_clock()
         news.known_until = self._known_until(table)
         if (
             table.name in self._failed_tables
@@ -368,7 +368,7 @@
         self._known_until_by_table[table.name] = confirmed_at
 
     def _known_until(self, table):
-        return self._known_until_by_table.get(table.name, UNKNOWN)
+        return self._known_until_by_table.get(table.name, UNKNOWN_TIME)
 
     def _record_failure(self, table, failure):
         """Record a failed read; return whether there is no neighbour to query."""
--- a/hawthornspoke/mirror/tests/test_dating.py
+++ b/hawthornspoke/mirror/tests/test_dating.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from hawthornspoke.base import contact_clock
-from hawthornspoke.catalog import UNKNOWN
+from hawthornspoke.base import boottime_clock
+from hawthornspoke.catalog import UNKNOWN_TIME
 from hawthornspoke.mirror import Mirror, News, Row
 from hawthornspoke.mirror._dating import PlatformClock
 from hawthornspoke.mirror._watch import MIN_OUTAGE, NEIGHBOUR_WAIT
@@ -51,15 +51,15 @@
 def test_row_older_than_all_answers_has_no_bound():
     clock = PlatformClock()
     clock.add_answer(asked_at=100.0, made_at=7.0, revision=9)
-    assert clock.write_time_bound(9, received_at=100.1) == UNKNOWN
+    assert clock.write_time_bound(9, received_at=100.1) == UNKNOWN_TIME
 
 
 def test_rows_keep_their_write_time_when_reread():
     mirror = Mirror()
     first = News(rows=[Row(key="a", data=b"1", revision=3)], revision=3, whole=True)
-    mirror.set_write_times("t", first, lambda revision: UNKNOWN)
+    mirror.set_write_times("t", first, lambda revision: UNKNOWN_TIME)
     mirror.take("t", first)
-    assert first.rows[0].written_at == UNKNOWN
+    assert first.rows[0].written_at == UNKNOWN_TIME
     change = News(rows=[Row(key="b", data=b"1", revision=5)], revision=5)
     change.known_until = 10.0
     mirror.set_write_times("t", change, lambda revision: 10.6)
@@ -82,11 +82,11 @@
 
     async def scenario(reader, asker):
         await wait_until(lambda: asker.seen)
-        changed_at = contact_clock()
+        changed_at = boottime_clock()
         reader.store.put(b"2")
         await wait_until(lambda: asker.seen[-1] == b"2")
         (row,) = asker.watch.mirror.changes_since("t", None).rows
-        assert changed_at - NEIGHBOUR_WAIT < row.written_at <= contact_clock()
+        assert changed_at - NEIGHBOUR_WAIT < row.written_at <= boottime_clock()
         asker.stop()
         await asyncio.sleep(0.3)
         assert row.written_at <= changed_at
@@ -99,7 +99,7 @@
         await wait_until(lambda: asker.seen)
         for host in (reader, asker):
             (row,) = host.watch.mirror.changes_since("t", None).rows
-            assert row.written_at == UNKNOWN
+            assert row.written_at == UNKNOWN_TIME
 
     run_scenario(scenario)
 
@@ -117,14 +117,14 @@
         for host in (reader, asker):
             host.store.fault = "down"
         await asyncio.sleep(MIN_OUTAGE + 1.2)
-        back_at = contact_clock()
+        back_at = boottime_clock()
         for host in (reader, asker):
             host.store.put(b"2")
             host.store.fault = None
         await wait_until(lambda: reader.seen[-1] == asker.seen[-1] == b"2")
         for host in (reader, asker):
             (row,) = host.watch.mirror.changes_since("t", None).rows
-            assert back_at - 0.7 < row.written_at <= contact_clock()
+            assert back_at - 0.7 < row.written_at <= boottime_clock()
 
     run_scenario(scenario)
 
@@ -143,12 +143,14 @@
             host.news = []
             taken = host.watch.mirror.take
             host.watch.mirror = RecordingMirror(taken, host.news)
-        changed_at = contact_clock()
+        changed_at = boottime_clock()
         reader.store.put(b"2")
         await wait_until(lambda: reader.seen[-1] == asker.seen[-1] == b"2")
         for host in (reader, asker):
             news = next(item for item in host.news if item.rows)
-            assert changed_at - 2 * NEIGHBOUR_WAIT < news.known_until <= contact_clock()
+            assert (
+                changed_at - 2 * NEIGHBOUR_WAIT < news.known_until <= boottime_clock()
+            )
 
     run_scenario(scenario)
 
--- a/hawthornspoke/mirror/tests/test_record.py
+++ b/hawthornspoke/mirror/tests/test_record.py
@@ -5,7 +5,7 @@
 
 from hypothesis import example, given, settings, strategies as st
 
-from hawthornspoke.base import Failure, contact_clock, is_failure
+from hawthornspoke.base import Failure, boottime_clock, is_failure
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.mirror import News, RecordKeeper, Row, Written
 from hawthornspoke.mirror._dating import PlatformClock
@@ -158,7 +158,7 @@
 
 def clock_with_answer(revision, *, made_at):
     clock = PlatformClock()
-    clock.add_answer(asked_at=contact_clock(), made_at=made_at, revision=revision)
+    clock.add_answer(asked_at=boottime_clock(), made_at=made_at, revision=revision)
     return clock
 
 
@@ -252,13 +252,13 @@
     """
     store = FakeStore(news())
     clock = clock_with_answer(19, made_at=20.5)
-    run_keeper(store, declared_at=contact_clock(), clock=clock, from_platform=False)
+    run_keeper(store, declared_at=boottime_clock(), clock=clock, from_platform=False)
     assert store.written == []
 
 
 def test_platform_reader_writes_the_row():
     store = FakeStore(news())
     clock = clock_with_answer(19, made_at=20.5)
-    run_keeper(store, declared_at=contact_clock(), clock=clock, from_platform=True)
+    run_keeper(store, declared_at=boottime_clock(), clock=clock, from_platform=True)
     # The fake store answers with a conflict, so there may be more than one attempt.
     assert store.written
--- a/hawthornspoke/mirror/tests/test_watch.py
+++ b/hawthornspoke/mirror/tests/test_watch.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from hawthornspoke.base import Failure, contact_clock
+from hawthornspoke.base import Failure, boottime_clock
 from hawthornspoke.mirror import (
     HISTORY_GONE,
     FollowedTable,
@@ -49,8 +49,8 @@
         return News(rows=[row], revision=self.revision, whole=True)
 
     async def follow(self, table, *, after, wait):
-        deadline = contact_clock() + wait
-        while self.fault is None and contact_clock() < deadline:
+        deadline = boottime_clock() + wait
+        while self.fault is None and boottime_clock() < deadline:
             if self.revision > after:
                 break
             await asyncio.sleep(0.01)
@@ -63,7 +63,7 @@
     async def _fail(self):
         if self.fault == "silent":
             await asyncio.sleep(2.0)
-        return DOWN.because(self.fault)
+        return DOWN.with_reason(self.fault)
 
 
 class WatchingHost:
@@ -187,7 +187,7 @@
     async def scenario(reader, asker):
         await wait_until(lambda: len(asker.confirmed) > 2)
         assert asker.confirmed[-1] <= reader.watch.confirmed_at + 0.01
-        assert contact_clock() - asker.confirmed[-1] < 2.0
+        assert boottime_clock() - asker.confirmed[-1] < 2.0
 
     run_scenario(scenario)
 
@@ -232,7 +232,7 @@
         await wait_until(lambda: "platform_unread" in reader.events)
         asker.store.put(b"newer")
         await wait_until(lambda: reader.seen[-1] == b"newer")
-        before = contact_clock()
+        before = boottime_clock()
         await wait_until(lambda: reader.confirmed[-1] > before)
 
     run_scenario(scenario)
@@ -287,7 +287,7 @@
             return HISTORY_GONE
 
         async def read(table, original=host.store.read):
-            whole_reads.append(contact_clock())
+            whole_reads.append(boottime_clock())
             return await original(table)
 
         host.store.follow, host.store.read = gone, read
@@ -314,7 +314,7 @@
         changes_since = reader.watch.mirror.changes_since
 
         def counting_changes_since(name, after):
-            call_times.append(contact_clock())
+            call_times.append(boottime_clock())
             return changes_since(name, after)
 
         reader.watch.mirror = CountingMirror(
@@ -324,9 +324,9 @@
         assert len(call_times) <= 12, "more than a few table scans per query"
         seen_before = len(asker.seen)
         reader.store.put(b"2")
-        put_at = contact_clock()
+        put_at = boottime_clock()
         await wait_until(lambda: len(asker.seen) > seen_before)
-        assert contact_clock() < put_at + 0.5
+        assert boottime_clock() < put_at + 0.5
 
     run_scenario(scenario)
 
--- a/hawthornspoke/node/_control.py
+++ b/hawthornspoke/node/_control.py
@@ -5,7 +5,7 @@
 import pykka
 from loguru import logger
 
-from hawthornspoke.base import contact_clock, monotonic
+from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.membership import MemberChanged
 from hawthornspoke.node._core import NodeCore
 from hawthornspoke.node._messages import (
@@ -23,7 +23,7 @@
 )
 from hawthornspoke.node._platform_actor import PlatformActor, connect_platform
 from hawthornspoke.protocol import PROTOCOL_VERSION, Status
-from hawthornspoke.revision import FetchDocument, InForce
+from hawthornspoke.revision import DocumentActivated, FetchDocument
 
 #: Fraction of an interval by which it varies, so that nodes started together don't
 #: keep reading the table at the same time.
@@ -109,7 +109,7 @@
             interval = self._jittered(self.core.poll_interval())
             self.core.table_deadline = now + interval
             row_outcomes = self.core.apply_table_row(
-                message.row, contact_asked_at=self.table_requested_at, now=now
+                message.row, requested_at=self.table_requested_at, now=now
             )
             self._process_outcomes(row_outcomes, now)
         elif isinstance(message, HostsRead):
@@ -232,7 +232,7 @@
             self._process_outcomes(core.tick(now=now), now)
         if now >= core.table_deadline and not self.reading_table:
             self.reading_table = True
-            self.table_requested_at = contact_clock()
+            self.table_requested_at = boottime_clock()
             self.platform.tell(ReadTable())
         if now >= core.hosts_deadline and not self.reading_hosts:
             self.reading_hosts = True
@@ -254,7 +254,7 @@
         for outcome in outcomes:
             if isinstance(outcome, FetchDocument):
                 self._fetch(outcome, now)
-            elif isinstance(outcome, InForce):
+            elif isinstance(outcome, DocumentActivated):
                 self._activate(outcome, now)
             elif isinstance(outcome, MemberChanged):
                 logger.info(
--- a/hawthornspoke/node/_core.py
+++ b/hawthornspoke/node/_core.py
@@ -6,9 +6,9 @@
 from hawthornspoke.membership import HostListed, MemberHeard, Membership, Tick
 from hawthornspoke.protocol import PROTOCOL_VERSION, Datagram, Gossip
 from hawthornspoke.revision import (
+    DocumentActivated,
     DocumentRead,
-    Heard,
-    InForce,
+    RevisionAdvertised,
     RevisionHolder,
     TableRead,
 )
@@ -119,7 +119,7 @@
         if revision > self.holder.heard_revision and not digest:
             # The message carries no digest of the document: read it from the table.
             self.table_deadline = min(self.table_deadline, now)
-        update = Heard(revision=revision, digest=digest, source=source)
+        update = RevisionAdvertised(revision=revision, digest=digest, source=source)
         return self.holder.step(update, now=now)
 
     def hasten_table(self, *, now):
@@ -136,13 +136,13 @@
             earliest = max(now, self.table_read_at + EARLY_READ_INTERVAL)
         self.table_deadline = min(self.table_deadline, earliest)
 
-    def apply_table_row(self, row, *, contact_asked_at, now):
+    def apply_table_row(self, row, *, requested_at, now):
         """Apply the configuration row, or a failure to read it.
 
         Parameters
         ----------
         row : dict or Failure
-        contact_asked_at : float
+        requested_at : float
             Time of the read request on the boot-time clock, which includes time in
             suspension.
         now : float
@@ -153,7 +153,7 @@
         """
         if row == NOT_FOUND:
             self.table_read_at = now
-            read = TableRead(revision=0, digest="", contact_asked_at=contact_asked_at)
+            read = TableRead(revision=0, digest="", requested_at=requested_at)
             return self.holder.step(read, now=now)
         if is_failure(row):
             self.table_failures += 1
@@ -162,7 +162,7 @@
         read = TableRead(
             revision=row["revision"],
             digest=row["digest"],
-            contact_asked_at=contact_asked_at,
+            requested_at=requested_at,
         )
         return self.holder.step(read, now=now)
 
@@ -193,11 +193,11 @@
 
         Returns
         -------
-        list of InForce
+        list of DocumentActivated
         """
         read = DocumentRead(digest=message.digest, document=message.document)
         outcomes = self.holder.step(read, now=now)
-        if any(isinstance(outcome, InForce) for outcome in outcomes):
+        if any(isinstance(outcome, DocumentActivated) for outcome in outcomes):
             self.document_data = message.data
         return outcomes
 
@@ -227,7 +227,7 @@
         """
         if now < self.fetch_deadline:
             return None
-        return self.holder.wanted()
+        return self.holder.missing_document()
 
     def document_source(self, fetch, *, now):
         """Return the address of a peer that may hold a document.
--- a/hawthornspoke/operator/_apply.py
+++ b/hawthornspoke/operator/_apply.py
@@ -4,7 +4,7 @@
 import uuid
 from dataclasses import dataclass
 
-from hawthornspoke.base import is_failure, monotonic, wall
+from hawthornspoke.base import is_failure, monotonic, wall_time
 from hawthornspoke.config import (
     build_document,
     check_declarations,
@@ -160,7 +160,7 @@
         "digest": digest,
         "token": token,
         "author": author,
-        "accepted_at": int(wall()),
+        "accepted_at": int(wall_time()),
     }
     condition = Condition(absent=True)
     if row:
--- a/hawthornspoke/operator/_fleet.py
+++ b/hawthornspoke/operator/_fleet.py
@@ -74,7 +74,7 @@
         if entry.host == host:
             return _call(entry, method, *arguments)
     listed_hosts = ", ".join(sorted(entry.host for entry in entries))
-    return NO_SUCH_HOST.because(
+    return NO_SUCH_HOST.with_reason(
         f"{host!r} is not in the host list; listed hosts: {listed_hosts}"
     )
 
--- a/hawthornspoke/operator/_pin.py
+++ b/hawthornspoke/operator/_pin.py
@@ -28,14 +28,16 @@
         data = clients.origin.manifest(source)
         if data == NOT_FOUND:
             failures.append(
-                BAD_SOURCE.because(f"source {source!r} does not exist at the origin")
+                BAD_SOURCE.with_reason(
+                    f"source {source!r} does not exist at the origin"
+                )
             )
             continue
         if is_failure(data):
             return data
         manifest = parse_manifest(data)
         if is_failure(manifest):
-            failures.append(BAD_SOURCE.because(f"{source!r}: {manifest.reason}"))
+            failures.append(BAD_SOURCE.with_reason(f"{source!r}: {manifest.reason}"))
             continue
         key = MANIFEST_PREFIX + manifest.digest
         stored = clients.objects.put(key, manifest.to_bytes())
--- a/hawthornspoke/peering/_connection.py
+++ b/hawthornspoke/peering/_connection.py
@@ -76,7 +76,7 @@
         self.transport = None
         for future in self._future_by_call.values():
             if not future.done():
-                future.set_result(CLOSED.because(str(exc) if exc else "closed"))
+                future.set_result(CLOSED.with_reason(str(exc) if exc else "closed"))
         self._future_by_call = {}
         self.on_closed(self)
 
@@ -197,7 +197,7 @@
             async with asyncio.timeout(timeout):
                 return await future
         except TimeoutError:
-            return CLOSED.because(f"no answer in {timeout:g} s")
+            return CLOSED.with_reason(f"no answer in {timeout:g} s")
         finally:
             self._future_by_call.pop(call, None)
 
@@ -249,7 +249,7 @@
             _, connection = await opening
     except (OSError, TimeoutError, ValueError) as error:
         # ValueError: the address is neither an IP address nor a host name.
-        return CLOSED.because(f"{address}:{port}: {error or type(error).__name__}")
+        return CLOSED.with_reason(f"{address}:{port}: {error or type(error).__name__}")
     return connection
 
 
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -129,14 +129,14 @@
             message.declared,
             at=message.at,
             known_until=message.known_until,
-            heard_by=_contact_time(message, now),
+            report_received_at=_contact_time(message, now),
         )
         return []
 
     def on_weights_dated(self, message, *, now):
         """Record the earliest possible times of declarations."""
         for version, at in message.moments:
-            self.declared.hear(message.model, version, at=at)
+            self.declared.add_lower_bound(message.model, version, at=at)
         return []
 
     def on_engine_reported(self, message, *, now):
@@ -146,9 +146,11 @@
             if endpoint.matches(message.incarnation):
                 self._estimate_remote_prompts(endpoint, message.load, now)
             endpoint.update_state(message, now)
-        heard_by = _contact_time(message, now)
+        report_received_at = _contact_time(message, now)
         for version, at in message.declared:
-            self.declared.hear(message.model, version, at=at, heard_by=heard_by)
+            self.declared.add_lower_bound(
+                message.model, version, at=at, report_received_at=report_received_at
+            )
         return []
 
     def on_agent_lost(self, message, *, now):
@@ -321,7 +323,7 @@
             endpoint.reading.add_remote_requests(
                 growth=load - endpoint.load,
                 age=endpoint.report_age(now),
-                usual_seconds=prefill_time(endpoint, engine, engine.usual_prompt),
+                usual_seconds=prefill_time(endpoint, engine, engine.mean_prompt_tokens),
                 now=now,
             )
 
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from hawthornspoke.catalog import UNKNOWN, UNKNOWN_START, Incarnation
+from hawthornspoke.catalog import UNKNOWN_START, UNKNOWN_TIME, Incarnation
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -42,7 +42,7 @@
     declared : DeclaredWeights
     at : float
         Earliest possible time of the declaration, on the clock that includes suspended
-        time; ``UNKNOWN`` if there is none.
+        time; ``UNKNOWN_TIME`` if there is none.
     known_until : float
         Time until which this process knew all declarations.
     contact_now : float or None, default=None
@@ -51,7 +51,7 @@
 
     declared: object
     at: float
-    known_until: float = UNKNOWN
+    known_until: float = UNKNOWN_TIME
     contact_now: float | None = None
 
 
--- a/hawthornspoke/placing/_predict.py
+++ b/hawthornspoke/placing/_predict.py
@@ -33,8 +33,8 @@
         Seconds.
     """
     step = profile.step + profile.step_per_request * min(load, profile.slots)
-    pass_time = profile.steps_per_pass * step
-    reading = prompt_tokens / profile.read_rate
+    pass_time = profile.steps_per_prefill * step
+    reading = prompt_tokens / profile.prefill_rate
     ahead = max(0, load + 1 - profile.slots)
     waiting = ahead * slot_release_interval(profile)
     return (
@@ -88,7 +88,7 @@
     -------
     float
     """
-    return endpoint.pace * prompt_tokens / profile.read_rate
+    return endpoint.pace * prompt_tokens / profile.prefill_rate
 
 
 def slot_release_interval(profile):
@@ -104,8 +104,8 @@
         Seconds.
     """
     step = profile.step + profile.step_per_request * profile.slots
-    slot_time = profile.usual_answer * step * PREFILL_STRETCH
-    slot_time += profile.usual_prompt / profile.read_rate
+    slot_time = profile.mean_answer_tokens * step * PREFILL_STRETCH
+    slot_time += profile.mean_prompt_tokens / profile.prefill_rate
     return slot_time / profile.slots
 
 
--- a/hawthornspoke/placing/_validity.py
+++ b/hawthornspoke/placing/_validity.py
@@ -74,7 +74,7 @@
         "contact_now",
         "now",
         "failure_domain",
-        "_too_old_at_by_version",
+        "_expires_at_by_version",
     )
 
     def __init__(
@@ -93,7 +93,7 @@
         self.contact_now = contact_now
         self.now = now
         self.failure_domain = failure_domain
-        self._too_old_at_by_version = {}
+        self._expires_at_by_version = {}
 
     def allows(self, endpoint, engine, ask):
         """Return whether an engine has eligible weights and starts a request in time.
@@ -133,7 +133,7 @@
         """
         if self._is_newest(endpoint, engine):
             return Prospect.SURE
-        left = self._too_old_at(engine, endpoint.weights_version) - self.contact_now
+        left = self._expires_at(engine, endpoint.weights_version) - self.contact_now
         if START_FACTOR_SURE * expected < left - self.version_margin:
             return Prospect.SURE
         share = START_FACTOR + START_FACTOR_SLOWDOWN * max(0.0, endpoint.pace - 1.0)
@@ -158,12 +158,12 @@
         version = place.weights_version
         if not engine.layers or version is None:
             return place
-        too_old_at = self._too_old_at(engine, version)
-        if too_old_at is None:
+        expires_at = self._expires_at(engine, version)
+        if expires_at is None:
             return place
         # Time that the host was suspended, which the clock of deadlines doesn't count.
         suspended = self.contact_now - self.now
-        deadline = too_old_at - suspended - self._withdraw_margin(endpoint)
+        deadline = expires_at - suspended - self._withdraw_margin(endpoint)
         return replace(place, begin_deadline=deadline)
 
     def _withdraw_margin(self, endpoint):
@@ -185,16 +185,16 @@
         version = endpoint.weights_version
         if not engine.layers or version is None:
             return True
-        return self._too_old_at(engine, version) is None
+        return self._expires_at(engine, version) is None
 
-    def _too_old_at(self, engine, version):
+    def _expires_at(self, engine, version):
         """Return when a version expires, None if no newer one is known."""
         key = engine.model, version
-        if key not in self._too_old_at_by_version:
-            self._too_old_at_by_version[key] = self.declared.too_old_at(
+        if key not in self._expires_at_by_version:
+            self._expires_at_by_version[key] = self.declared.expires_at(
                 engine.model, version, bound=self.version_bound
             )
-        return self._too_old_at_by_version[key]
+        return self._expires_at_by_version[key]
 
     def _has_weights(self, endpoint, engine, ask):
         if endpoint.loading:
--- a/hawthornspoke/placing/tests/playing.py
+++ b/hawthornspoke/placing/tests/playing.py
@@ -24,9 +24,9 @@
     slots=SLOTS,
     step=0.0101,
     step_per_request=0.00003,
-    steps_per_pass=7,
-    read_rate=20400.0,
-    usual_answer=98.0,
+    steps_per_prefill=7,
+    prefill_rate=20400.0,
+    mean_answer_tokens=98.0,
     layers=0,
 )
 
--- a/hawthornspoke/placing/tests/test_ask_cost.py
+++ b/hawthornspoke/placing/tests/test_ask_cost.py
@@ -84,7 +84,7 @@
     one after.
     """
     machine = known_fleet()
-    calls = counted(monkeypatch, DeclaredVersions, "too_old_at")
+    calls = counted(monkeypatch, DeclaredVersions, "expires_at")
     assert isinstance(ask(machine), Place)
     assert len(calls) == 1
 
--- a/hawthornspoke/placing/tests/test_declared.py
+++ b/hawthornspoke/placing/tests/test_declared.py
@@ -1,6 +1,6 @@
 """When declared versions take effect."""
 
-from hawthornspoke.catalog import UNKNOWN, DeclaredVersions, DeclaredWeights
+from hawthornspoke.catalog import UNKNOWN_TIME, DeclaredVersions, DeclaredWeights
 from hawthornspoke.placing import (
     Ask,
     Decline,
@@ -46,14 +46,14 @@
     may have been long ago.
     """
     machine = fleet(entry("one"))
-    declare(machine, TWO, at=UNKNOWN, now=10.0)
+    declare(machine, TWO, at=UNKNOWN_TIME, now=10.0)
     assert isinstance(select(machine, now=10.0), Decline)
 
 
 def test_agents_date_a_declaration_for_a_restarted_host():
     """The newly started host rejected requests that old weights could still serve."""
     machine = fleet(entry("one"))
-    declare(machine, TWO, at=UNKNOWN, now=10.0)
+    declare(machine, TWO, at=UNKNOWN_TIME, now=10.0)
     report_declaration(machine, declared_at=1.0, now=10.1)
     assert isinstance(select(machine, now=10.1), Decline)
     report_declaration(machine, declared_at=6.1, now=10.2)
@@ -73,15 +73,15 @@
 
 def test_repeated_declaration_only_refines_its_date():
     declared = DeclaredVersions()
-    assert declared.add(TWO, at=UNKNOWN)
+    assert declared.add(TWO, at=UNKNOWN_TIME)
     assert not declared.add(TWO, at=4.0)
     assert not declared.add(TWO, at=3.0)
     assert declared.since("m") == 4.0
     assert declared.add(THREE, at=9.0)
     assert not declared.add(TWO, at=11.0)
-    assert declared.too_old_at("m", 1, bound=8.0) == 12.0
-    assert declared.too_old_at("m", 2, bound=8.0) == 17.0
-    assert declared.too_old_at("m", 3, bound=8.0) is None
+    assert declared.expires_at("m", 1, bound=8.0) == 12.0
+    assert declared.expires_at("m", 2, bound=8.0) == 17.0
+    assert declared.expires_at("m", 3, bound=8.0) is None
 
 
 def test_declaration_age_includes_suspended_time():
@@ -134,9 +134,9 @@
     declared = DeclaredVersions()
     declared.add(DeclaredWeights(model="m", version=1), at=0.0)
     declared.add(THREE, at=25.0, known_until=20.0)
-    assert declared.too_old_at("m", 1, bound=8.0) == 28.0
-    assert declared.too_old_at("m", 2, bound=8.0) == 33.0
-    assert declared.dated("m", youngest=22.0) == [(3, 25.0)]
+    assert declared.expires_at("m", 1, bound=8.0) == 28.0
+    assert declared.expires_at("m", 2, bound=8.0) == 33.0
+    assert declared.declared_versions("m", declared_after=22.0) == [(3, 25.0)]
 
 
 def test_request_to_another_failure_domain_is_withdrawn_earlier():
--- a/hawthornspoke/placing/tests/test_fleet.py
+++ b/hawthornspoke/placing/tests/test_fleet.py
@@ -30,9 +30,9 @@
     slots=16,
     step=0.00673,
     step_per_request=0.0000219,
-    read_rate=30600.0,
-    usual_prompt=964.0,
-    usual_answer=119.0,
+    prefill_rate=30600.0,
+    mean_prompt_tokens=964.0,
+    mean_answer_tokens=119.0,
 )
 
 
--- a/hawthornspoke/placing/tests/test_herd.py
+++ b/hawthornspoke/placing/tests/test_herd.py
@@ -23,9 +23,9 @@
     slots=SLOTS,
     step=0.00673,
     step_per_request=0.0000219,
-    steps_per_pass=7,
-    read_rate=30600.0,
-    usual_answer=130.0,
+    steps_per_prefill=7,
+    prefill_rate=30600.0,
+    mean_answer_tokens=130.0,
     layers=0,
 )
 HOSTS = 34
--- a/hawthornspoke/placing/tests/test_reading.py
+++ b/hawthornspoke/placing/tests/test_reading.py
@@ -22,7 +22,7 @@
     """Return the time until the prefill of each prompt of an engine is complete."""
     free_at, waits = 0.0, []
     for arrived in sorted(arrivals):
-        free_at = max(free_at, arrived) + PROMPT / ENGINE.read_rate
+        free_at = max(free_at, arrived) + PROMPT / ENGINE.prefill_rate
         waits.append(free_at - arrived)
     return waits
 
--- a/hawthornspoke/protocol/_connection.py
+++ b/hawthornspoke/protocol/_connection.py
@@ -57,10 +57,10 @@
         """
         remaining = deadline - monotonic()
         if remaining <= 0:
-            return TOO_LATE.because(f"no time left to call {method}")
+            return TOO_LATE.with_reason(f"no time left to call {method}")
         if PARTITION.blocks(self.address):
             self.close()
-            return NOT_SENT.because(f"{self.address} is cut off")
+            return NOT_SENT.with_reason(f"{self.address} is cut off")
         opened = self._open(remaining)
         if is_failure(opened):
             return opened
@@ -72,13 +72,13 @@
             return failure
         remaining = deadline - monotonic()
         if remaining <= 0:
-            return TOO_LATE.because(f"no time left to call {method}")
+            return TOO_LATE.with_reason(f"no time left to call {method}")
         self._socket.setTimeout(remaining * 1000)
         try:
             return getattr(self._client, method)(*arguments)
         except (TException, OSError, EOFError) as error:
             self.close()
-            return REPLY_LOST.because(f"{method} at {self.address}: {error}")
+            return REPLY_LOST.with_reason(f"{method} at {self.address}: {error}")
 
     def close(self):
         """Close the connection; the next call opens a new one."""
@@ -95,7 +95,7 @@
         try:
             socket.open()
         except (TTransportException, OSError) as error:
-            return NOT_SENT.because(f"connect to {self.address}: {error}")
+            return NOT_SENT.with_reason(f"connect to {self.address}: {error}")
         transport = TFramedTransport(socket)
         protocol = PROTOCOL_FACTORY.getProtocol(transport)
         self._socket = socket
--- a/hawthornspoke/protocol/_server.py
+++ b/hawthornspoke/protocol/_server.py
@@ -7,7 +7,7 @@
 from thrift.transport.TSocket import TSocket
 from thrift.transport.TTransport import TFramedTransport
 
-from hawthornspoke.base import has_hung_up
+from hawthornspoke.base import is_closed_by_peer
 from hawthornspoke.protocol._codec import PROTOCOL_FACTORY
 from hawthornspoke.protocol._gen.Node import Processor
 
@@ -86,7 +86,7 @@
         bool
         """
         connection = getattr(_thread_state, "connection", None)
-        return connection is not None and has_hung_up(connection)
+        return connection is not None and is_closed_by_peer(connection)
 
     @staticmethod
     def caller_check():
@@ -100,7 +100,7 @@
             Returns whether the caller has closed its connection.
         """
         connection = getattr(_thread_state, "connection", None)
-        return lambda: connection is not None and has_hung_up(connection)
+        return lambda: connection is not None and is_closed_by_peer(connection)
 
     def _accept(self):
         while True:
--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -119,7 +119,7 @@
             message = Recheck(ask=ask, place=place)
             (decision,) = self._fleet.step(message, now=monotonic())
             if isinstance(decision, Decline):
-                return ENDPOINT_CHANGED.because(decision.reason)
+                return ENDPOINT_CHANGED.with_reason(decision.reason)
             failure = self._check_caller(context)
         if failure is None:
             return decision
@@ -169,13 +169,13 @@
 
     def _deny(self, status, reason):
         """Return a permanent refusal, or a temporary one if it can't be confirmed."""
-        if self._contact.may_deny(now=self.clock()):
+        if self._contact.may_reject(now=self.clock()):
             return status, reason, None
         return 503, f"{reason}_not_confirmed", UNCONFIRMED_RETRY_AFTER
 
 
 def _configuration_changed(part):
-    return CONFIGURATION_CHANGED.because(part, retry_after=CHANGED_RETRY_AFTER)
+    return CONFIGURATION_CHANGED.with_reason(part, retry_after=CHANGED_RETRY_AFTER)
 
 
 def _name_of(organisation):
--- a/hawthornspoke/relay/_agents.py
+++ b/hawthornspoke/relay/_agents.py
@@ -4,7 +4,7 @@
 import math
 import random
 
-from hawthornspoke.base import Failure, contact_clock, monotonic
+from hawthornspoke.base import Failure, boottime_clock, monotonic
 from hawthornspoke.catalog import Incarnation
 from hawthornspoke.peering import PeerConnection, connect
 from hawthornspoke.placing import AgentLost, EngineReported
@@ -52,7 +52,7 @@
         Called with an agent's address and the entry hosts that it sees.
     suspects : Suspects
         Exchanges evidence of poison requests with agents.
-    arrived_after : callable, default=contact_clock
+    earliest_arrival : callable, default=boottime_clock
         Returns a time after which the data being read now has arrived.
     """
 
@@ -66,7 +66,7 @@
         "_directive_for",
         "_on_entry_hosts",
         "_suspects",
-        "_arrived_after",
+        "_earliest_arrival",
         "_service_by_address",
         "_sent_by_address",
         "_followed_addresses",
@@ -85,7 +85,7 @@
         directive_for,
         on_entry_hosts,
         suspects,
-        arrived_after=contact_clock,
+        earliest_arrival=boottime_clock,
     ):
         self.port = port
         self._failure_domain = failure_domain
@@ -94,7 +94,7 @@
         self._directive_for = directive_for
         self._on_entry_hosts = on_entry_hosts
         self._suspects = suspects
-        self._arrived_after = arrived_after
+        self._earliest_arrival = earliest_arrival
         self._task_by_address = {}
         self._link_by_address = {}
         self._service_by_address = {}
@@ -271,11 +271,11 @@
             next_ready_at=ready_at,
             model=state.model or "",
             declared=_with_declaration_times(
-                state.declared or (), self._arrived_after()
+                state.declared or (), self._earliest_arrival()
             ),
             link_delay=(state.link_delay_ms or 0) / 1000,
-            incarnation=Incarnation.told(state.started_ms),
-            contact_now=contact_clock(),
+            incarnation=Incarnation.from_value(state.started_ms),
+            contact_now=boottime_clock(),
         )
         self._fleet.step(report, now=now)
 
--- a/hawthornspoke/relay/_contact.py
+++ b/hawthornspoke/relay/_contact.py
@@ -120,7 +120,7 @@
         """
         return self._confirmed_within(self.keys_valid_for, now)
 
-    def may_deny(self, *, now):
+    def may_reject(self, *, now):
         """Return whether an unknown key or route may be refused permanently.
 
         A key or a route may have been added since the last confirmation, and callers
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -129,8 +129,8 @@
         spent = (max_requested_ms - requested_ms) / 1000 if context.returned else 0.0
         context.objective_deadline = arrived - spent + context.route.objective
         context.resend_deadline = context.deadline
-        if context.route.event_patience is not None:
-            abandoned_at = min(context.deadline, arrived + context.route.event_patience)
+        if context.route.event_timeout is not None:
+            abandoned_at = min(context.deadline, arrived + context.route.event_timeout)
             context.resend_deadline = abandoned_at - MIN_RESEND_TIME
         tokens = context.request.get(self._dialect.tokens, "").partition(",")[0]
         context.prompt_tokens = int(tokens) if tokens.isdigit() else 0
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -4,7 +4,7 @@
 import random
 import signal
 
-from hawthornspoke.base import Standstill, Ticks, contact_clock, monotonic
+from hawthornspoke.base import StallDetector, Ticks, boottime_clock, monotonic
 from hawthornspoke.events import EventLog
 from hawthornspoke.httpio import ConnectionPool, HttpServer, OperatorPort
 from hawthornspoke.metrics import Metrics
@@ -70,7 +70,7 @@
         "timers",
         "suspects",
         "handler",
-        "standstill",
+        "stall_detector",
         "neighbours",
         "front",
         "sink",
@@ -102,7 +102,7 @@
             settings=settings,
             reported_entry_hosts=lambda: self.agents.entry_hosts(),
         )
-        self.timers = Timers(clock=contact_clock)
+        self.timers = Timers(clock=boottime_clock)
         self.suspects = Suspects(fleet=self.fleet, log=self.log, metrics=self.metrics)
         self._stop_deadline = None
         self._stopped = None
@@ -111,7 +111,7 @@
             fleet=self.fleet,
             contact=self.contact,
             suspects=self.suspects,
-            clock=contact_clock,
+            clock=boottime_clock,
         )
         self.handler = Handler(
             forwarder=Forwarder(
@@ -131,8 +131,8 @@
             log=self.log,
             metrics=self.metrics,
         )
-        self.standstill = Standstill(
-            on_woke=lambda seconds: self.log.change("stood_still", seconds=seconds)
+        self.stall_detector = StallDetector(
+            on_resume=lambda seconds: self.log.change("stood_still", seconds=seconds)
         )
         self.front = self._server(settings.front, self.handler)
         self.ready = self._server(settings.ready, self._handle_ready)
@@ -149,7 +149,7 @@
             suspects=self.suspects,
             log=self.log,
             metrics=self.metrics,
-            arrived_after=self.standstill.arrived_after,
+            earliest_arrival=self.stall_detector.earliest_arrival,
         )
         self.operator = self._server(
             f"{ip}:{settings.operator_port}",
@@ -183,7 +183,7 @@
             loop.create_task(self._supervise("housekeeping", self._housekeeping)),
             loop.create_task(self._supervise("summaries", self._log_counters)),
             loop.create_task(
-                self._supervise("standstill", lambda: self.standstill.run(ticks))
+                self._supervise("standstill", lambda: self.stall_detector.run(ticks))
             ),
             loop.create_task(self._supervise("timers", lambda: self.timers.run(ticks))),
         ]
@@ -226,7 +226,7 @@
         is_ready = not self.stopping and self.handler.catalog is not None
         # A host that is cut off from the platform must soon refuse all keys. The load
         # balancer directs its callers to other hosts, if any, before that.
-        is_ready = is_ready and self.contact.is_stable(now=contact_clock())
+        is_ready = is_ready and self.contact.is_stable(now=boottime_clock())
         reply.send(200 if is_ready else 503)
 
     def _dump(self):
@@ -236,7 +236,7 @@
             "stopping": self.stopping,
             "running": self.front.running(),
             "revision": getattr(self.handler.catalog, "revision", None),
-            "contact": self.contact.dump(now=contact_clock()),
+            "contact": self.contact.dump(now=boottime_clock()),
             "readers": self.neighbours.readers.dump(now=now),
             "fleet": self.fleet.dump(now=now),
             "budgets": self.budgets.dump(now=now),
@@ -324,7 +324,7 @@
             self.agents.set_followed(self.fleet.followed())
             self.budgets.update_reserves()
             self.suspects.sharing.rebalance()
-            is_stable = self.contact.is_stable(now=contact_clock())
+            is_stable = self.contact.is_stable(now=boottime_clock())
             self.front.draining = self.stopping or not is_stable
 
     async def _log_counters(self):
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -1,7 +1,7 @@
 """Applies the state that is read from the platform."""
 
-from hawthornspoke.base import contact_clock, monotonic
-from hawthornspoke.catalog import UNKNOWN, age_of
+from hawthornspoke.base import boottime_clock, monotonic
+from hawthornspoke.catalog import UNKNOWN_TIME, declaration_age
 from hawthornspoke.httpio import ServerLimits
 from hawthornspoke.peering import directive
 from hawthornspoke.placing import (
@@ -30,7 +30,7 @@
     suspects : Suspects
     log : EventLog
     metrics : Metrics
-    arrived_after : callable
+    earliest_arrival : callable
         See ``AgentLinks``.
 
     Attributes
@@ -69,7 +69,7 @@
         suspects,
         log,
         metrics,
-        arrived_after,
+        earliest_arrival,
     ):
         self.settings = settings
         self.log = log
@@ -84,7 +84,7 @@
             directive_for=self.directive_for,
             on_entry_hosts=neighbours.told,
             suspects=suspects,
-            arrived_after=arrived_after,
+            earliest_arrival=earliest_arrival,
         )
         self._fleet = fleet
         self._contact = contact
@@ -121,7 +121,7 @@
         listed = EndpointsListed(
             entries=tuple(entries),
             contact_regained_at=monotonic()
-            - (contact_clock() - self._contact.regained_at),
+            - (boottime_clock() - self._contact.regained_at),
         )
         before = {entry.endpoint_id: entry for entry in self.entries}
         self.entries = listed.entries
@@ -146,15 +146,17 @@
                 )
         self._update_agents()
 
-    def on_declared(self, declared, *, written_at=UNKNOWN, known_until=UNKNOWN):
+    def on_declared(
+        self, declared, *, written_at=UNKNOWN_TIME, known_until=UNKNOWN_TIME
+    ):
         """Apply declared weights.
 
         Parameters
         ----------
         declared : DeclaredWeights
-        written_at : float, default=UNKNOWN
+        written_at : float, default=UNKNOWN_TIME
             Time on the contact clock before which they were not declared.
-        known_until : float, default=UNKNOWN
+        known_until : float, default=UNKNOWN_TIME
             Time on the contact clock until which all declarations were known.
         """
         before = self._fleet.declared.latest(declared.model)
@@ -162,7 +164,7 @@
             declared=declared,
             at=written_at,
             known_until=known_until,
-            contact_now=contact_clock(),
+            contact_now=boottime_clock(),
         )
         self._fleet.step(message, now=monotonic())
         if self._fleet.declared.latest(declared.model) == before:
@@ -171,7 +173,7 @@
             "weights",
             model=declared.model,
             version=declared.version,
-            age=age_of(written_at, contact_clock()),
+            age=declaration_age(written_at, boottime_clock()),
             before=before,
         )
         self.agents.send_directives()
@@ -187,10 +189,13 @@
             declared.
         """
         self._fleet.step(WeightsDated(model=model, moments=moments), now=monotonic())
-        now = contact_clock()
+        now = boottime_clock()
         for version, at in moments:
             self.log.change(
-                "weights_dated", model=model, version=version, age=age_of(at, now)
+                "weights_dated",
+                model=model,
+                version=version,
+                age=declaration_age(at, now),
             )
         # Agents schedule by these times and report them to hosts that start later.
         self.agents.send_directives()
@@ -198,13 +203,13 @@
     def on_confirmed(self, at):
         """Record a response of the platform; ``at`` is on the contact clock."""
         self._log_contact_change(
-            self._contact.step(Confirmed(at=at), now=contact_clock()), "regained"
+            self._contact.step(Confirmed(at=at), now=boottime_clock()), "regained"
         )
 
     def on_contact_lost(self, reason):
         """Record that the platform could not be read."""
         self._log_contact_change(
-            self._contact.step(ReadFailed(reason=reason), now=contact_clock()), "lost"
+            self._contact.step(ReadFailed(reason=reason), now=boottime_clock()), "lost"
         )
 
     def directive_for(self, service):
@@ -218,7 +223,7 @@
         return directive(
             engine=engine,
             version=declared.latest(engine.model),
-            age=age_of(declared.since(engine.model), contact_clock()),
+            age=declaration_age(declared.since(engine.model), boottime_clock()),
             peers=self._peers(service),
             origin=next((origin for origin in origins if origin), None),
             bound=self.settings.version_bound,
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -85,7 +85,7 @@
         until = self.quarantine.refused_until(fingerprint, now=now)
         if until is None:
             return None
-        return QUARANTINED.because(fingerprint, retry_after=round(until - now, 1))
+        return QUARANTINED.with_reason(fingerprint, retry_after=round(until - now, 1))
 
     def record_answered(self, fingerprint):
         """Clear the evidence against a request that an endpoint answered."""
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -75,7 +75,7 @@
         )
         if isinstance(connection, Failure):
             self._end("unreachable")
-            return UNREACHABLE.because(connection.reason)
+            return UNREACHABLE.with_reason(connection.reason)
         self.connection = connection
         return None
 
@@ -133,10 +133,12 @@
                 return self._withdraw()
             self._end("silent")
             self.abort()
-            return SILENT.because(f"no response head within {response_timeout:.3f} s")
+            return SILENT.with_reason(
+                f"no response head within {response_timeout:.3f} s"
+            )
         if isinstance(head, Failure):
             self.fail()
-            return MAY_HAVE_RUN.because(f"{head.code}: {head.reason}")
+            return MAY_HAVE_RUN.with_reason(f"{head.code}: {head.reason}")
         self.head = head
         self._record_load(head)
         if head.status == MISDIRECTED or head.get(self._dialect.not_run) is not None:
@@ -158,7 +160,7 @@
         self._end("left")
         self.abort()
         version = self.place.weights_version
-        return WITHDRAWN.because(
+        return WITHDRAWN.with_reason(
             f"not started before weights version {version} expired"
         )
 
@@ -169,10 +171,12 @@
                 answer = await self.exchange.read_whole()
         except TimeoutError:
             self.fail()
-            return SILENT.because(f"incomplete response after {response_timeout:.3f} s")
+            return SILENT.with_reason(
+                f"incomplete response after {response_timeout:.3f} s"
+            )
         if isinstance(answer, Failure):
             self.fail()
-            return MAY_HAVE_RUN.because(f"{answer.code}: {answer.reason}")
+            return MAY_HAVE_RUN.with_reason(f"{answer.code}: {answer.reason}")
         return answer
 
     def done(self, *, is_success):
@@ -223,7 +227,7 @@
             self.abort()
         else:
             self._release()
-        return NOT_RUN.because(f"status {head.status}")
+        return NOT_RUN.with_reason(f"status {head.status}")
 
     def _release(self):
         place = self.place
--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -4,7 +4,7 @@
 import contextlib
 import socket
 
-from hawthornspoke.base import Ticks, contact_clock, monotonic
+from hawthornspoke.base import Ticks, boottime_clock, monotonic
 from hawthornspoke.catalog import (
     AT_MOST_ONCE,
     IDEMPOTENT,
@@ -257,7 +257,7 @@
         self.suspended = 0.0
 
     def __call__(self):
-        return contact_clock() + self.suspended
+        return boottime_clock() + self.suspended
 
     def suspend(self, seconds):
         """Simulate a suspension of the host."""
@@ -269,14 +269,14 @@
 
     def __init__(self, *endpoints, timeout=0.6, keys=None, confirmed=True, fleet=None):
         self.endpoints = endpoints
-        self.contact_clock = SuspendedClock()
+        self.boottime_clock = SuspendedClock()
         self.timeout = timeout
         self.keys = keys or {}
         self.dialect = Dialect()
         self.fleet = fleet or Fleet(failure_domain="a")
         self.contact = Contact()
         if confirmed:
-            now = self.contact_clock()
+            now = self.boottime_clock()
             self.contact.step(Confirmed(at=now), now=now)
         self.budget = RetryBudget()
         self.pool = StallingPool(id_header=self.dialect.request_id)
@@ -291,9 +291,9 @@
             fleet=self.fleet,
             contact=self.contact,
             suspects=self.suspects,
-            clock=self.contact_clock,
+            clock=self.boottime_clock,
         )
-        self.timers = Timers(clock=self.contact_clock)
+        self.timers = Timers(clock=self.boottime_clock)
         self.timer_task = asyncio.create_task(self.timers.run(Ticks()))
         forwarder = Forwarder(
             admission=admission,
@@ -389,7 +389,7 @@
                 priority=1,
                 public=not self.keys,
                 resumable=kind == STREAM,
-                event_patience=self.timeout if kind == STREAM else None,
+                event_timeout=self.timeout if kind == STREAM else None,
             )
             for name, kind, attempts in ROUTES
             if name not in without
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from hawthornspoke.base import contact_clock, monotonic
+from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.placing import EndpointsListed, EngineReported, WeightsDeclared
 from hawthornspoke.relay.tests.endpoint import (
@@ -121,7 +121,7 @@
     """
     check_not_sent(
         name,
-        lambda harness: harness.contact_clock.suspend(STALL_TIME),
+        lambda harness: harness.boottime_clock.suspend(STALL_TIME),
         timeout=SHORT_TIMEOUT,
     )
 
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("name", STALL_POINTS)
 def test_key_not_confirmed_since_before_a_suspension(name):
     """Guards against a request with a key last confirmed 9 s before."""
-    check_not_sent(name, lambda harness: harness.contact_clock.suspend(5.0))
+    check_not_sent(name, lambda harness: harness.boottime_clock.suspend(5.0))
 
 
 @pytest.mark.parametrize("name", STALL_POINTS)
@@ -213,7 +213,7 @@
 
     def declare(harness):
         declared = DeclaredWeights(model="m", version=2)
-        message = WeightsDeclared(declared=declared, at=contact_clock() - 20)
+        message = WeightsDeclared(declared=declared, at=boottime_clock() - 20)
         harness.fleet.step(message, now=monotonic())
 
     check_not_sent(name, declare)
@@ -295,7 +295,7 @@
         async with RelayHarness(target, timeout=SHORT_TIMEOUT) as harness:
 
             async def handle_late(request, reply):
-                harness.contact_clock.suspend(STALL_TIME)
+                harness.boottime_clock.suspend(STALL_TIME)
                 await harness.handler(request, reply)
 
             harness.server.handler = handle_late
@@ -383,7 +383,7 @@
     async def scenario():
         target = ScriptedEndpoint()
         async with RelayHarness(target, timeout=2.0) as harness:
-            harness.pool.actions.append(lambda: harness.contact_clock.suspend(1.5))
+            harness.pool.actions.append(lambda: harness.boottime_clock.suspend(1.5))
             assert (await harness.ask("once"))[0] == 200
             raw, _ = target.requests[0]
             assert int(field(raw, "X-Deadline-Ms")) <= 500
--- a/hawthornspoke/relay/tests/test_old_weights.py
+++ b/hawthornspoke/relay/tests/test_old_weights.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hawthornspoke.base import contact_clock, monotonic
+from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.catalog import Catalog, DeclaredWeights, EndpointEntry, Service
 from hawthornspoke.placing import Ask, Decline, Fleet, WeightsDeclared
 from hawthornspoke.relay.tests.endpoint import (
@@ -25,7 +25,7 @@
 def declare(harness, version):
     """Declare a version now; return the time when the bound of older ones ends."""
     declared = DeclaredWeights(model="m", version=version)
-    message = WeightsDeclared(declared=declared, at=contact_clock())
+    message = WeightsDeclared(declared=declared, at=boottime_clock())
     harness.fleet.step(message, now=monotonic())
     return monotonic() + BOUND
 
--- a/hawthornspoke/relay/tests/test_suspended.py
+++ b/hawthornspoke/relay/tests/test_suspended.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hawthornspoke.base import contact_clock, monotonic
+from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.placing import Fleet, WeightsDeclared
 from hawthornspoke.relay.tests.endpoint import (
@@ -29,7 +29,7 @@
         async with RelayHarness(ScriptedEndpoint(silent()), timeout=5.2) as harness:
             request_task = asyncio.create_task(harness.ask("once", read_time=8.0))
             await asyncio.sleep(0.2)
-            harness.contact_clock.suspend(5.0)
+            harness.boottime_clock.suspend(5.0)
             woke_at = monotonic()
             status, _, _, _ = await request_task
             assert status == 504
@@ -53,11 +53,11 @@
         fleet = Fleet(failure_domain="a", version_bound=3.0, version_margin=0.3)
         async with RelayHarness(engine, timeout=4.0, fleet=fleet) as harness:
             declared = DeclaredWeights(model="m", version=2)
-            message = WeightsDeclared(declared=declared, at=contact_clock())
+            message = WeightsDeclared(declared=declared, at=boottime_clock())
             harness.fleet.step(message, now=monotonic())
             request_task = asyncio.create_task(harness.ask("stream"))
             await asyncio.sleep(0.2)
-            harness.contact_clock.suspend(2.0)
+            harness.boottime_clock.suspend(2.0)
             status, _, _, _ = await request_task
             assert status == 502
             await asyncio.sleep(0.5)
@@ -72,7 +72,7 @@
         async with RelayHarness(engine, timeout=4.0) as harness:
             request_task = asyncio.create_task(harness.ask("stream"))
             await asyncio.sleep(0.1)
-            harness.contact_clock.suspend(2.0)
+            harness.boottime_clock.suspend(2.0)
             status, _, body, complete = await request_task
             assert (status, complete) == (200, True)
             assert body.count(b"id: ") == 2
@@ -85,11 +85,11 @@
 
     async def scenario():
         async with RelayHarness(ScriptedEndpoint(events([1])), timeout=2.0) as harness:
-            harness.contact_clock.suspend(1.5)
+            harness.boottime_clock.suspend(1.5)
             status, _, _, complete = await harness.ask("stream")
             assert (status, complete) == (200, True)
         async with RelayHarness(ScriptedEndpoint(answer()), timeout=2.0) as harness:
-            harness.contact_clock.suspend(1.5)
+            harness.boottime_clock.suspend(1.5)
             assert (await harness.ask("once"))[0] == 200
 
     asyncio.run(scenario())
--- a/hawthornspoke/report/__init__.py
+++ b/hawthornspoke/report/__init__.py
@@ -1,7 +1,7 @@
 """Reports on a fleet's activity over time, from the collected logs of all hosts."""
 
-from hawthornspoke.report._build import BoundUnknown, build_report
-from hawthornspoke.report._plot import NoPlots, plot_report
+from hawthornspoke.report._build import MissingBoundError, build_report
+from hawthornspoke.report._plot import PlotError, plot_report
 from hawthornspoke.report._text import as_json, as_text
 from hawthornspoke.report._types import (
     EngineCounts,
@@ -11,9 +11,9 @@
 )
 
 __all__ = [
-    "BoundUnknown",
     "EngineCounts",
-    "NoPlots",
+    "MissingBoundError",
+    "PlotError",
     "Report",
     "RequestCounts",
     "VersionRollout",
--- a/hawthornspoke/report/_build.py
+++ b/hawthornspoke/report/_build.py
@@ -19,7 +19,7 @@
 PLATFORM_CALLS_PATTERN = re.compile(r'platform_calls_total\{call="([^"]*)"\}')
 
 
-class BoundUnknown(ValueError):
+class MissingBoundError(ValueError):
     """The time for which older weights may begin to answer is not in the logs."""
 
 
@@ -43,7 +43,7 @@
     ------
     FileNotFoundError
         If a path does not exist.
-    BoundUnknown
+    MissingBoundError
         If the bound is neither given nor logged.
     """
     reader = EventReader(paths=paths)
@@ -85,7 +85,9 @@
         if event["event"] == "started" and _number(event, "version_bound") > 0
     ]
     if not bounds:
-        raise BoundUnknown("no 'started' event has version_bound; set it explicitly")
+        raise MissingBoundError(
+            "no 'started' event has version_bound; set it explicitly"
+        )
     return bounds[-1]
 
 
--- a/hawthornspoke/report/_plot.py
+++ b/hawthornspoke/report/_plot.py
@@ -7,7 +7,7 @@
 ENGINES = ("serving", "loading", "outdated", "empty", "silent")
 
 
-class NoPlots(Exception):
+class PlotError(Exception):
     """A report can't be plotted; the message tells why."""
 
 
@@ -22,15 +22,15 @@
 
     Raises
     ------
-    NoPlots
+    PlotError
         If the file has another extension, or matplotlib is not installed.
     """
     if file.suffix not in (".png", ".svg"):
-        raise NoPlots(f"{file}: expected a file that ends in .png or .svg")
+        raise PlotError(f"{file}: expected a file that ends in .png or .svg")
     try:
         from matplotlib.figure import Figure
     except ImportError as error:
-        raise NoPlots(
+        raise PlotError(
             "matplotlib is needed: pip install hawthornspoke[plot]"
         ) from error
     figure = Figure(figsize=FIGURE_SIZE, layout="constrained")
--- a/hawthornspoke/report/tests/test_report.py
+++ b/hawthornspoke/report/tests/test_report.py
@@ -5,8 +5,8 @@
 import pytest
 
 from hawthornspoke.report import (
-    BoundUnknown,
-    NoPlots,
+    MissingBoundError,
+    PlotError,
     as_json,
     as_text,
     build_report,
@@ -181,7 +181,7 @@
 
 
 def test_missing_bound_raises(fleet_report, tmp_path):
-    with pytest.raises(BoundUnknown, match="version_bound; set it explicitly"):
+    with pytest.raises(MissingBoundError, match="version_bound; set it explicitly"):
         build_report([tmp_path])
 
 
@@ -193,5 +193,5 @@
 
 
 def test_other_plot_file_types_are_rejected(fleet_report, tmp_path):
-    with pytest.raises(NoPlots, match="report.doc: expected a file"):
+    with pytest.raises(PlotError, match="report.doc: expected a file"):
         plot_report(fleet_report, tmp_path / "report.doc")
--- a/hawthornspoke/revision/__init__.py
+++ b/hawthornspoke/revision/__init__.py
@@ -1,19 +1,19 @@
 """Selection of the active configuration revision of a node, which never decreases."""
 
 from hawthornspoke.revision._holder import (
+    DocumentActivated,
     DocumentRead,
     FetchDocument,
-    Heard,
-    InForce,
+    RevisionAdvertised,
     RevisionHolder,
     TableRead,
 )
 
 __all__ = [
+    "DocumentActivated",
     "DocumentRead",
     "FetchDocument",
-    "Heard",
-    "InForce",
+    "RevisionAdvertised",
     "RevisionHolder",
     "TableRead",
 ]
--- a/hawthornspoke/revision/_holder.py
+++ b/hawthornspoke/revision/_holder.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Heard:
+class RevisionAdvertised:
     """A message from a peer carried a revision and the digest of its document.
 
     Parameters
@@ -32,13 +32,13 @@
     revision : int
         0 if no revision was ever accepted.
     digest : str
-    contact_asked_at : float, default=-inf
+    requested_at : float, default=-inf
         Time of the read request, on the clock that includes suspend time.
     """
 
     revision: int
     digest: str
-    contact_asked_at: float = float("-inf")
+    requested_at: float = float("-inf")
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class InForce:
+class DocumentActivated:
     """A document became the active configuration of the node."""
 
     revision: int
@@ -93,7 +93,7 @@
     passed, in which the most recent of all peers has been heard.
 
     A partitioned node continues with the configuration that it holds. Entries missing
-    from it may have been added since, so :meth:`may_deny` checks the time of the last
+    from it may have been added since, so :meth:`may_reject` checks the time of the last
     table read on each call.
 
     Every message that the node sends carries the highest revision *heard*, even before
@@ -133,12 +133,12 @@
         self._confirmed_at = float("-inf")
         self._grace_deadline = None
 
-    def on_heard(self, message, *, now):
+    def on_revision_advertised(self, message, *, now):
         """Process a revision sent by a peer.
 
         Parameters
         ----------
-        message : Heard
+        message : RevisionAdvertised
         now : float
 
         Returns
@@ -169,7 +169,7 @@
             # A table restored from an old backup must not revert the fleet.
             self.refused_lower += 1
             return []
-        self._confirmed_at = max(self._confirmed_at, message.contact_asked_at)
+        self._confirmed_at = max(self._confirmed_at, message.requested_at)
         return self._consider(message.revision, message.digest, "")
 
     def on_document_read(self, message, *, now):
@@ -182,7 +182,7 @@
 
         Returns
         -------
-        list of InForce
+        list of DocumentActivated
         """
         if message.document is None or message.digest != self.heard_digest:
             return []
@@ -192,10 +192,12 @@
         self.digest = message.digest
         self.document = message.document
         return [
-            InForce(revision=self.revision, digest=self.digest, document=self.document)
+            DocumentActivated(
+                revision=self.revision, digest=self.digest, document=self.document
+            )
         ]
 
-    def wanted(self):
+    def missing_document(self):
         """Return the fetch for the newest known document, if it is missing.
 
         Returns
@@ -224,12 +226,12 @@
         grace_passed = self._grace_deadline is not None and now >= self._grace_deadline
         return self._confirmed or grace_passed
 
-    def may_deny(self, *, binds_after, contact_now):
+    def may_reject(self, *, propagation_bound, contact_now):
         """Return whether requests for missing entries may be rejected permanently.
 
         Parameters
         ----------
-        binds_after : float
+        propagation_bound : float
             Seconds within which an accepted revision has to be active.
         contact_now : float
             Current time, on the clock that includes suspend time.
@@ -242,7 +244,7 @@
             missing.
         """
         is_newest = self.document is not None and self.revision == self.heard_revision
-        return is_newest and contact_now < self._confirmed_at + binds_after
+        return is_newest and contact_now < self._confirmed_at + propagation_bound
 
     def dump(self, *, now):
         """Return the state as plain data.
--- a/hawthornspoke/revision/tests/test_may_deny.py
+++ b/hawthornspoke/revision/tests/test_may_deny.py
@@ -1,6 +1,11 @@
 """Entries missing from a configuration are rejected only after a recent table read."""
 
-from hawthornspoke.revision import DocumentRead, Heard, RevisionHolder, TableRead
+from hawthornspoke.revision import (
+    DocumentRead,
+    RevisionAdvertised,
+    RevisionHolder,
+    TableRead,
+)
 
 #: Seconds within which an accepted revision has to be active.
 BINDS_AFTER = 5.0
@@ -9,14 +14,14 @@
 def create_holder(*, asked_at=100.0):
     """Return a holder of revision 3, read from the table."""
     holder = RevisionHolder()
-    read = TableRead(revision=3, digest="d3", contact_asked_at=asked_at)
+    read = TableRead(revision=3, digest="d3", requested_at=asked_at)
     holder.step(read, now=0.0)
     holder.step(DocumentRead(digest="d3", document={}), now=0.1)
     return holder
 
 
-def may_deny(holder, contact_now):
-    return holder.may_deny(binds_after=BINDS_AFTER, contact_now=contact_now)
+def may_reject(holder, contact_now):
+    return holder.may_reject(propagation_bound=BINDS_AFTER, contact_now=contact_now)
 
 
 def test_partitioned_host_rejects_nothing_permanently():
@@ -27,48 +32,48 @@
     keys forever.
     """
     holder = create_holder()
-    assert may_deny(holder, 104.9)
-    assert not may_deny(holder, 105.0)
+    assert may_reject(holder, 104.9)
+    assert not may_reject(holder, 105.0)
     assert holder.confirmed(now=1000.0)
 
 
 def test_host_that_reads_the_table_again_may_reject_again():
     holder = create_holder()
-    read = TableRead(revision=3, digest="d3", contact_asked_at=200.0)
+    read = TableRead(revision=3, digest="d3", requested_at=200.0)
     holder.step(read, now=100.0)
-    assert may_deny(holder, 204.0)
+    assert may_reject(holder, 204.0)
 
 
 def test_table_read_counts_from_its_request():
     """A delayed response must not count from the time at which it arrived."""
     holder = create_holder(asked_at=200.0)
-    late = TableRead(revision=3, digest="d3", contact_asked_at=190.0)
+    late = TableRead(revision=3, digest="d3", requested_at=190.0)
     holder.step(late, now=100.0)
-    assert may_deny(holder, 204.0)
-    assert not may_deny(create_holder(asked_at=190.0), 196.0)
+    assert may_reject(holder, 204.0)
+    assert not may_reject(create_holder(asked_at=190.0), 196.0)
 
 
 def test_newer_revision_without_document_prevents_rejection():
     """The newer revision may have added the key."""
     holder = create_holder()
-    holder.step(Heard(revision=4, digest="d4", source="p"), now=0.2)
-    assert not may_deny(holder, 101.0)
+    holder.step(RevisionAdvertised(revision=4, digest="d4", source="p"), now=0.2)
+    assert not may_reject(holder, 101.0)
     holder.step(DocumentRead(digest="d4", document={}), now=0.3)
-    assert may_deny(holder, 101.0)
+    assert may_reject(holder, 101.0)
 
 
 def test_peers_alone_do_not_allow_rejection():
     """Peers in the same partition agree with each other."""
     holder = RevisionHolder()
-    holder.step(Heard(revision=3, digest="d3", source="p"), now=0.0)
+    holder.step(RevisionAdvertised(revision=3, digest="d3", source="p"), now=0.0)
     holder.step(DocumentRead(digest="d3", document={}), now=0.1)
     assert holder.confirmed(now=10.0)
-    assert not may_deny(holder, 10.0)
+    assert not may_reject(holder, 10.0)
 
 
 def test_table_restored_from_backup_does_not_allow_rejection():
     """A row from an old backup doesn't tell what was accepted since."""
     holder = create_holder()
-    read = TableRead(revision=2, digest="d2", contact_asked_at=200.0)
+    read = TableRead(revision=2, digest="d2", requested_at=200.0)
     holder.step(read, now=100.0)
-    assert not may_deny(holder, 201.0)
+    assert not may_reject(holder, 201.0)
--- a/hawthornspoke/revision/tests/test_never_lower.py
+++ b/hawthornspoke/revision/tests/test_never_lower.py
@@ -2,7 +2,12 @@
 
 from hypothesis import given, settings, strategies as st
 
-from hawthornspoke.revision import DocumentRead, Heard, RevisionHolder, TableRead
+from hawthornspoke.revision import (
+    DocumentRead,
+    RevisionAdvertised,
+    RevisionHolder,
+    TableRead,
+)
 
 RUNS = settings(max_examples=300, deadline=None, derandomize=True)
 REVISIONS = st.integers(1, 6)
@@ -13,7 +18,9 @@
 
 
 MESSAGES = st.one_of(
-    REVISIONS.map(lambda n: Heard(revision=n, digest=_digest(n), source="p")),
+    REVISIONS.map(
+        lambda n: RevisionAdvertised(revision=n, digest=_digest(n), source="p")
+    ),
     REVISIONS.map(lambda n: TableRead(revision=n, digest=_digest(n))),
     REVISIONS.map(lambda n: DocumentRead(digest=_digest(n), document={"n": n})),
     REVISIONS.map(lambda n: DocumentRead(digest=_digest(n), document=None)),
--- a/hawthornspoke/routing/_router.py
+++ b/hawthornspoke/routing/_router.py
@@ -216,7 +216,7 @@
             view for view in message.endpoints if view.node not in message.excluded
         ]
         if not endpoints:
-            failure = NO_ENDPOINT.because(
+            failure = NO_ENDPOINT.with_reason(
                 self._rejection_reason(message), retry_after=1.0
             )
             return [Unroutable(failure=failure)]
--- a/hawthornspoke/settings/_settings.py
+++ b/hawthornspoke/settings/_settings.py
@@ -121,9 +121,11 @@
             full_key = prefix + name
             if full_key in self.values:
                 value = self.values.pop(full_key)
-                complaint = key.bounds.complaint(value)
-                if complaint:
-                    self._add_failure(self.source_by_key[full_key], full_key, complaint)
+                error_message = key.bounds.error_message(value)
+                if error_message:
+                    self._add_failure(
+                        self.source_by_key[full_key], full_key, error_message
+                    )
                 collected[name] = value
             elif key.default is REQUIRED:
                 accepted = key.bounds.describe()
@@ -137,7 +139,7 @@
         self.source_by_key[key] = source
 
     def _add_failure(self, source, key, reason):
-        self.failures.append(BAD_SETTING.because(f"{source}: {key}: {reason}"))
+        self.failures.append(BAD_SETTING.with_reason(f"{source}: {key}: {reason}"))
 
 
 def _parse_value(text):
--- a/hawthornspoke/spread/_delivery.py
+++ b/hawthornspoke/spread/_delivery.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from hawthornspoke.base import Failure, contact_clock, is_failure
+from hawthornspoke.base import Failure, boottime_clock, is_failure
 from hawthornspoke.spread._exchange import PieceExchange
 from hawthornspoke.spread._installer import Installer
 from hawthornspoke.spread._manifests import Manifests
@@ -113,7 +113,7 @@
     def step(self, message):
         """Step the upgrade machine and carry out its outcomes."""
         # On the clock that includes suspension, as a version's bound runs on then too.
-        for outcome in self.upgrade.step(message, now=contact_clock()):
+        for outcome in self.upgrade.step(message, now=boottime_clock()):
             if isinstance(outcome, StartTransfer):
                 self._start_task(f"get {outcome.version}", self._fetch_version(outcome))
             elif isinstance(outcome, CancelTransfer):
@@ -229,7 +229,7 @@
             await self._observe_engine()
 
     def _is_order_valid(self, version):
-        return self.upgrade.is_order_valid(version, now=contact_clock())
+        return self.upgrade.is_order_valid(version, now=boottime_clock())
 
     def _drop(self, version):
         task = self._tasks.get(f"get {version}")
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -4,8 +4,13 @@
 import copy
 import random
 
-from hawthornspoke.base import contact_clock, is_failure, monotonic
-from hawthornspoke.catalog import UNKNOWN, DeclaredVersions, DeclaredWeights, age_of
+from hawthornspoke.base import boottime_clock, is_failure, monotonic
+from hawthornspoke.catalog import (
+    UNKNOWN_TIME,
+    DeclaredVersions,
+    DeclaredWeights,
+    declaration_age,
+)
 from hawthornspoke.peering import is_usable
 from hawthornspoke.protocol import DeclaredAge, DirectiveAsk, Frame
 from hawthornspoke.spread._peers import Peer
@@ -48,7 +53,7 @@
     read_alone : coroutine function
         See ``Agent``.
     log : EventLog
-    arrived_after : callable
+    earliest_arrival : callable
         Returns a lower bound of the time at which data read now arrived.
 
     Attributes
@@ -65,12 +70,12 @@
         "_entry_links",
         "_read_alone",
         "_log",
-        "_arrived_after",
+        "_earliest_arrival",
         "_directive",
     )
 
     def __init__(
-        self, *, settings, delivery, entry_links, read_alone, log, arrived_after
+        self, *, settings, delivery, entry_links, read_alone, log, earliest_arrival
     ):
         self.declared = DeclaredVersions()
         self._settings = settings
@@ -80,7 +85,7 @@
         self._entry_links = entry_links
         self._read_alone = read_alone
         self._log = log
-        self._arrived_after = arrived_after
+        self._earliest_arrival = earliest_arrival
         self._directive = None
 
     def receive(self, link, directive):
@@ -161,7 +166,9 @@
         current = copy.copy(self._directive)
         if current is not None:
             current.weights_version = self._upgrade.next_version()
-            age = age_of(self.declared.since(self._delivery.model), contact_clock())
+            age = declaration_age(
+                self.declared.since(self._delivery.model), boottime_clock()
+            )
             current.age_ms = None if age is None else int(1000 * age)
             current.peers = None
         link.send(Frame(call=-frame.call, directive=current))
@@ -172,15 +179,15 @@
         An entry host that has just started needs them. Versions whose bound has passed
         need no age.
         """
-        now = contact_clock()
-        youngest = now - self._upgrade.version_bound - REPORT_BEYOND_BOUND
+        now = boottime_clock()
+        declared_after = now - self._upgrade.version_bound - REPORT_BEYOND_BOUND
         return [
             DeclaredAge(
                 version=version,
                 age_ms=int(1000 * (now - at + self._entry_links.delay())),
             )
-            for version, at in self.declared.dated(
-                self._delivery.model, youngest=youngest
+            for version, at in self.declared.declared_versions(
+                self._delivery.model, declared_after=declared_after
             )
         ]
 
@@ -213,20 +220,20 @@
         self._apply_version(directive)
 
     def _apply_version(self, directive):
-        arrived_after = self._arrived_after()
+        earliest_arrival = self._earliest_arrival()
         version = directive.weights_version
         age = None if directive.age_ms is None else directive.age_ms / 1000
         before = self._upgrade.next_version()
         self.declared.add(
             DeclaredWeights(model=directive.model, version=version),
-            at=UNKNOWN
+            at=UNKNOWN_TIME
             if age is None
-            else arrived_after - age - self._entry_links.delay(),
-            heard_by=contact_clock(),
+            else earliest_arrival - age - self._entry_links.delay(),
+            report_received_at=boottime_clock(),
         )
         message = VersionDeclared(
             version=version,
-            at=arrived_after - (age or 0.0),
+            at=earliest_arrival - (age or 0.0),
             is_dated=age is not None,
         )
         self._delivery.step(message)
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -168,7 +168,7 @@
         """
         peer = self._peers.peer_by_name.get(node)
         if peer is None:
-            return CLOSED.because(f"{node} is no longer a peer")
+            return CLOSED.with_reason(f"{node} is no longer a peer")
         return await self.ask_at(peer.address, frame, timeout=timeout)
 
     async def ask_at(self, address, frame, *, timeout):
--- a/hawthornspoke/spread/_fetches.py
+++ b/hawthornspoke/spread/_fetches.py
@@ -138,7 +138,7 @@
                     self.origin_address, weights.model, weights.version, fetch.index
                 )
         except TimeoutError:
-            data = ORIGIN_FAILED.because("the origin did not respond in time")
+            data = ORIGIN_FAILED.with_reason("the origin did not respond in time")
         if isinstance(data, Failure):
             self._log.decision("origin_failed", piece=fetch.index, reason=data.reason)
             self._fail(fetch, "failed")
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hawthornspoke.base import Failure, contact_clock, is_failure
+from hawthornspoke.base import Failure, boottime_clock, is_failure
 
 #: Maximum concurrent calls to the engine, which is on the same host.
 MAX_CONCURRENT_CALLS = 4
@@ -162,7 +162,7 @@
             failure = await self._stage_all(weights)
             if failure is not None:
                 return failure
-            verified_until = contact_clock() + VERIFICATION_TTL
+            verified_until = boottime_clock() + VERIFICATION_TTL
             try:
                 self._on_order_pending(True)
                 await asyncio.sleep(NOTICE_DELAY)
@@ -188,7 +188,7 @@
             )
             if len(self._staged) == len(weights.digests):
                 return None
-        return STAGE_FAILED.because(
+        return STAGE_FAILED.with_reason(
             f"only {len(self._staged)} of {len(weights.digests)} pieces are staged"
         )
 
@@ -211,7 +211,7 @@
         if _has_restarted(initial, before):
             return ENGINE_RESTARTED
         if before.busy:
-            return ORDER_FAILED.because("another order is in progress")
+            return ORDER_FAILED.with_reason("another order is in progress")
         failure = self._check_order(is_order_valid, verified_until)
         if failure is not None:
             self._log.change(
@@ -235,9 +235,9 @@
         # since the install was planned, and an engine that loads expired weights
         # serves nothing until it has switched again.
         if not is_order_valid():
-            return ORDER_FAILED.because("the version was superseded or has expired")
-        if contact_clock() >= verified_until:
-            return PROCESS_STALLED.because("the pieces must be verified again")
+            return ORDER_FAILED.with_reason("the version was superseded or has expired")
+        if boottime_clock() >= verified_until:
+            return PROCESS_STALLED.with_reason("the pieces must be verified again")
         return None
 
     async def _wait_until_loaded(self, weights, before, result):
@@ -259,7 +259,7 @@
             if is_failure(result) and loop.time() >= start_deadline:
                 break
             await asyncio.sleep(POLL_INTERVAL)
-        return ORDER_FAILED.because(str(result))
+        return ORDER_FAILED.with_reason(str(result))
 
     async def _for_each(self, indices, call):
         semaphore = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -90,7 +90,7 @@
         if is_failure(digests):
             return digests
         if not all(DIGEST.fullmatch(digest) for digest in digests):
-            return ORIGIN_FAILED.because("the manifest contains a malformed digest")
+            return ORIGIN_FAILED.with_reason("the manifest contains a malformed digest")
         self._digests_by_name[name] = digests
         self._misses_by_name.pop(name, None)
         self._received.set()
@@ -168,6 +168,6 @@
     async def _read_origin(self, model, version):
         address = self._exchange.origin_address
         if address is None:
-            return NOT_KNOWN.because("no directive has named an origin")
+            return NOT_KNOWN.with_reason("no directive has named an origin")
         self._log.decision("manifest", version=version, origin=address)
         return await self._origin.manifest(address, model, version)
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -5,9 +5,9 @@
 import signal
 
 from hawthornspoke.base import (
-    Standstill,
+    StallDetector,
     Ticks,
-    contact_clock,
+    boottime_clock,
     is_failure,
     monotonic,
 )
@@ -61,7 +61,7 @@
         "entry_links",
         "evidence_links",
         "directives",
-        "standstill",
+        "stall_detector",
         "operator",
         "_snapshot",
         "_incarnation",
@@ -93,8 +93,8 @@
             failure_domain=settings.failure_domain, spawn=self.exchange.spawn
         )
         self.evidence_links = EvidenceLinks()
-        self.standstill = Standstill(
-            on_woke=lambda seconds: self.log.change("stood_still", seconds=seconds)
+        self.stall_detector = StallDetector(
+            on_resume=lambda seconds: self.log.change("stood_still", seconds=seconds)
         )
         self.directives = Directives(
             settings=settings,
@@ -102,7 +102,7 @@
             entry_links=self.entry_links,
             read_alone=read_alone,
             log=self.log,
-            arrived_after=self.standstill.arrived_after,
+            earliest_arrival=self.stall_detector.earliest_arrival,
         )
         self.operator = HttpServer(
             host=settings.ip,
@@ -157,7 +157,7 @@
         await self.operator.start()
         ticks = Ticks()
         loops = [
-            self.standstill.run(ticks),
+            self.stall_detector.run(ticks),
             self._watch_engine(ticks),
             self._log_summaries(ticks),
             self.entry_links.probe(ticks),
@@ -242,7 +242,7 @@
     async def _observe_engine(self):
         self._observations_started += 1
         number = self._observations_started
-        requested_at = contact_clock()
+        requested_at = boottime_clock()
         observed = await self.engine.snapshot()
         if number < self._latest_observation:
             # Responses on two connections can arrive out of order. A late one may
@@ -289,7 +289,7 @@
         return self._snapshot is not None and self._snapshot.running > 0
 
     def _report_state(self):
-        if contact_clock() >= self._observed_at + STATE_TTL:
+        if boottime_clock() >= self._observed_at + STATE_TTL:
             # After a suspension, frames of entry hosts are read before the engine is
             # observed again. They would take the outdated load and weights for current
             # ones; the next observation reports the actual state.
@@ -302,7 +302,7 @@
             address=self.settings.engine_address,
             model=self.delivery.model,
             upgrade=self.upgrade,
-            contact_now=contact_clock(),
+            contact_now=boottime_clock(),
             order_pending=self._order_pending,
             links=self.entry_links,
             ages=self.directives.declared_ages(),
@@ -325,7 +325,7 @@
             "node": self.settings.node,
             "engine": str(self._snapshot),
             "entry_hosts": len(self.entry_links),
-            "upgrade": self.upgrade.dump(now=contact_clock()),
+            "upgrade": self.upgrade.dump(now=boottime_clock()),
             "link": self.entry_links.link.dump(now=now),
             "swarm": self.exchange.swarm.dump(now=now),
             "evidence": self.evidence_links.exchange.dump(now=now),
--- a/hawthornspoke/spread/_uploads.py
+++ b/hawthornspoke/spread/_uploads.py
@@ -3,7 +3,7 @@
 import asyncio
 import collections
 
-from hawthornspoke.base import contact_clock
+from hawthornspoke.base import boottime_clock
 
 #: Bytes written at once. On the narrowest known link (456 KB/s) a slice takes 9 ms,
 #: which is the longest that an event of a live stream waits behind a piece.
@@ -66,7 +66,7 @@
 
     def put(self, link, frame):
         """Queue a frame for a peer."""
-        self._waiting.append((link, frame, contact_clock() + PIECE_TIMEOUT))
+        self._waiting.append((link, frame, boottime_clock() + PIECE_TIMEOUT))
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._send_all())
 
@@ -81,7 +81,7 @@
         next_send_at = loop.time()
         while self._waiting:
             link, frame, deadline = self._waiting.popleft()
-            if contact_clock() >= deadline:
+            if boottime_clock() >= deadline:
                 # The peer has given up on it; sending it would only delay later pieces.
                 continue
             data = memoryview(link.encode(frame))
--- a/hawthornspoke/spread/tests/test_after_a_wait.py
+++ b/hawthornspoke/spread/tests/test_after_a_wait.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from hawthornspoke.base import contact_clock
+from hawthornspoke.base import boottime_clock
 from hawthornspoke.catalog import EngineProfile, Incarnation
 from hawthornspoke.peering import connect, directive
 from hawthornspoke.protocol import Chunk, Frame
@@ -66,7 +66,7 @@
 
 
 class Suspension:
-    """Simulates suspension of the host, which only ``contact_clock`` includes."""
+    """Simulates suspension of the host, which only ``boottime_clock`` includes."""
 
     def __init__(self, monkeypatch):
         self.seconds = 0.0
@@ -210,7 +210,7 @@
                 link.send(frame)
                 await asyncio.sleep(0.1)
             other, _, frame = await connect_entry_host(hosts, age=1.0)
-            sent_at = contact_clock()
+            sent_at = boottime_clock()
             other.send(frame)
             time.sleep(1.0)
             await asyncio.sleep(0.1)
--- a/hawthornspoke/store/_hosts.py
+++ b/hawthornspoke/store/_hosts.py
@@ -68,11 +68,11 @@
         if response.status == 304:
             return self._entries
         if response.status != 200:
-            return UNAVAILABLE.because(f"host list returned HTTP {response.status}")
+            return UNAVAILABLE.with_reason(f"host list returned HTTP {response.status}")
         try:
             entries = _parse_entries(json.loads(response.data))
         except (ValueError, KeyError, TypeError, IndexError) as error:
-            return UNAVAILABLE.because(f"cannot parse host list: {error!r}")
+            return UNAVAILABLE.with_reason(f"cannot parse host list: {error!r}")
         self._etag = response.headers.get("ETag")
         self._entries = entries
         return entries
--- a/hawthornspoke/store/_http.py
+++ b/hawthornspoke/store/_http.py
@@ -50,7 +50,7 @@
             been sent but no response was received.
         """
         if PARTITION.blocks(self._host):
-            return UNAVAILABLE.because(
+            return UNAVAILABLE.with_reason(
                 f"{self.url} is blocked by a simulated network partition",
                 retry_after=1.0,
             )
@@ -71,8 +71,8 @@
             urllib3.exceptions.ConnectTimeoutError,
         ) as error:
             reason = f"{self.url}: {error}"
-            return UNAVAILABLE.because(reason, retry_after=RETRY_AFTER_SECONDS)
+            return UNAVAILABLE.with_reason(reason, retry_after=RETRY_AFTER_SECONDS)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            return UNSURE.because(
+            return UNSURE.with_reason(
                 f"{self.url}: {error}", retry_after=RETRY_AFTER_SECONDS
             )
--- a/hawthornspoke/store/_objects.py
+++ b/hawthornspoke/store/_objects.py
@@ -40,7 +40,7 @@
         if is_failure(response):
             return response
         if response.status >= 300:
-            return UNAVAILABLE.because(
+            return UNAVAILABLE.with_reason(
                 f"{key}: HTTP {response.status}", retry_after=1.0
             )
         return None
@@ -61,9 +61,9 @@
         if is_failure(response):
             return response
         if response.status == 404:
-            return NOT_FOUND.because(key)
+            return NOT_FOUND.with_reason(key)
         if response.status != 200:
-            return UNAVAILABLE.because(
+            return UNAVAILABLE.with_reason(
                 f"{key}: HTTP {response.status}", retry_after=1.0
             )
         return response.data
--- a/hawthornspoke/store/_origin.py
+++ b/hawthornspoke/store/_origin.py
@@ -60,9 +60,9 @@
     if is_failure(response):
         return response
     if response.status == 404:
-        return NOT_FOUND.because(f"origin has no source {source!r}")
+        return NOT_FOUND.with_reason(f"origin has no source {source!r}")
     if response.status not in expected_statuses:
-        return UNAVAILABLE.because(
+        return UNAVAILABLE.with_reason(
             f"origin returned HTTP {response.status} for {source!r}"
         )
     return response.data
--- a/hawthornspoke/store/_table.py
+++ b/hawthornspoke/store/_table.py
@@ -95,11 +95,11 @@
         if is_failure(response):
             # A read has no side effects, so a lost response only means that the table
             # is unavailable.
-            return UNAVAILABLE.because(
+            return UNAVAILABLE.with_reason(
                 response.reason, retry_after=response.retry_after
             )
         if "Item" not in response:
-            return NOT_FOUND.because(f"row {key!r} does not exist")
+            return NOT_FOUND.with_reason(f"row {key!r} does not exist")
         return {
             name: _decode_attribute(value) for name, value in response["Item"].items()
         }
@@ -170,11 +170,13 @@
     error = _parse_json(response.data, None) or {}
     error_type = str(error.get("__type", ""))
     if any(name in error_type for name in CONFLICT_ERRORS):
-        return CONFLICT.because(str(error.get("message", "")))
+        return CONFLICT.with_reason(str(error.get("message", "")))
     if response.status >= 500 and "Unavailable" not in error_type:
         # The write may have been applied before the internal error occurred.
-        return UNSURE.because(f"table returned HTTP {response.status}", retry_after=1.0)
-    return UNAVAILABLE.because(
+        return UNSURE.with_reason(
+            f"table returned HTTP {response.status}", retry_after=1.0
+        )
+    return UNAVAILABLE.with_reason(
         f"table returned HTTP {response.status}", retry_after=1.0
     )
 
@@ -186,7 +188,7 @@
         return (
             failure
             if failure is None
-            else failure.because("response is not valid JSON")
+            else failure.with_reason("response is not valid JSON")
         )
 
 
--- a/hawthornspoke/swarm/_store.py
+++ b/hawthornspoke/swarm/_store.py
@@ -55,7 +55,7 @@
             free = self.capacity - self._reserved()
             if manifest.size > free:
                 reason = f"{manifest.size} bytes wanted, {free} free"
-                return NO_MEMORY.because(reason)
+                return NO_MEMORY.with_reason(reason)
             self._held_by_digest[manifest.digest] = _HeldWeights(manifest=manifest)
         return None
 
@@ -76,9 +76,11 @@
         """
         held = self._held_by_digest.get(digest)
         if held is None or not 0 <= index < len(held.manifest.chunks):
-            return CORRUPT.because(f"unexpected chunk {index} of {digest[:12]}")
+            return CORRUPT.with_reason(f"unexpected chunk {index} of {digest[:12]}")
         if digest_of(data) != held.manifest.chunks[index]:
-            return CORRUPT.because(f"digest mismatch in chunk {index} of {digest[:12]}")
+            return CORRUPT.with_reason(
+                f"digest mismatch in chunk {index} of {digest[:12]}"
+            )
         with self._lock:
             held.chunk_by_index[index] = data
         return None
--- a/hawthornspoke/web/_types.py
+++ b/hawthornspoke/web/_types.py
@@ -2,7 +2,7 @@
 
 import json
 
-from hawthornspoke.base import has_hung_up
+from hawthornspoke.base import is_closed_by_peer
 
 
 class Request:
@@ -51,7 +51,7 @@
         -------
         bool
         """
-        return self.connection is not None and has_hung_up(self.connection)
+        return self.connection is not None and is_closed_by_peer(self.connection)
 
 
 class Response:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -146,10 +146,10 @@
     Mutation(
         name="stale submits are run",
         file="protocol/_server.py",
-        old="return connection is not None and has_hung_up(connection)",
+        old="return connection is not None and is_closed_by_peer(connection)",
         new="return False",
         also=(
-            "return lambda: connection is not None and has_hung_up(connection)",
+            "return lambda: connection is not None and is_closed_by_peer(connection)",
             "return lambda: False",
         ),
         test="tests/test_promise_leaving.py -k frozen",
@@ -364,7 +364,7 @@
     Mutation(
         name="after a wait: small calls are sent late",
         file="httpio/_fetch.py",
-        old="            if contact_clock() >= deadline or not connection.is_open:",
+        old="            if boottime_clock() >= deadline or not connection.is_open:",
         new="            if not connection.is_open:",
         test="hawthornspoke/httpio/tests/test_after_a_wait.py -k its_deadline",
     ),
