--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -34,7 +34,7 @@
     Mutation(
         name="better of two random engines",
         file="placing/_choice.py",
-        old="pair = self._chance.sample(among, min(2, len(among)))",
+        old="pair = self._prng.sample(among, min(2, len(among)))",
         new="pair = among",
     ),
     Mutation(
@@ -46,14 +46,14 @@
     Mutation(
         name="prompts that are yet to be read",
         file="placing/_predict.py",
-        old="        + endpoint.reading.left(now)\n",
+        old="        + endpoint.prefill_work.left(now)\n",
         new="",
     ),
     Mutation(
         name="cost of taken slots",
         file="placing/_choice.py",
-        old="FULL_COST = 0.15",
-        new="FULL_COST = 0.0",
+        old="OCCUPANCY_COST = 0.15",
+        new="OCCUPANCY_COST = 0.0",
     ),
     Mutation(
         name="own failure domain first",
@@ -70,13 +70,13 @@
     Mutation(
         name="subset of the engines",
         file="placing/_subset.py",
-        old="LEAST_NEAR = 8",
-        new="LEAST_NEAR = 10_000",
+        old="MIN_NEAR_ENGINES = 8",
+        new="MIN_NEAR_ENGINES = 10_000",
     ),
     Mutation(
         name="avoidance of bad endpoints",
         file="placing/_avoidance.py",
-        old="    if len(kept) < len(endpoints) * (1 - AVOID_SHARE) or not kept:\n",
+        old="    if len(kept) < len(endpoints) * (1 - MAX_EJECTED) or not kept:\n",
         new="    if True:\n",
     ),
     Mutation(
@@ -94,13 +94,13 @@
     Mutation(
         name="old weights until the withdrawal",
         file="placing/_validity.py",
-        old="            return Prospect.EXPECTED\n",
-        new="            return Prospect.TOO_LATE\n",
+        old="            return StartForecast.EXPECTED\n",
+        new="            return StartForecast.TOO_LATE\n",
     ),
     Mutation(
         name="withdrawal",
         file="relay/_try.py",
-        old="        if self.place.begin_deadline is None:\n",
+        old="        if self.place.start_deadline is None:\n",
         new="        if True:\n",
     ),
     Mutation(
@@ -148,8 +148,9 @@
     Mutation(
         name="spread of Retry-After",
         file="placing/_refusal.py",
-        old="        spread = earliest + (most - earliest) * self._chance.random()\n",
-        new="        spread = earliest\n",
+        old="        jittered = earliest "
+        "+ (longest_wait - earliest) * self._prng.random()\n",
+        new="        jittered = earliest\n",
     ),
     Mutation(
         name="engines change in groups",
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -6,24 +6,24 @@
 from hawthornspoke.config import ServiceView
 from hawthornspoke.entry._suspects import QuarantineSync
 from hawthornspoke.limits import (
+    AdmissionRequest,
     Admitted,
-    DemandHeard,
+    DemandReported,
     PeersKnown,
     RateShares,
-    Request,
     SetLimits,
 )
 from hawthornspoke.membership import may_relay, summary_targets
 from hawthornspoke.node import ControlActor
 from hawthornspoke.protocol import Live, Member, Role
-from hawthornspoke.retries import AskRetry, RetryBudget, Succeeded
+from hawthornspoke.retries import RequestSucceeded, RetryBudget, RetryRequest
 from hawthornspoke.routing import (
-    Choose,
-    Chosen,
-    LoadHeard,
-    Outcome,
+    AttemptEnded,
+    EndpointSelected,
+    LoadReported,
     RequestTraits,
     Router,
+    RoutingRequest,
 )
 
 UNAUTHENTICATED = Failure(code="unauthenticated")
@@ -152,7 +152,9 @@
         if is_failure(organisation):
             return organisation
         service = self.service_by_name[service_name]
-        (limit,) = self.limits.step(Request(organisation=organisation), now=now)
+        (limit,) = self.limits.step(
+            AdmissionRequest(organisation=organisation), now=now
+        )
         if not isinstance(limit, Admitted):
             return limit.failure
         return Admission(
@@ -256,14 +258,14 @@
         if quarantine_failure is not None:
             return quarantine_failure
         live_by_node = self._live_endpoints(service, adapter, digest)
-        message = Choose(
+        message = RoutingRequest(
             traits=RequestTraits(service=service.name, prefix=prefix),
             endpoints=[view for view, _ in live_by_node.values()],
             failure_domain=self.own_domain,
             excluded=excluded,
         )
         (outcome,) = self.router.step(message, now=now)
-        if not isinstance(outcome, Chosen):
+        if not isinstance(outcome, EndpointSelected):
             return outcome.failure
         view, live = live_by_node[outcome.node]
         return Endpoint(
@@ -274,10 +276,10 @@
         self, *, node, failed, first_byte, done, fingerprint, now, engine_exit_id=""
     ):
         """Update router, retry budget and quarantine with the result of an attempt."""
-        outcome = Outcome(node=node, failed=failed, first_byte=first_byte)
+        outcome = AttemptEnded(node=node, failed=failed, first_byte=first_byte)
         self.router.step(outcome, now=now)
         if done:
-            self.retries.step(Succeeded(), now=now)
+            self.retries.step(RequestSucceeded(), now=now)
             self.quarantine_sync.record_completion(fingerprint, now=now)
         if engine_exit_id:
             self.quarantine_sync.record_engine_exit(
@@ -308,7 +310,9 @@
         -------
         RetryAllowed or RetryDenied
         """
-        message = AskRetry(repeatable=repeatable, was_run=was_run, deadline=deadline)
+        message = RetryRequest(
+            repeatable=repeatable, was_run=was_run, deadline=deadline
+        )
         (outcome,) = self.retries.step(message, now=now)
         return outcome
 
@@ -412,7 +416,7 @@
     def _update_demand(self, sender, now):
         claimant = self._claimant(sender.node, sender.failure_domain)
         demand = dict(sender.demand or {})
-        message = DemandHeard(claimant=claimant, demand_by_organisation=demand)
+        message = DemandReported(claimant=claimant, demand_by_organisation=demand)
         self.limits.step(message, now=now)
 
     def _update_load(self, member, now):
@@ -420,7 +424,7 @@
         if view is None or view.member is not member:
             # Not the newest record of that endpoint.
             return
-        message = LoadHeard(
+        message = LoadReported(
             node=member.node,
             running=member.running or 0,
             queued=member.queued or 0,
@@ -533,7 +537,7 @@
 
     def _domain_demand(self, now):
         totals = dict(self.limits.demand(now=now))
-        for name, claimant in self.limits.by_claimant.items():
+        for name, claimant in self.limits.demand_by_claimant.items():
             if (
                 name.startswith(DOMAIN_CLAIMANT_PREFIX)
                 or now >= claimant.stale_deadline
--- a/hawthornspoke/entry/_suspects.py
+++ b/hawthornspoke/entry/_suspects.py
@@ -5,14 +5,14 @@
 from hawthornspoke.base import Failure
 from hawthornspoke.protocol import PROTOCOL_VERSION, Datagram, EvidenceNews
 from hawthornspoke.quarantine import (
-    Answered,
     EndpointEnded,
-    EvidenceHeard,
-    News,
+    EvidenceReceived,
+    EvidenceUpdate,
     Quarantine,
     Quarantined,
-    read_evidence,
-    write_evidence,
+    RequestCompleted,
+    decode_evidence,
+    encode_evidence,
 )
 
 QUARANTINED = Failure(code="quarantined")
@@ -59,7 +59,7 @@
         -------
         None or Failure
         """
-        until = self.quarantine.refused_until(fingerprint, now=now)
+        until = self.quarantine.quarantined_until(fingerprint, now=now)
         if until is None:
             return None
         reason = "engines ended under this request"
@@ -74,7 +74,7 @@
 
     def record_completion(self, fingerprint, *, now):
         """Record that an engine completed a request."""
-        self._step(Answered(fingerprint=fingerprint), now)
+        self._step(RequestCompleted(fingerprint=fingerprint), now)
 
     def merge_evidence(self, news, *, now):
         """Merge evidence from another entry host.
@@ -84,8 +84,8 @@
         news : EvidenceNews
         now : float
         """
-        items = read_evidence(news.items, now=now)
-        self._step(EvidenceHeard(items=items), now, is_local=False)
+        items = decode_evidence(news.items, now=now)
+        self._step(EvidenceReceived(items=items), now, is_local=False)
 
     def resend_recent(self, *, now):
         """Resend recent evidence to all entry hosts; called at each heartbeat."""
@@ -99,7 +99,7 @@
 
     def _step(self, message, now, *, is_local=True):
         for outcome in self.quarantine.step(message, now=now):
-            if isinstance(outcome, News):
+            if isinstance(outcome, EvidenceUpdate):
                 if is_local:
                     self._resend_deadline = now + RESEND_PERIOD
                     self._send(outcome.items, self._core.reachable_entries(), now)
@@ -114,7 +114,7 @@
                 logger.info("request {} released from quarantine", outcome.fingerprint)
 
     def _send(self, evidence, views, now):
-        items = write_evidence(evidence, now=now)
+        items = encode_evidence(evidence, now=now)
         targets = [(view.address, view.port) for view in views]
         for first in range(0, len(items), MAX_ITEMS_PER_DATAGRAM):
             news = EvidenceNews(
--- a/hawthornspoke/limits/__init__.py
+++ b/hawthornspoke/limits/__init__.py
@@ -1,21 +1,21 @@
 """Rate limits of organisations, shared by all entry hosts."""
 
 from hawthornspoke.limits._shares import (
+    AdmissionRequest,
     Admitted,
-    DemandHeard,
-    Limited,
+    DemandReported,
     PeersKnown,
+    RateLimited,
     RateShares,
-    Request,
     SetLimits,
 )
 
 __all__ = [
+    "AdmissionRequest",
     "Admitted",
-    "DemandHeard",
-    "Limited",
+    "DemandReported",
     "PeersKnown",
+    "RateLimited",
     "RateShares",
-    "Request",
     "SetLimits",
 ]
--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class DemandHeard:
+class DemandReported:
     """A claimant's demand by organisation, in requests per second."""
 
     claimant: str
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Request:
+class AdmissionRequest:
     """Asks for admission of a request of an organisation."""
 
     organisation: str
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Limited:
+class RateLimited:
     """The request is over the limit; the failure has the retry delay."""
 
     failure: object
@@ -116,7 +116,7 @@
         "rate_by_organisation",
         "burst_by_organisation",
         "hosts_by_claimant",
-        "by_claimant",
+        "demand_by_claimant",
         "by_organisation",
         "admitted",
         "limited",
@@ -128,7 +128,7 @@
         self.rate_by_organisation = {}
         self.burst_by_organisation = {}
         self.hosts_by_claimant = {}
-        self.by_claimant = {}
+        self.demand_by_claimant = {}
         self.by_organisation = {}
         self.admitted = 0
         self.limited = 0
@@ -142,30 +142,30 @@
     def on_peers_known(self, message, *, now):
         """Set the known entry hosts, whether or not their demand is current."""
         self.hosts_by_claimant = dict(message.hosts_by_claimant)
-        for claimant in list(self.by_claimant):
+        for claimant in list(self.demand_by_claimant):
             if claimant not in self.hosts_by_claimant:
-                del self.by_claimant[claimant]
+                del self.demand_by_claimant[claimant]
         return []
 
-    def on_demand_heard(self, message, *, now):
+    def on_demand_reported(self, message, *, now):
         """Record a claimant's demand."""
-        self.by_claimant[message.claimant] = _ClaimantDemand(
+        self.demand_by_claimant[message.claimant] = _ClaimantDemand(
             demand_by_organisation=dict(message.demand_by_organisation),
             stale_deadline=now + self.stale_after,
         )
         return []
 
-    def on_request(self, message, *, now):
+    def on_admission_request(self, message, *, now):
         """Admit or reject a request.
 
         Parameters
         ----------
-        message : Request
+        message : AdmissionRequest
         now : float
 
         Returns
         -------
-        list of Admitted or Limited
+        list of Admitted or RateLimited
         """
         rate = self.rate_by_organisation.get(message.organisation)
         bucket = self._bucket(message.organisation, now=now)
@@ -181,7 +181,7 @@
         self.limited += 1
         wait = (1.0 - bucket.tokens) / max(rate * share, 1e-6)
         reason = f"over {rate:g} requests/s of {message.organisation}"
-        return [Limited(failure=OVER_LIMIT.with_reason(reason, retry_after=wait))]
+        return [RateLimited(failure=OVER_LIMIT.with_reason(reason, retry_after=wait))]
 
     def demand(self, *, now):
         """Return this host's demand for gossip.
@@ -216,9 +216,10 @@
         """
         hosts = 1 + sum(self.hosts_by_claimant.values())
         active = [
-            (count, self.by_claimant[name])
+            (count, self.demand_by_claimant[name])
             for name, count in self.hosts_by_claimant.items()
-            if name in self.by_claimant and now < self.by_claimant[name].stale_deadline
+            if name in self.demand_by_claimant
+            and now < self.demand_by_claimant[name].stale_deadline
         ]
         active_hosts = 1 + sum(count for count, _ in active)
         active_share = active_hosts / hosts
--- a/hawthornspoke/limits/tests/test_shares.py
+++ b/hawthornspoke/limits/tests/test_shares.py
@@ -3,11 +3,11 @@
 import pytest
 
 from hawthornspoke.limits import (
+    AdmissionRequest,
     Admitted,
-    DemandHeard,
+    DemandReported,
     PeersKnown,
     RateShares,
-    Request,
     SetLimits,
 )
 
@@ -70,7 +70,7 @@
         while self.pending_by_name[name] >= 1.0:
             self.pending_by_name[name] -= 1.0
             (outcome,) = self.shares_by_name[name].step(
-                Request(organisation="a"), now=self.now
+                AdmissionRequest(organisation="a"), now=self.now
             )
             admitted += isinstance(outcome, Admitted)
         return admitted
@@ -86,7 +86,7 @@
         due = [item for item in self.messages if item[0] <= self.now]
         self.messages = [item for item in self.messages if item[0] > self.now]
         for _, sender, demand in due:
-            message = DemandHeard(claimant=sender, demand_by_organisation=demand)
+            message = DemandReported(claimant=sender, demand_by_organisation=demand)
             for name in self.names:
                 if name != sender and name not in self.partitioned:
                     self.shares_by_name[name].step(message, now=self.now)
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -7,7 +7,7 @@
 from hawthornspoke import fields
 from hawthornspoke.base import is_failure, monotonic
 from hawthornspoke.mirror._types import Written
-from hawthornspoke.quarantine import EVIDENCE_FOR, Evidence
+from hawthornspoke.quarantine import EVIDENCE_LIFETIME, Evidence
 
 #: Table and key of the only row, whose size is bounded for any number of requests.
 QUARANTINE_TABLE = "quarantine"
@@ -87,7 +87,7 @@
             Evidence(
                 fingerprint=entry.fingerprint,
                 start=start,
-                deadline=now + min(entry.until - made_at, EVIDENCE_FOR),
+                deadline=now + min(entry.until - made_at, EVIDENCE_LIFETIME),
             )
             for entry in entries
             for start in entry.starts
--- a/hawthornspoke/mirror/tests/test_quarantine_record.py
+++ b/hawthornspoke/mirror/tests/test_quarantine_record.py
@@ -9,7 +9,7 @@
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.mirror import News, QuarantineRecord, Row, Written
 from hawthornspoke.mirror._quarantine_record import KEY, MAX_REQUESTS
-from hawthornspoke.quarantine import EVIDENCE_FOR, Evidence
+from hawthornspoke.quarantine import EVIDENCE_LIFETIME, Evidence
 
 MADE_AT = 1000.0
 STORE_DOWN = Failure(code="store_failed", reason="away")
@@ -39,7 +39,7 @@
 
 
 def evidence(fingerprint="new"):
-    deadline = monotonic() + EVIDENCE_FOR
+    deadline = monotonic() + EVIDENCE_LIFETIME
     return [
         Evidence(fingerprint=fingerprint, start=start, deadline=deadline)
         for start in STARTS
@@ -116,7 +116,7 @@
     suspects = FakeSuspects()
     run_record(FakeStore(news(entry("f", left=1e9))), suspects)
     assert all(
-        item.deadline - monotonic() <= EVIDENCE_FOR + 1 for item in suspects.taken
+        item.deadline - monotonic() <= EVIDENCE_LIFETIME + 1 for item in suspects.taken
     )
 
 
--- a/hawthornspoke/placing/_avoidance.py
+++ b/hawthornspoke/placing/_avoidance.py
@@ -13,7 +13,7 @@
 
 #: Maximum share of a service's endpoints that may be ejected at once. If most of them
 #: fail the cause lies elsewhere, and the rest could not carry the load.
-AVOID_SHARE = 0.5
+MAX_EJECTED = 0.5
 
 #: Seconds without a report after which an engine is ejected: almost three report
 #: intervals, for the own failure domain and for others, each for followed engines and
@@ -38,7 +38,7 @@
     Parameters
     ----------
     endpoint : Endpoint
-    message : Finished
+    message : RequestFinished
     now : float
     """
     endpoint.record_outcome(message.outcome in ("failed", "silent", "unreachable"))
@@ -74,7 +74,7 @@
         if now >= item.ejected_until
         and not _is_unresponsive(item, failure_domain, subset, now)
     ]
-    if len(kept) < len(endpoints) * (1 - AVOID_SHARE) or not kept:
+    if len(kept) < len(endpoints) * (1 - MAX_EJECTED) or not kept:
         return endpoints
     return kept
 
--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -1,14 +1,14 @@
 """Selects among the endpoints that may serve a request."""
 
 from hawthornspoke.placing._herd import PeerTraffic, estimated_growth
-from hawthornspoke.placing._messages import Place
+from hawthornspoke.placing._messages import Placement
 from hawthornspoke.placing._predict import (
     expected_first_token,
     expected_response_time,
     slot_release_interval,
 )
 from hawthornspoke.placing._subset import Subset
-from hawthornspoke.placing._validity import Prospect
+from hawthornspoke.placing._validity import StartForecast
 
 #: Requests queued at an engine up to which it gets a request that is already late. With
 #: six, retrying callers took each slot as it was released: callers that could still be
@@ -19,7 +19,7 @@
 
 #: Seconds by which a full engine counts as slower than an empty one, so that the next
 #: callers find capacity where there is little.
-FULL_COST = 0.15
+OCCUPANCY_COST = 0.15
 
 #: Load per slot of a plain endpoint at which it gets no further requests: with a queue
 #: of four times its slots it sheds load.
@@ -51,7 +51,7 @@
         -------
         float
         """
-        return self.expected + FULL_COST * self.load / slots
+        return self.expected + OCCUPANCY_COST * self.load / slots
 
 
 class _CandidateGroup:
@@ -83,7 +83,7 @@
 
     Attributes
     ----------
-    ask : Ask
+    ask : PlacementRequest
     engine : EngineProfile
     eligibility : WeightsEligibility
     known : list of Endpoint
@@ -120,7 +120,7 @@
         "host",
         "entry_hosts",
         "_refusal",
-        "_chance",
+        "_prng",
         "_peer_traffic_by_service",
         "subset_by_service",
     )
@@ -130,22 +130,22 @@
         self.host = host
         self.entry_hosts = (1, 1)
         self._refusal = refusal
-        self._chance = rng
+        self._prng = rng
         self._peer_traffic_by_service = {}
         self.subset_by_service = {}
 
     def select_plain(self, ask, endpoints, now):
-        """Return a Place at one of a plain service's endpoints, or a Decline.
+        """Return a Placement at one of a plain service's endpoints, or a Rejection.
 
         Parameters
         ----------
-        ask : Ask
+        ask : PlacementRequest
         endpoints : list of Endpoint
         now : float
 
         Returns
         -------
-        Place or Decline
+        Placement or Rejection
         """
         available = [
             endpoint
@@ -165,10 +165,10 @@
             for item in available
         ]
         best = min(ranked, key=lambda pair: pair[0])[1]
-        return _place(best, expected_response_time(best), now)
+        return _make_placement(best, expected_response_time(best), now)
 
     def select_engine(self, ask, endpoints, engine, eligibility):
-        """Return a Place at one of the engines, or a Decline.
+        """Return a Placement at one of the engines, or a Rejection.
 
         The subset of this host is evaluated first, and the other engines only if none
         in the subset responds in time: evaluating all engines took a third of an entry
@@ -176,7 +176,7 @@
 
         Parameters
         ----------
-        ask : Ask
+        ask : PlacementRequest
         endpoints : list of Endpoint
         engine : EngineProfile
         eligibility : WeightsEligibility
@@ -184,7 +184,7 @@
 
         Returns
         -------
-        Place, Decline or None
+        Placement, Rejection or None
             None if no engine has eligible weights.
         """
         now = eligibility.now
@@ -200,7 +200,7 @@
         return placed or self._select_late(selection)
 
     def _select_near(self, selection):
-        """Return a Place in the own failure domain, None if none is on time."""
+        """Return a Placement in the own failure domain, None if none is on time."""
         now = selection.eligibility.now
         subset = self.subset(selection.ask.service)
         kept = self._build_group(selection, near=True, followed=True)
@@ -221,7 +221,7 @@
         return None
 
     def _select_far(self, selection):
-        """Return a Place in another failure domain, None if none is on time."""
+        """Return a Placement in another failure domain, None if none is on time."""
         for followed in (True, False):
             group = self._build_group(selection, near=False, followed=followed)
             if group.on_time:
@@ -281,7 +281,9 @@
         # Based on the estimated load rather than the reported one: just before the
         # version bound requests would otherwise be sent only to be withdrawn, with an
         # unknown outcome for the caller.
-        valid = [item for item in candidates if item.forecast is not Prospect.TOO_LATE]
+        valid = [
+            item for item in candidates if item.forecast is not StartForecast.TOO_LATE
+        ]
         on_time = [item for item in valid if item.expected <= ask.on_time_left]
         group = _CandidateGroup(
             near=near, candidates=candidates, valid=valid, on_time=on_time
@@ -334,19 +336,21 @@
         return endpoint.is_in(self.failure_domain)
 
     def _pick_better_of_two(self, candidates, selection):
-        """Return a Place at the better of two random engines ("two choices").
+        """Return a Placement at the better of two random engines ("two choices").
 
         The entry hosts see the same loads, some of them 0.1 s old. If each took the
         best engine, all would choose the same one, and its callers would be late.
         """
-        sure = [item for item in candidates if item.forecast is Prospect.SURE]
+        sure = [item for item in candidates if item.forecast is StartForecast.SURE]
         among = sure or candidates
-        pair = self._chance.sample(among, min(2, len(among)))
+        pair = self._prng.sample(among, min(2, len(among)))
         chosen = min(pair, key=lambda item: item.cost(selection.engine.slots))
-        return _place(chosen.endpoint, chosen.expected, selection.eligibility.now)
+        return _make_placement(
+            chosen.endpoint, chosen.expected, selection.eligibility.now
+        )
 
     def _rank(self, endpoint, expected, *, near):
-        return not near, expected, endpoint.own_running, self._chance.random()
+        return not near, expected, endpoint.own_in_flight, self._prng.random()
 
 
 def _usable_when_late(candidates, ask, engine):
@@ -359,8 +363,8 @@
     ]
 
 
-def _place(endpoint, expected, now):
-    return Place(
+def _make_placement(endpoint, expected, now):
+    return Placement(
         endpoint_id=endpoint.entry.endpoint_id,
         address=endpoint.entry.address,
         load=endpoint.load,
--- a/hawthornspoke/placing/_directory.py
+++ b/hawthornspoke/placing/_directory.py
@@ -56,7 +56,7 @@
 
         Parameters
         ----------
-        message : Sent, LoadSeen or Finished
+        message : RequestSent, LoadObserved or RequestFinished
 
         Returns
         -------
@@ -88,7 +88,7 @@
             if not endpoint.gone:
                 endpoint.gone = True
                 endpoint.grace_deadline = now + LAPSE_GRACE_TIME if lapsed else now
-            if endpoint.own_running == 0 and now >= endpoint.grace_deadline:
+            if endpoint.own_in_flight == 0 and now >= endpoint.grace_deadline:
                 del self.endpoint_by_id[endpoint_id]
 
     def _rebuild_index(self):
--- a/hawthornspoke/placing/_endpoint.py
+++ b/hawthornspoke/placing/_endpoint.py
@@ -39,7 +39,7 @@
         Whether it is loading new weights and starts no requests meanwhile.
     pace : float
         Slowdown of its engine relative to its usual speed.
-    reading : PrefillBacklog
+    prefill_work : PrefillBacklog
         Prompts whose prefill is outstanding.
     moved : bool
         Whether another endpoint answers at its address. After a host has lost power
@@ -55,9 +55,9 @@
         "pace",
         "gone",
         "moved",
-        "reading",
+        "prefill_work",
         "grace_deadline",
-        "own_running",
+        "own_in_flight",
         "reported_load",
         "reported_at",
         "sent_since_report",
@@ -87,8 +87,8 @@
     def _reset_counters(self):
         """Reset everything that belongs to one incarnation."""
         self.moved = False
-        self.reading = PrefillBacklog()
-        self.own_running = 0
+        self.prefill_work = PrefillBacklog()
+        self.own_in_flight = 0
         self.reported_load = 0
         self.reported_at = None
         self.sent_since_report = 0
@@ -175,7 +175,7 @@
         Parameters
         ----------
         incarnation : Incarnation
-            That of the request's Place; unknown if none had been reported by then.
+            That of the request's Placement; unknown if none had been reported by then.
             After a restart the requests of an unknown incarnation are over.
 
         Returns
@@ -217,7 +217,7 @@
     @property
     def load(self):
         """Requests at the endpoint: reported, plus those this host sent since."""
-        return max(self.own_running, self.reported_load + self.sent_since_report)
+        return max(self.own_in_flight, self.reported_load + self.sent_since_report)
 
     @property
     def link_delay(self):
@@ -250,7 +250,7 @@
 
     def record_end(self):
         """Record the end of a request of this host, whether or not reports had it."""
-        self.own_running = max(0, self.own_running - 1)
+        self.own_in_flight = max(0, self.own_in_flight - 1)
         if self.sent_since_report:
             self.sent_since_report -= 1
         else:
@@ -279,7 +279,7 @@
             "leaving": self.entry.leaving,
             "gone": self.gone,
             "load": self.load,
-            "own_running": self.own_running,
+            "own_running": self.own_in_flight,
             "report_age": self.report_age(now),
             "weights_version": self.weights_version,
             "layers": self.layers,
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -10,17 +10,17 @@
 from hawthornspoke.placing._directory import EndpointDirectory
 from hawthornspoke.placing._messages import (
     AgentLost,
-    Ask,
     CatalogChanged,
+    DeclarationDatesUpdated,
     EndpointsListed,
     EngineReported,
-    EntryHostsSeen,
-    Finished,
-    LoadSeen,
-    Place,
-    Recheck,
-    Sent,
-    WeightsDated,
+    EntryHostsUpdated,
+    LoadObserved,
+    Placement,
+    PlacementRecheck,
+    PlacementRequest,
+    RequestFinished,
+    RequestSent,
     WeightsDeclared,
 )
 from hawthornspoke.placing._predict import prefill_time
@@ -30,16 +30,16 @@
 #: Messages that the machine handles.
 MESSAGES = (
     AgentLost,
-    Ask,
+    PlacementRequest,
     CatalogChanged,
     EndpointsListed,
     EngineReported,
-    EntryHostsSeen,
-    Finished,
-    LoadSeen,
-    Recheck,
-    Sent,
-    WeightsDated,
+    EntryHostsUpdated,
+    RequestFinished,
+    LoadObserved,
+    PlacementRecheck,
+    RequestSent,
+    DeclarationDatesUpdated,
     WeightsDeclared,
 )
 
@@ -133,9 +133,9 @@
         )
         return []
 
-    def on_weights_dated(self, message, *, now):
+    def on_declaration_dates_updated(self, message, *, now):
         """Record the earliest possible times of declarations."""
-        for version, at in message.moments:
+        for version, at in message.earliest_times:
             self.declared.add_lower_bound(message.model, version, at=at)
         return []
 
@@ -158,7 +158,7 @@
         self._directory.clear_agent_state(message.address)
         return []
 
-    def on_entry_hosts_seen(self, message, *, now):
+    def on_entry_hosts_updated(self, message, *, now):
         """Set the entry host counts and this host's position; update the subsets."""
         near = max(1, message.near)
         self._choice.entry_hosts = (near, max(near, message.all))
@@ -166,19 +166,19 @@
         self._update_subsets(now)
         return []
 
-    def on_sent(self, message, *, now):
+    def on_request_sent(self, message, *, now):
         """Record a request that was sent."""
         endpoint = self._directory.request_target(message)
         if endpoint is not None:
-            endpoint.own_running += 1
+            endpoint.own_in_flight += 1
             endpoint.sent_since_report += 1
             engine = self._engine_profile(endpoint)
             if engine is not None:
                 seconds = prefill_time(endpoint, engine, message.prompt_tokens)
-                endpoint.reading.add(seconds, now)
+                endpoint.prefill_work.add(seconds, now)
         return []
 
-    def on_load_seen(self, message, *, now):
+    def on_load_observed(self, message, *, now):
         """Update an endpoint's load from a response."""
         endpoint = self._directory.request_target(message)
         if endpoint is not None:
@@ -186,7 +186,7 @@
             endpoint.record_load(message.load, now)
         return []
 
-    def on_finished(self, message, *, now):
+    def on_request_finished(self, message, *, now):
         """Record the outcome of a request."""
         endpoint = self._directory.request_target(message)
         if endpoint is None:
@@ -200,17 +200,17 @@
             count_outcome(endpoint, message, now)
         return []
 
-    def on_ask(self, message, *, now):
+    def on_placement_request(self, message, *, now):
         """Select an endpoint, or report why there is none.
 
         Parameters
         ----------
-        message : Ask
+        message : PlacementRequest
         now : float
 
         Returns
         -------
-        list of Place or Decline
+        list of Placement or Rejection
         """
         service = self.service_by_name.get(message.service)
         known = [
@@ -230,17 +230,17 @@
             return [self._choice.select_plain(message, known, now)]
         return [self._select_engine(message, known, service.engine, now)]
 
-    def on_recheck(self, message, *, now):
+    def on_placement_recheck(self, message, *, now):
         """Check a selected endpoint again just before the request is sent.
 
         Parameters
         ----------
-        message : Recheck
+        message : PlacementRecheck
         now : float
 
         Returns
         -------
-        list of Place or Decline
+        list of Placement or Rejection
         """
         ask, place = message.ask, message.place
         service = self.service_by_name.get(ask.service)
@@ -261,7 +261,7 @@
         place = replace(place, weights_version=endpoint.weights_version)
         return [self._with_deadline(place, engine, eligibility)]
 
-    def followed(self):
+    def followed_addresses(self):
         """Return the addresses of the engines that should report frequently.
 
         Returns
@@ -301,7 +301,7 @@
         int
         """
         endpoints = self._directory.of_service(service)
-        return sum(item.own_running > 0 for item in endpoints)
+        return sum(item.own_in_flight > 0 for item in endpoints)
 
     def dump(self, *, now):
         """Return the state as plain data."""
@@ -320,7 +320,7 @@
         """Estimate the prompts sent by other hosts; call before storing the load."""
         engine = self._engine_profile(endpoint)
         if engine is not None:
-            endpoint.reading.add_remote_requests(
+            endpoint.prefill_work.add_remote_requests(
                 growth=load - endpoint.load,
                 age=endpoint.report_age(now),
                 usual_seconds=prefill_time(endpoint, engine, engine.mean_prompt_tokens),
@@ -353,7 +353,7 @@
         answer = self._choice.select_engine(ask, known, engine, eligibility)
         if answer is None:
             return self._refusal.no_weights(ask, known, now)
-        if isinstance(answer, Place):
+        if isinstance(answer, Placement):
             answer = self._with_deadline(answer, engine, eligibility)
         return answer
 
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -56,19 +56,19 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class WeightsDated:
+class DeclarationDatesUpdated:
     """The declaration times of versions became known.
 
     Parameters
     ----------
     model : str
-    moments : tuple of (int, float)
+    earliest_times : tuple of (int, float)
         Versions and the earliest possible times of their declarations, on the clock
         that includes suspended time.
     """
 
     model: str
-    moments: tuple
+    earliest_times: tuple
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -125,7 +125,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class EntryHostsSeen:
+class EntryHostsUpdated:
     """The number of entry hosts changed.
 
     Parameters
@@ -144,7 +144,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Sent:
+class RequestSent:
     """A request was sent to an endpoint.
 
     Parameters
@@ -161,7 +161,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class LoadSeen:
+class LoadObserved:
     """A response reported the endpoint's load.
 
     Parameters
@@ -178,7 +178,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Finished:
+class RequestFinished:
     """A request to an endpoint ended.
 
     Parameters
@@ -201,7 +201,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Ask:
+class PlacementRequest:
     """Asks for an endpoint for a request.
 
     Parameters
@@ -216,7 +216,7 @@
         Whether the caller was rejected before and retries.
     tried : frozenset of str
         Ids of endpoints that the request was sent to.
-    same_version : int or None
+    required_version : int or None
         Restricts the selection to endpoints with this version, to resume a stream.
     contact_now : float or None
         Current time on the clock that includes suspended time; None if it is the same
@@ -229,12 +229,12 @@
     time_left: float = 1.0
     returned: bool = False
     tried: frozenset = field(default_factory=frozenset)
-    same_version: int | None = None
+    required_version: int | None = None
     contact_now: float | None = None
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Place:
+class Placement:
     """The endpoint selected for a request.
 
     Parameters
@@ -249,7 +249,7 @@
         Seconds until the first token, or the response of a plain service.
     weights_version : int or None
         Version that the endpoint is assumed to have.
-    begin_deadline : float or None
+    start_deadline : float or None
         Time by which the request must have started, since the weights expire soon
         after; None if no newer version is declared.
     incarnation : Incarnation
@@ -262,27 +262,27 @@
     report_age: float | None
     expected: float
     weights_version: int | None = None
-    begin_deadline: float | None = None
+    start_deadline: float | None = None
     incarnation: Incarnation = UNKNOWN_START
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Recheck:
+class PlacementRecheck:
     """Asks whether an endpoint selected a moment ago is still eligible.
 
     Parameters
     ----------
-    ask : Ask
+    ask : PlacementRequest
         With the times left now.
-    place : Place
+    place : Placement
     """
 
-    ask: Ask
-    place: Place
+    ask: PlacementRequest
+    place: Placement
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Decline:
+class Rejection:
     """No endpoint can serve the request now.
 
     Parameters
--- a/hawthornspoke/placing/_predict.py
+++ b/hawthornspoke/placing/_predict.py
@@ -34,11 +34,11 @@
     """
     step = profile.step + profile.step_per_request * min(load, profile.slots)
     pass_time = profile.steps_per_prefill * step
-    reading = prompt_tokens / profile.prefill_rate
+    prefill_work = prompt_tokens / profile.prefill_rate
     ahead = max(0, load + 1 - profile.slots)
     waiting = ahead * slot_release_interval(profile)
     return (
-        pace * (waiting + PASSES_TO_FIRST_TOKEN * pass_time + reading)
+        pace * (waiting + PASSES_TO_FIRST_TOKEN * pass_time + prefill_work)
         + FIRST_TOKEN_OVERHEAD
     )
 
@@ -50,7 +50,7 @@
     ----------
     endpoint : Endpoint
     profile : EngineProfile
-    ask : Ask
+    ask : PlacementRequest
     load : float
         Requests already at the endpoint.
     now : float
@@ -65,7 +65,7 @@
     # be on time would reach engines after their callers had left.
     return (
         endpoint.link_delay
-        + endpoint.reading.left(now)
+        + endpoint.prefill_work.left(now)
         + time_to_first_token(
             profile,
             load=load,
--- a/hawthornspoke/placing/_refusal.py
+++ b/hawthornspoke/placing/_refusal.py
@@ -1,6 +1,6 @@
 """Builds rejections and their retry delays."""
 
-from hawthornspoke.placing._messages import Decline
+from hawthornspoke.placing._messages import Rejection
 
 #: Retry delay in seconds for a service without known endpoints.
 NO_ENDPOINT_RETRY_AFTER = 0.5
@@ -16,35 +16,35 @@
 
 
 class RejectionBuilder:
-    """Builds Decline messages with a retry delay.
+    """Builds Rejection messages with a retry delay.
 
     Parameters
     ----------
     rng : random.Random
     """
 
-    __slots__ = ("_chance",)
+    __slots__ = ("_prng",)
 
     def __init__(self, *, rng):
-        self._chance = rng
+        self._prng = rng
 
     def no_endpoint(self, ask):
-        """Return a Decline because the service has no endpoint."""
-        return self._decline(ask, "no_endpoint", NO_ENDPOINT_RETRY_AFTER)
+        """Return a Rejection because the service has no endpoint."""
+        return self._reject(ask, "no_endpoint", NO_ENDPOINT_RETRY_AFTER)
 
     def no_weights(self, ask, endpoints, now):
-        """Return a Decline because no endpoint has eligible weights.
+        """Return a Rejection because no endpoint has eligible weights.
 
         Parameters
         ----------
-        ask : Ask
+        ask : PlacementRequest
         endpoints : list of Endpoint
             Endpoints that may have them soon.
         now : float
 
         Returns
         -------
-        Decline
+        Rejection
         """
         times = [
             endpoint.current_state.next_ready_at
@@ -53,27 +53,27 @@
             and endpoint.current_state.next_ready_at is not None
         ]
         soonest = max(0.0, min(times) - now) if times else NO_WEIGHTS_RETRY_AFTER
-        return self._decline(ask, "no_weights", soonest)
+        return self._reject(ask, "no_weights", soonest)
 
     def full(self, ask, seconds):
-        """Return a Decline because all endpoints are full.
+        """Return a Rejection because all endpoints are full.
 
         Parameters
         ----------
-        ask : Ask
+        ask : PlacementRequest
         seconds : float
             Time until capacity is expected.
 
         Returns
         -------
-        Decline
+        Rejection
         """
-        return self._decline(ask, "full", seconds)
+        return self._reject(ask, "full", seconds)
 
-    def _decline(self, ask, reason, seconds):
+    def _reject(self, ask, reason, seconds):
         # Jitter keeps callers that were rejected together from returning together.
         # They wait a third of their time at most, so a longer delay would be cut.
-        most = max(MIN_RETRY_AFTER, ask.time_left * MAX_WAIT_SHARE)
-        earliest = min(max(MIN_RETRY_AFTER, seconds), most)
-        spread = earliest + (most - earliest) * self._chance.random()
-        return Decline(reason=reason, retry_after=round(spread, 3))
+        longest_wait = max(MIN_RETRY_AFTER, ask.time_left * MAX_WAIT_SHARE)
+        earliest = min(max(MIN_RETRY_AFTER, seconds), longest_wait)
+        jittered = earliest + (longest_wait - earliest) * self._prng.random()
+        return Rejection(reason=reason, retry_after=round(jittered, 3))
--- a/hawthornspoke/placing/_subset.py
+++ b/hawthornspoke/placing/_subset.py
@@ -12,7 +12,7 @@
 #: Minimum number of engines of the own failure domain in a subset. Fewer would be full
 #: at once while others have capacity; eight engines have 64 slots, of which a burst of
 #: one host's callers takes a small part.
-LEAST_NEAR = 8
+MIN_NEAR_ENGINES = 8
 
 #: Minimum number of hosts that share an engine. With one or two, an engine would be
 #: idle or full depending on the callers of a single host.
@@ -77,7 +77,7 @@
         self.host = host
         self.position = 0
         self.hosts = 1
-        self.width = LEAST_NEAR
+        self.width = MIN_NEAR_ENGINES
         self.since_by_id = {}
         self.near_share = self.far_share = 1.0
         self._near = ()
@@ -141,8 +141,8 @@
         if share >= WIDEN_THRESHOLD and self._effective_width() < len(self._near):
             self.width = 2 * self._effective_width()
             self._change_deadline = now + WIDEN_COOLDOWN
-        elif share <= NARROW_THRESHOLD and self.width > LEAST_NEAR:
-            self.width = max(LEAST_NEAR, self.width // 2)
+        elif share <= NARROW_THRESHOLD and self.width > MIN_NEAR_ENGINES:
+            self.width = max(MIN_NEAR_ENGINES, self.width // 2)
             self._change_deadline = now + NARROW_COOLDOWN
         else:
             return
--- a/hawthornspoke/placing/_validity.py
+++ b/hawthornspoke/placing/_validity.py
@@ -39,7 +39,7 @@
 START_FACTOR_SURE = 2.0
 
 
-class Prospect(enum.Enum):
+class StartForecast(enum.Enum):
     """Whether a request starts before an engine's weights expire."""
 
     TOO_LATE = "too_late"
@@ -102,7 +102,7 @@
         ----------
         endpoint : Endpoint
         engine : EngineProfile
-        ask : Ask
+        ask : PlacementRequest
 
         Returns
         -------
@@ -115,7 +115,7 @@
         expected = expected_first_token(
             endpoint, engine, ask, load=endpoint.load, now=self.now
         )
-        return self.forecast(endpoint, engine, expected) is not Prospect.TOO_LATE
+        return self.forecast(endpoint, engine, expected) is not StartForecast.TOO_LATE
 
     def forecast(self, endpoint, engine, expected):
         """Return whether a request starts before an engine's weights expire.
@@ -132,28 +132,28 @@
         Prospect
         """
         if self._is_newest(endpoint, engine):
-            return Prospect.SURE
+            return StartForecast.SURE
         left = self._expires_at(engine, endpoint.weights_version) - self.contact_now
         if START_FACTOR_SURE * expected < left - self.version_margin:
-            return Prospect.SURE
+            return StartForecast.SURE
         share = START_FACTOR + START_FACTOR_SLOWDOWN * max(0.0, endpoint.pace - 1.0)
         if share * expected <= left - self._withdraw_margin(endpoint):
-            return Prospect.EXPECTED
-        return Prospect.TOO_LATE
+            return StartForecast.EXPECTED
+        return StartForecast.TOO_LATE
 
     def with_deadline(self, place, engine, endpoint):
-        """Return a Place with the deadline by which the request must have started.
+        """Return a Placement with the deadline by which the request must have started.
 
         Parameters
         ----------
-        place : Place
+        place : Placement
         engine : EngineProfile
         endpoint : Endpoint
-            The endpoint of the Place.
+            The endpoint of the Placement.
 
         Returns
         -------
-        Place
+        Placement
         """
         version = place.weights_version
         if not engine.layers or version is None:
@@ -164,7 +164,7 @@
         # Time that the host was suspended, which the clock of deadlines doesn't count.
         suspended = self.contact_now - self.now
         deadline = expires_at - suspended - self._withdraw_margin(endpoint)
-        return replace(place, begin_deadline=deadline)
+        return replace(place, start_deadline=deadline)
 
     def _withdraw_margin(self, endpoint):
         """Return the seconds before the bound at which a request is withdrawn."""
@@ -202,6 +202,6 @@
         if engine.layers and endpoint.layers != (0, engine.layers):
             return False
         version = endpoint.weights_version
-        if ask.same_version is not None:
-            return version == ask.same_version
+        if ask.required_version is not None:
+            return version == ask.required_version
         return not engine.layers or version is not None
--- a/hawthornspoke/placing/tests/playing.py
+++ b/hawthornspoke/placing/tests/playing.py
@@ -7,15 +7,15 @@
 from hawthornspoke.catalog import EndpointEntry, Service
 from hawthornspoke.catalog.tests.profiles import engine_profile
 from hawthornspoke.placing import (
-    Ask,
     CatalogChanged,
     EndpointsListed,
     EngineReported,
-    EntryHostsSeen,
-    Finished,
+    EntryHostsUpdated,
     Fleet,
-    Place,
-    Sent,
+    Placement,
+    PlacementRequest,
+    RequestFinished,
+    RequestSent,
 )
 from hawthornspoke.placing._predict import slot_release_interval
 
@@ -60,14 +60,14 @@
         self.returned = False
 
 
-class Play:
+class LoadSimulation:
     """Simulation of the callers of one failure domain.
 
     Parameters
     ----------
-    taken : float
+    mean_demand : float
         Mean demand as a share of the available slots.
-    keeps : bool
+    uses_subset : bool
         Whether hosts use a subset of the engines, or all of them.
     hosts, engines : int
     seconds : float
@@ -83,20 +83,22 @@
         Requests by engine.
     """
 
-    def __init__(self, *, taken, keeps, hosts=20, engines=31, seconds=8.0, seed=3):
+    def __init__(
+        self, *, mean_demand, uses_subset, hosts=20, engines=31, seconds=8.0, seed=3
+    ):
         self.seconds = seconds
         self.on_time = self.late = self.refused = self.messages = 0
         self.requests_by_engine = [0] * engines
-        self._keeps = keeps
+        self._uses_subset = uses_subset
         self._fleets = [self._fleet(place, hosts, engines) for place in range(hosts)]
         self._running = [0] * engines
         self._waiting = [[] for _ in range(engines)]
-        self._told = {}
+        self._last_reports = {}
         self._events = []
         self._order = itertools.count()
-        self._followed = [fleet.followed() for fleet in self._fleets]
+        self._followed = [fleet.followed_addresses() for fleet in self._fleets]
         rng = random.Random(seed)
-        rate = taken * engines * SLOTS / MEAN_SLOT_TIME
+        rate = mean_demand * engines * SLOTS / MEAN_SLOT_TIME
         now = 0.0
         while now < seconds:
             now += rng.expovariate(rate)
@@ -144,11 +146,11 @@
             )
             for number in range(engines)
         )
-        if not self._keeps:
+        if not self._uses_subset:
             # So large that halving it during the simulation still leaves all engines.
             fleet._choice.subset("s").width = engines * 2**20
         fleet.step(EndpointsListed(entries=entries), now=0.0)
-        seen = EntryHostsSeen(near=hosts, all=hosts, position=place)
+        seen = EntryHostsUpdated(near=hosts, all=hosts, position=place)
         fleet.step(seen, now=0.0)
         return fleet
 
@@ -157,7 +159,7 @@
 
     def _ask(self, now, request):
         waited = now - request.asked_at
-        ask = Ask(
+        ask = PlacementRequest(
             service="s",
             prompt_tokens=900,
             on_time_left=TARGET_LATENCY - waited,
@@ -165,7 +167,7 @@
             returned=request.returned,
         )
         (answer,) = self._fleets[request.host].step(ask, now=now)
-        if isinstance(answer, Place):
+        if isinstance(answer, Placement):
             self._send(now, request, answer.endpoint_id)
         elif not request.returned:
             request.returned = True
@@ -176,7 +178,7 @@
     def _send(self, now, request, endpoint_id):
         number = int(endpoint_id[1:])
         self.requests_by_engine[number] += 1
-        self._fleets[request.host].step(Sent(endpoint_id=endpoint_id), now=now)
+        self._fleets[request.host].step(RequestSent(endpoint_id=endpoint_id), now=now)
         if self._running[number] < SLOTS:
             self._start(now, number, request)
         else:
@@ -192,13 +194,13 @@
 
     def _end(self, now, number, request):
         self._running[number] -= 1
-        done = Finished(endpoint_id=f"e{number}", outcome="done")
+        done = RequestFinished(endpoint_id=f"e{number}", outcome="done")
         self._fleets[request.host].step(done, now=now)
         if self._waiting[number]:
             self._start(now, number, self._waiting[number].pop(0))
 
     def _update_followed(self, now):
-        self._followed = [fleet.followed() for fleet in self._fleets]
+        self._followed = [fleet.followed_addresses() for fleet in self._fleets]
         self._at(now + SUBSET_UPDATE_INTERVAL, self._update_followed)
 
     def _sample_loads(self, now):
@@ -206,18 +208,18 @@
             for number, running in enumerate(self._running):
                 load = running + len(self._waiting[number])
                 if self._is_due(place, number, load, now):
-                    self._tell(fleet, place, number, load, now)
+                    self._send_report(fleet, place, number, load, now)
         self._at(now + SAMPLE_INTERVAL, self._sample_loads)
 
     def _is_due(self, place, number, load, now):
-        told, told_at = self._told.get((place, number), (None, float("-inf")))
+        told, told_at = self._last_reports.get((place, number), (None, float("-inf")))
         if _address(number) not in self._followed[place]:
             return now >= told_at + UNFOLLOWED_REPORT_INTERVAL
         return load != told or now >= told_at + REPORT_INTERVAL
 
-    def _tell(self, fleet, place, number, load, now):
+    def _send_report(self, fleet, place, number, load, now):
         self.messages += 1
-        self._told[place, number] = load, now
+        self._last_reports[place, number] = load, now
         report = EngineReported(
             address=_address(number), load=load, weights_version=None, layers=None
         )
--- a/hawthornspoke/placing/tests/test_ask_cost.py
+++ b/hawthornspoke/placing/tests/test_ask_cost.py
@@ -10,7 +10,7 @@
     AgentLost,
     EndpointsListed,
     EngineReported,
-    Place,
+    Placement,
     _choice,
 )
 from hawthornspoke.placing.tests.test_fleet import ask, entry, fleet
@@ -72,7 +72,7 @@
     """
     machine = known_fleet()
     calls = counted(monkeypatch, Incarnation, "differs_from")
-    assert isinstance(ask(machine), Place)
+    assert isinstance(ask(machine), Placement)
     assert len(calls) == 0
 
 
@@ -85,7 +85,7 @@
     """
     machine = known_fleet()
     calls = counted(monkeypatch, DeclaredVersions, "expires_at")
-    assert isinstance(ask(machine), Place)
+    assert isinstance(ask(machine), Placement)
     assert len(calls) == 1
 
 
@@ -129,7 +129,7 @@
         return real(endpoint, *args, **kwargs)
 
     monkeypatch.setattr(_choice, "expected_first_token", counting)
-    assert isinstance(ask(machine), Place)
+    assert isinstance(ask(machine), Placement)
     assert evaluated_domains == ["a"] * 30
 
 
@@ -139,7 +139,7 @@
     for number in range(0, 6, 2):
         machine.step(reported(number, load=60), now=1.0)
     place = ask(machine)
-    assert isinstance(place, Place)
+    assert isinstance(place, Placement)
     assert int(place.endpoint_id[1:]) % 2 == 1
 
 
--- a/hawthornspoke/placing/tests/test_declared.py
+++ b/hawthornspoke/placing/tests/test_declared.py
@@ -2,11 +2,11 @@
 
 from hawthornspoke.catalog import UNKNOWN_TIME, DeclaredVersions, DeclaredWeights
 from hawthornspoke.placing import (
-    Ask,
-    Decline,
     EngineReported,
-    EntryHostsSeen,
-    Place,
+    EntryHostsUpdated,
+    Placement,
+    PlacementRequest,
+    Rejection,
     WeightsDeclared,
 )
 from hawthornspoke.placing._validity import WITHDRAW_MARGIN, WITHDRAW_MARGIN_FAR
@@ -21,7 +21,7 @@
 
 
 def select(machine, *, now, contact_now=None):
-    ask = Ask(service="llm", prompt_tokens=900, contact_now=contact_now)
+    ask = PlacementRequest(service="llm", prompt_tokens=900, contact_now=contact_now)
     return machine.step(ask, now=now)[0]
 
 
@@ -47,7 +47,7 @@
     """
     machine = fleet(entry("one"))
     declare(machine, TWO, at=UNKNOWN_TIME, now=10.0)
-    assert isinstance(select(machine, now=10.0), Decline)
+    assert isinstance(select(machine, now=10.0), Rejection)
 
 
 def test_agents_date_a_declaration_for_a_restarted_host():
@@ -55,20 +55,20 @@
     machine = fleet(entry("one"))
     declare(machine, TWO, at=UNKNOWN_TIME, now=10.0)
     report_declaration(machine, declared_at=1.0, now=10.1)
-    assert isinstance(select(machine, now=10.1), Decline)
+    assert isinstance(select(machine, now=10.1), Rejection)
     report_declaration(machine, declared_at=6.1, now=10.2)
-    assert isinstance(select(machine, now=10.2), Place)
+    assert isinstance(select(machine, now=10.2), Placement)
     report_declaration(machine, declared_at=5.0, now=13.2)
-    assert isinstance(select(machine, now=12.8), Place)
+    assert isinstance(select(machine, now=12.8), Placement)
     withdrawn_at = 6.1 + 8.0 - WITHDRAW_MARGIN
-    assert isinstance(select(machine, now=withdrawn_at - 0.1), Decline)
+    assert isinstance(select(machine, now=withdrawn_at - 0.1), Rejection)
 
 
 def test_platform_date_takes_precedence_over_agent_reports():
     machine = fleet(entry("one"))
     declare(machine, TWO, at=5.0, now=5.1)
     report_declaration(machine, declared_at=9.0, now=12.5)
-    assert isinstance(select(machine, now=12.5), Decline)
+    assert isinstance(select(machine, now=12.5), Rejection)
 
 
 def test_repeated_declaration_only_refines_its_date():
@@ -91,17 +91,17 @@
     """
     machine = fleet(entry("one"))
     declare(machine, TWO, at=10.0, now=10.0)
-    assert isinstance(select(machine, now=12.0, contact_now=12.0), Place)
-    assert isinstance(select(machine, now=12.0, contact_now=18.0), Decline)
+    assert isinstance(select(machine, now=12.0, contact_now=12.0), Placement)
+    assert isinstance(select(machine, now=12.0, contact_now=18.0), Rejection)
 
 
 def test_selection_on_old_weights_has_a_start_deadline():
     machine = fleet(entry("one"))
-    assert select(machine, now=1.0).begin_deadline is None
+    assert select(machine, now=1.0).start_deadline is None
     declare(machine, TWO, at=10.0, now=10.0)
     found = select(machine, now=12.0, contact_now=15.0)
     # Three seconds until the bound passed while the host was suspended.
-    assert found.begin_deadline == 10.0 + 8.0 - 3.0 - WITHDRAW_MARGIN
+    assert found.start_deadline == 10.0 + 8.0 - 3.0 - WITHDRAW_MARGIN
     assert found.weights_version == 1
 
 
@@ -114,7 +114,7 @@
     """
     machine = fleet(entry("one"))
     declare(machine, THREE, at=25.0, now=26.0)
-    assert isinstance(select(machine, now=26.1), Decline)
+    assert isinstance(select(machine, now=26.1), Rejection)
     two = EngineReported(
         address="one:1",
         load=0,
@@ -125,9 +125,9 @@
     )
     machine.step(two, now=26.2)
     found = select(machine, now=26.3)
-    assert found.begin_deadline == 29.0 - WITHDRAW_MARGIN
+    assert found.start_deadline == 29.0 - WITHDRAW_MARGIN
     machine.step(two, now=28.9)
-    assert isinstance(select(machine, now=28.9), Decline)
+    assert isinstance(select(machine, now=28.9), Rejection)
 
 
 def test_missed_version_is_dated_from_the_end_of_known_declarations():
@@ -142,7 +142,7 @@
 def test_request_to_another_failure_domain_is_withdrawn_earlier():
     machine = fleet(entry("far", domain="b"))
     declare(machine, TWO, at=10.0, now=10.0)
-    assert select(machine, now=12.0).begin_deadline == 18.0 - WITHDRAW_MARGIN_FAR
+    assert select(machine, now=12.0).start_deadline == 18.0 - WITHDRAW_MARGIN_FAR
 
 
 def test_version_below_the_first_declares_nothing():
@@ -162,15 +162,15 @@
     against the bound used the reported load, and the check for lateness the estimate.
     """
     machine = fleet(entry("one"), entry("two"))
-    machine.step(EntryHostsSeen(near=9, all=9), now=0.0)
+    machine.step(EntryHostsUpdated(near=9, all=9), now=0.0)
     declare(machine, TWO, at=10.0, now=10.0)
     for name in ("one", "two"):
         report(machine, name, load=15, now=16.5)
     for number in range(20):
         ask(machine, now=15.75 + number / 20, on_time_left=1.0)
     answer = ask(machine, now=16.75, on_time_left=1.0)
-    is_placed = isinstance(answer, Place)
-    assert not is_placed or answer.expected <= answer.begin_deadline - 16.75
+    is_placed = isinstance(answer, Placement)
+    assert not is_placed or answer.expected <= answer.start_deadline - 16.75
 
 
 def test_declaration_is_dated_no_later_than_its_first_report():
@@ -186,7 +186,7 @@
     report_declaration(machine, declared_at=10.5, now=11.0)
     declare(machine, TWO, at=19.0, now=19.1)
     report_declaration(machine, declared_at=10.5, now=19.2)
-    assert isinstance(select(machine, now=19.3), Decline)
+    assert isinstance(select(machine, now=19.3), Rejection)
 
 
 def test_version_known_from_agents_only_takes_effect():
@@ -198,7 +198,7 @@
     machine = fleet(entry("one"))
     for now in (11.0, 15.0, 19.0):
         report_declaration(machine, declared_at=10.5, now=now)
-    assert isinstance(select(machine, now=19.0), Decline)
+    assert isinstance(select(machine, now=19.0), Rejection)
 
 
 def test_old_weights_serve_requests_that_start_before_withdrawal():
@@ -212,7 +212,7 @@
     """
     machine = fleet(entry("old"))
     declare(machine, TWO, at=10.0, now=10.0)
-    assert isinstance(select(machine, now=17.3), Place)
+    assert isinstance(select(machine, now=17.3), Placement)
 
 
 def test_newer_weights_are_preferred_near_the_bound():
@@ -235,7 +235,7 @@
     """
     machine = fleet(entry("one"))
     declare(machine, TWO, at=2.0, now=10.1)
-    assert isinstance(select(machine, now=10.2), Decline)
+    assert isinstance(select(machine, now=10.2), Rejection)
     report_declaration(machine, declared_at=9.8, now=10.3)
     found = select(machine, now=10.4)
-    assert found.begin_deadline == 9.8 + 8.0 - WITHDRAW_MARGIN
+    assert found.start_deadline == 9.8 + 8.0 - WITHDRAW_MARGIN
--- a/hawthornspoke/placing/tests/test_fleet.py
+++ b/hawthornspoke/placing/tests/test_fleet.py
@@ -13,16 +13,16 @@
 from hawthornspoke.catalog.tests.profiles import engine_profile
 from hawthornspoke.placing import (
     AgentLost,
-    Ask,
     CatalogChanged,
-    Decline,
     EndpointsListed,
     EngineReported,
-    Finished,
     Fleet,
-    LoadSeen,
-    Place,
-    Sent,
+    LoadObserved,
+    Placement,
+    PlacementRequest,
+    Rejection,
+    RequestFinished,
+    RequestSent,
     WeightsDeclared,
 )
 
@@ -70,7 +70,7 @@
         "on_time_left": 0.4,
         "time_left": 6.0,
     }
-    (answer,) = machine.step(Ask(**{**fields, **changes}), now=now)
+    (answer,) = machine.step(PlacementRequest(**{**fields, **changes}), now=now)
     return answer
 
 
@@ -103,7 +103,7 @@
     for name in ("one", "two"):
         report(machine, name, load=30)
     answer = ask(machine)
-    assert isinstance(answer, Decline)
+    assert isinstance(answer, Rejection)
     assert answer.reason == "full"
     assert 0.2 <= answer.retry_after <= 2.0
 
@@ -132,10 +132,10 @@
     machine = fleet(entry("one"))
     report(machine, "one", load=15)
     late = {"returned": True, "on_time_left": -1.0}
-    assert isinstance(ask(machine, **late), Place)
+    assert isinstance(ask(machine, **late), Placement)
     report(machine, "one", load=16)
-    assert isinstance(ask(machine, **late), Decline)
-    assert isinstance(ask(machine), Place)
+    assert isinstance(ask(machine, **late), Rejection)
+    assert isinstance(ask(machine), Placement)
 
 
 @pytest.mark.parametrize(
@@ -148,7 +148,7 @@
 )
 def test_ineligible_endpoint_gets_no_requests(changes):
     machine = fleet(entry("one", **changes))
-    assert isinstance(ask(machine), Decline)
+    assert isinstance(ask(machine), Rejection)
 
 
 def test_loading_engine_gets_no_requests():
@@ -157,7 +157,7 @@
     answer = ask(machine)
     assert (answer.reason, answer.retry_after >= 2.0) == ("no_weights", True)
     report(machine, "one", version=2)
-    assert isinstance(ask(machine), Place)
+    assert isinstance(ask(machine), Placement)
 
 
 def test_expired_weights_get_no_requests():
@@ -185,17 +185,17 @@
     declared = WeightsDeclared(declared=DeclaredWeights(model="m", version=2), at=10.0)
     machine.step(declared, now=10.0)
     report(machine, "slow", now=16.4, pace=4.0)
-    assert isinstance(ask(machine, now=16.4, on_time_left=2.0), Decline)
+    assert isinstance(ask(machine, now=16.4, on_time_left=2.0), Rejection)
     report(machine, "slow", now=16.4, pace=1.0)
-    assert isinstance(ask(machine, now=16.4), Place)
+    assert isinstance(ask(machine, now=16.4), Placement)
 
 
 def test_unresponsive_endpoint_is_ejected_at_once():
     machine = fleet(entry("bad"), entry("good"))
     report(machine, "good", load=10)
     assert ask(machine).endpoint_id == "bad"
-    machine.step(Sent(endpoint_id="bad"), now=1.0)
-    machine.step(Finished(endpoint_id="bad", outcome="silent"), now=1.3)
+    machine.step(RequestSent(endpoint_id="bad"), now=1.0)
+    machine.step(RequestFinished(endpoint_id="bad", outcome="silent"), now=1.3)
     assert ask(machine, now=1.4).endpoint_id == "good"
 
 
@@ -217,8 +217,10 @@
 def test_failing_endpoint_is_ejected_and_readmitted():
     machine = fleet(entry("bad"), entry("good"))
     for moment in range(6):
-        machine.step(Sent(endpoint_id="bad"), now=float(moment))
-        machine.step(Finished(endpoint_id="bad", outcome="failed"), now=float(moment))
+        machine.step(RequestSent(endpoint_id="bad"), now=float(moment))
+        machine.step(
+            RequestFinished(endpoint_id="bad", outcome="failed"), now=float(moment)
+        )
     assert ask(machine, now=5.1).endpoint_id == "good"
     report(machine, "good", load=9, now=20.0)
     assert ask(machine, now=20.0).endpoint_id == "bad"
@@ -228,8 +230,8 @@
     """A whole service was ejected and requests were rejected with idle engines."""
     machine = fleet(entry("one"), entry("two"), entry("three"))
     for name in ("one", "two", "three"):
-        machine.step(Finished(endpoint_id=name, outcome="unreachable"), now=1.0)
-    assert isinstance(ask(machine, now=1.1), Place)
+        machine.step(RequestFinished(endpoint_id=name, outcome="unreachable"), now=1.0)
+    assert isinstance(ask(machine, now=1.1), Placement)
 
 
 def test_low_error_rate_does_not_eject_an_endpoint():
@@ -239,11 +241,11 @@
     for number in range(300):
         failed = rng.random() < 0.14
         outcome = "failed" if failed else "done"
-        machine.step(Sent(endpoint_id="one"), now=float(number))
-        done = Finished(endpoint_id="one", outcome=outcome, seconds=0.04)
+        machine.step(RequestSent(endpoint_id="one"), now=float(number))
+        done = RequestFinished(endpoint_id="one", outcome=outcome, seconds=0.04)
         machine.step(done, now=float(number))
         answer = ask(machine, service="plain", now=number + 0.9)
-        assert isinstance(answer, Place)
+        assert isinstance(answer, Placement)
 
 
 def test_entry_that_lapsed_during_an_outage_is_used_briefly():
@@ -254,19 +256,19 @@
     """
     machine = fleet(entry("one"))
     machine.step(EndpointsListed(entries=(), contact_regained_at=10.0), now=10.1)
-    assert isinstance(ask(machine, now=10.2), Place)
-    assert isinstance(ask(machine, now=12.0), Decline)
+    assert isinstance(ask(machine, now=10.2), Placement)
+    assert isinstance(ask(machine, now=12.0), Rejection)
 
 
 def test_entry_that_vanishes_without_an_outage_is_not_used():
     machine = fleet(entry("one"))
     machine.step(EndpointsListed(entries=()), now=50.0)
-    assert isinstance(ask(machine, now=50.0), Decline)
+    assert isinstance(ask(machine, now=50.0), Rejection)
 
 
 def test_moved_endpoint_gets_no_requests():
     machine = fleet(entry("one"), entry("two"))
-    machine.step(Finished(endpoint_id="one", outcome="moved"), now=1.0)
+    machine.step(RequestFinished(endpoint_id="one", outcome="moved"), now=1.0)
     assert ask(machine).endpoint_id == "two"
 
 
@@ -279,7 +281,7 @@
     list. Cause: each update of the list cleared the mark of the old entry.
     """
     machine = fleet(entry("one"), entry("two"))
-    machine.step(Finished(endpoint_id="one", outcome="moved"), now=1.0)
+    machine.step(RequestFinished(endpoint_id="one", outcome="moved"), now=1.0)
     machine.step(EndpointsListed(entries=(entry("one"), entry("two"))), now=1.1)
     assert {ask(machine, now=1.2).endpoint_id for _ in range(10)} == {"two"}
     listed = (entry("one", address="three:1"), entry("two"))
@@ -290,10 +292,10 @@
 
 def test_load_is_the_reported_load_plus_requests_sent_since():
     machine = fleet(entry("one"), entry("two"))
-    machine.step(LoadSeen(endpoint_id="one", load=3), now=1.0)
-    machine.step(Sent(endpoint_id="one"), now=1.0)
+    machine.step(LoadObserved(endpoint_id="one", load=3), now=1.0)
+    machine.step(RequestSent(endpoint_id="one"), now=1.0)
     assert machine.endpoint_by_id["one"].load == 4
-    machine.step(LoadSeen(endpoint_id="one", load=2), now=1.1)
+    machine.step(LoadObserved(endpoint_id="one", load=2), now=1.1)
     assert machine.endpoint_by_id["one"].load == 2
 
 
@@ -305,8 +307,8 @@
     """
     machine = fleet(entry("one", service="plain", layers=None, slots=2))
     for number in range(50):
-        machine.step(Sent(endpoint_id="one"), now=float(number))
-        done = Finished(endpoint_id="one", outcome="done", seconds=0.04)
+        machine.step(RequestSent(endpoint_id="one"), now=float(number))
+        done = RequestFinished(endpoint_id="one", outcome="done", seconds=0.04)
         machine.step(done, now=number + 0.5)
     assert machine.endpoint_by_id["one"].load == 0
 
@@ -351,14 +353,14 @@
             while running[name] and free_at[name] <= now:
                 running[name] -= 1
                 free_at[name] += release
-                machine.step(Finished(endpoint_id=name, outcome="done"), now=now)
+                machine.step(RequestFinished(endpoint_id=name, outcome="done"), now=now)
             report(machine, name, load=running[name], now=now)
         answer = ask(machine, now=now)
-        if isinstance(answer, Decline):
+        if isinstance(answer, Rejection):
             outcomes["refused"] += 1
             continue
         name = answer.endpoint_id
-        machine.step(Sent(endpoint_id=name), now=now)
+        machine.step(RequestSent(endpoint_id=name), now=now)
         if running[name] == 0:
             free_at[name] = now + release
         waiting = max(0, running[name] + 1 - 16) * release
--- a/hawthornspoke/placing/tests/test_full_links.py
+++ b/hawthornspoke/placing/tests/test_full_links.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hawthornspoke.catalog import DeclaredWeights
-from hawthornspoke.placing import Decline, Place, WeightsDeclared
+from hawthornspoke.placing import Placement, Rejection, WeightsDeclared
 from hawthornspoke.placing.tests.test_fleet import ask, entry, fleet, report
 
 BOUND_AT = 18.0
@@ -35,9 +35,9 @@
     for name in ("one", "two"):
         report(machine, name, now=12.0, link_delay=link_delay)
     place = ask(machine, now=12.1, on_time_left=4.0)
-    assert isinstance(place, Place)
+    assert isinstance(place, Placement)
     # Timers of a busy process fire 0.1 s late.
-    assert place.begin_deadline + 0.1 + link_delay <= BOUND_AT
+    assert place.start_deadline + 0.1 + link_delay <= BOUND_AT
 
 
 def test_request_that_cannot_be_on_time_is_rejected_at_once():
@@ -53,4 +53,4 @@
     machine = fleet(entry("one"), entry("two"))
     for name in ("one", "two"):
         report(machine, name, link_delay=HIGH_DELAY)
-    assert isinstance(ask(machine, on_time_left=0.4), Decline)
+    assert isinstance(ask(machine, on_time_left=0.4), Rejection)
--- a/hawthornspoke/placing/tests/test_herd.py
+++ b/hawthornspoke/placing/tests/test_herd.py
@@ -7,14 +7,14 @@
 from hawthornspoke.catalog import EndpointEntry, Service
 from hawthornspoke.catalog.tests.profiles import engine_profile
 from hawthornspoke.placing import (
-    Ask,
     CatalogChanged,
     EndpointsListed,
     EngineReported,
-    EntryHostsSeen,
+    EntryHostsUpdated,
     Fleet,
-    Place,
-    Sent,
+    Placement,
+    PlacementRequest,
+    RequestSent,
 )
 from hawthornspoke.placing._herd import DecayingRate, estimated_growth
 
@@ -51,7 +51,7 @@
         services = {"s": Service(name="s", engine=ENGINE)}
         fleet.step(CatalogChanged(service_by_name=services), now=0.0)
         fleet.step(EndpointsListed(entries=entries), now=0.0)
-        fleet.step(EntryHostsSeen(near=hosts // 2, all=hosts), now=0.0)
+        fleet.step(EntryHostsUpdated(near=hosts // 2, all=hosts), now=0.0)
         made.append(fleet)
     return made
 
@@ -80,7 +80,7 @@
     while now < start + seconds:
         now += rng.expovariate(REQUESTS_A_SECOND * len(fleets))
         fleet = rng.choice(fleets)
-        ask = Ask(
+        ask = PlacementRequest(
             service="s",
             prompt_tokens=900,
             on_time_left=aim,
@@ -88,8 +88,8 @@
             returned=returned,
         )
         (answer,) = fleet.step(ask, now=now)
-        if isinstance(answer, Place):
-            fleet.step(Sent(endpoint_id=answer.endpoint_id), now=now)
+        if isinstance(answer, Placement):
+            fleet.step(RequestSent(endpoint_id=answer.endpoint_id), now=now)
             requests_by_engine[int(answer.endpoint_id[1:])] += 1
         else:
             declined += 1
--- a/hawthornspoke/placing/tests/test_incarnations.py
+++ b/hawthornspoke/placing/tests/test_incarnations.py
@@ -5,11 +5,11 @@
 from hawthornspoke.catalog import UNKNOWN_START, Incarnation
 from hawthornspoke.placing import (
     AgentLost,
-    Decline,
     EndpointsListed,
-    Finished,
-    LoadSeen,
-    Sent,
+    LoadObserved,
+    Rejection,
+    RequestFinished,
+    RequestSent,
 )
 from hawthornspoke.placing.tests.test_fleet import ask, entry, fleet, report
 
@@ -43,15 +43,17 @@
 def send_and_fail(machine, incarnation, *, count=3):
     """Send requests that don't end to an incarnation, and let one fail."""
     for _ in range(count):
-        machine.step(Sent(endpoint_id="one", incarnation=incarnation), now=0.5)
-    failed = Finished(endpoint_id="one", outcome="silent", incarnation=incarnation)
+        machine.step(RequestSent(endpoint_id="one", incarnation=incarnation), now=0.5)
+    failed = RequestFinished(
+        endpoint_id="one", outcome="silent", incarnation=incarnation
+    )
     machine.step(failed, now=0.6)
 
 
 def assert_no_state(endpoint):
     """Check that an endpoint has no state of earlier incarnations."""
     assert endpoint.load == 0
-    assert endpoint.own_running == 0
+    assert endpoint.own_in_flight == 0
     assert endpoint.failure_rate == 0.0
     assert endpoint.ejected_until == 0.0
     assert endpoint.ejection_count == 0
@@ -84,13 +86,13 @@
     report(machine, "one", incarnation=FIRST, now=0.4)
     send_and_fail(machine, FIRST)
     report(machine, "one", version=None, incarnation=SECOND, now=1.0)
-    assert endpoint_of(machine).own_running == 0
+    assert endpoint_of(machine).own_in_flight == 0
     assert endpoint_of(machine).failure_rate == 0.0
-    assert isinstance(ask(machine), Decline)
+    assert isinstance(ask(machine), Rejection)
     machine.step(AgentLost(address="one:1"), now=1.1)
     assert endpoint_of(machine).weights_version is None
     list_entries(machine, entry("one", incarnation=FIRST), now=1.2)
-    assert isinstance(ask(machine, now=1.2), Decline)
+    assert isinstance(ask(machine, now=1.2), Rejection)
     list_entries(machine, entry("one", incarnation=SECOND), now=1.3)
     assert ask(machine, now=1.3).incarnation == SECOND
 
@@ -104,7 +106,7 @@
     """
     machine = fleet(entry("one", incarnation=FIRST, leaving=True))
     report(machine, "one", incarnation=FIRST, now=0.4)
-    assert isinstance(ask(machine), Decline)
+    assert isinstance(ask(machine), Rejection)
     report(machine, "one", incarnation=SECOND, now=1.0)
     assert ask(machine).incarnation == SECOND
     list_entries(machine, entry("one", incarnation=FIRST, leaving=True), now=1.1)
@@ -125,7 +127,7 @@
     report(machine, "one", incarnation=FIRST, load=9, now=2.5)
     assert_no_state(endpoint_of(machine))
     assert endpoint_of(machine).weights_version is None
-    assert isinstance(ask(machine, now=2.5), Decline)
+    assert isinstance(ask(machine, now=2.5), Rejection)
     report(machine, "one", incarnation=SECOND, load=1, now=2.6)
     assert endpoint_of(machine).load == 1
     assert ask(machine, now=2.6).incarnation == SECOND
@@ -168,11 +170,11 @@
     machine = fleet(entry("one", incarnation=FIRST))
     send_and_fail(machine, FIRST)
     list_entries(machine, entry("one", incarnation=SECOND))
-    machine.step(Sent(endpoint_id="one", incarnation=SECOND), now=1.1)
-    late = Finished(endpoint_id="one", outcome=outcome, incarnation=FIRST)
+    machine.step(RequestSent(endpoint_id="one", incarnation=SECOND), now=1.1)
+    late = RequestFinished(endpoint_id="one", outcome=outcome, incarnation=FIRST)
     machine.step(late, now=1.2)
-    machine.step(LoadSeen(endpoint_id="one", load=12, incarnation=FIRST), now=1.2)
-    assert endpoint_of(machine).own_running == 1
+    machine.step(LoadObserved(endpoint_id="one", load=12, incarnation=FIRST), now=1.2)
+    assert endpoint_of(machine).own_in_flight == 1
     assert endpoint_of(machine).load == 1
     assert endpoint_of(machine).failure_rate == 0.0
     assert not endpoint_of(machine).gone
@@ -183,11 +185,11 @@
     """The same for an incarnation that the list had not reported yet."""
     machine = fleet(entry("one"))
     assert ask(machine).incarnation == UNKNOWN_START
-    machine.step(Sent(endpoint_id="one"), now=0.5)
+    machine.step(RequestSent(endpoint_id="one"), now=0.5)
     list_entries(machine, entry("one", incarnation=FIRST))
-    assert endpoint_of(machine).own_running == 1
+    assert endpoint_of(machine).own_in_flight == 1
     list_entries(machine, entry("one", incarnation=SECOND))
-    machine.step(Finished(endpoint_id="one", outcome="silent"), now=1.2)
+    machine.step(RequestFinished(endpoint_id="one", outcome="silent"), now=1.2)
     assert_no_state(endpoint_of(machine))
 
 
@@ -215,15 +217,15 @@
     report(machine, "one", incarnation=CLOCK_BACK, version=None, now=1.0)
     list_entries(machine, entry("one", incarnation=FIRST), now=1.1)
     assert endpoint_of(machine).incarnation == CLOCK_BACK
-    assert isinstance(ask(machine, now=1.1), Decline)
+    assert isinstance(ask(machine, now=1.1), Rejection)
 
 
 def test_entry_without_an_incarnation_keeps_the_state():
     """Rows of older writers lack the incarnation, which doesn't mean a new one."""
     machine = fleet(entry("one", incarnation=FIRST))
-    machine.step(Sent(endpoint_id="one", incarnation=FIRST), now=0.5)
+    machine.step(RequestSent(endpoint_id="one", incarnation=FIRST), now=0.5)
     list_entries(machine, entry("one"))
-    assert endpoint_of(machine).own_running == 1
+    assert endpoint_of(machine).own_in_flight == 1
     assert endpoint_of(machine).incarnation == FIRST
     list_entries(machine, entry("one", incarnation=SECOND))
     assert_no_state(endpoint_of(machine))
@@ -233,7 +235,7 @@
     machine = fleet(entry("one", incarnation=FIRST))
     send_and_fail(machine, FIRST)
     list_entries(machine, entry("one", incarnation=FIRST, slots=8))
-    assert endpoint_of(machine).own_running == 2
+    assert endpoint_of(machine).own_in_flight == 2
     assert endpoint_of(machine).failure_rate > 0
 
 
@@ -260,11 +262,11 @@
     machine = fleet(entry("one", incarnation=FIRST))
     report(machine, "one", incarnation=FIRST, load=30, now=0.4)
     for _ in range(2):
-        machine.step(Sent(endpoint_id="one", incarnation=FIRST), now=0.5)
+        machine.step(RequestSent(endpoint_id="one", incarnation=FIRST), now=0.5)
     for _ in range(2):
-        broken = Finished(endpoint_id="one", outcome="failed", incarnation=FIRST)
+        broken = RequestFinished(endpoint_id="one", outcome="failed", incarnation=FIRST)
         machine.step(broken, now=0.6)
-    machine.step(LoadSeen(endpoint_id="one", load=0, incarnation=FIRST), now=0.7)
+    machine.step(LoadObserved(endpoint_id="one", load=0, incarnation=FIRST), now=0.7)
     assert endpoint_of(machine).load == 0
     list_entries(machine, entry("one", incarnation=SECOND), now=0.8)
     assert_no_state(endpoint_of(machine))
@@ -299,7 +301,7 @@
     """
     machine = fleet(entry("one"))
     report(machine, "one", load=9, now=0.4)
-    machine.step(Sent(endpoint_id="one"), now=0.5)
+    machine.step(RequestSent(endpoint_id="one"), now=0.5)
     list_entries(machine, now=1.0)
     machine.step(AgentLost(address="one:1"), now=1.1)
     list_entries(machine, entry_without_weights(UNKNOWN_START), now=1.2)
--- a/hawthornspoke/placing/tests/test_reading.py
+++ b/hawthornspoke/placing/tests/test_reading.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hawthornspoke.placing import Place, Sent
+from hawthornspoke.placing import Placement, RequestSent
 from hawthornspoke.placing._reading import PrefillBacklog
 from hawthornspoke.placing.tests.test_fleet import ENGINE, ask, entry, fleet, report
 
@@ -40,9 +40,9 @@
     for moment in sorted(rng.uniform(0.0, ARRIVAL_SPAN) for _ in range(CALLERS)):
         now = 1.0 + moment
         place = ask(machine, now=now, on_time_left=TARGET_LATENCY, prompt_tokens=PROMPT)
-        if isinstance(place, Place):
+        if isinstance(place, Placement):
             name = place.endpoint_id
-            machine.step(Sent(endpoint_id=name, prompt_tokens=PROMPT), now=now)
+            machine.step(RequestSent(endpoint_id=name, prompt_tokens=PROMPT), now=now)
             arrivals_by_name[name].append(moment)
     waits = [
         wait
--- a/hawthornspoke/placing/tests/test_recheck.py
+++ b/hawthornspoke/placing/tests/test_recheck.py
@@ -5,13 +5,13 @@
 from hawthornspoke.catalog import DeclaredWeights, EndpointEntry, Service
 from hawthornspoke.catalog.tests.profiles import engine_profile
 from hawthornspoke.placing import (
-    Ask,
     CatalogChanged,
-    Decline,
     EndpointsListed,
     Fleet,
-    Place,
-    Recheck,
+    Placement,
+    PlacementRecheck,
+    PlacementRequest,
+    Rejection,
     WeightsDeclared,
 )
 
@@ -43,14 +43,16 @@
 
 def choose(machine, now=0.0):
     """Return the selected endpoint."""
-    (place,) = machine.step(Ask(service="s"), now=now)
-    assert isinstance(place, Place)
+    (place,) = machine.step(PlacementRequest(service="s"), now=now)
+    assert isinstance(place, Placement)
     return place
 
 
 def recheck(machine, place, now=0.0):
     """Return the answer to a recheck."""
-    (answer,) = machine.step(Recheck(ask=Ask(service="s"), place=place), now=now)
+    (answer,) = machine.step(
+        PlacementRecheck(ask=PlacementRequest(service="s"), place=place), now=now
+    )
     return answer
 
 
@@ -72,13 +74,13 @@
 def test_endpoint_changed(machine, entries):
     place = choose(machine)
     machine.step(EndpointsListed(entries=entries), now=1.0)
-    assert isinstance(recheck(machine, place, now=1.0), Decline)
+    assert isinstance(recheck(machine, place, now=1.0), Rejection)
 
 
 def test_service_was_removed(machine):
     place = choose(machine)
     machine.step(CatalogChanged(service_by_name={}), now=1.0)
-    assert isinstance(recheck(machine, place, now=1.0), Decline)
+    assert isinstance(recheck(machine, place, now=1.0), Rejection)
 
 
 def test_recheck_applies_a_declaration_since_the_selection():
@@ -88,9 +90,9 @@
     """
     machine = fleet(ENGINE)
     place = choose(machine)
-    assert place.begin_deadline is None
+    assert place.start_deadline is None
     declared = DeclaredWeights(model="m", version=2)
     machine.step(WeightsDeclared(declared=declared, at=1.0), now=1.0)
     again = recheck(machine, place, now=1.0)
-    assert again.begin_deadline == pytest.approx(1.0 + 8.0 - 0.4)
-    assert isinstance(recheck(machine, place, now=8.5), Decline)
+    assert again.start_deadline == pytest.approx(1.0 + 8.0 - 0.4)
+    assert isinstance(recheck(machine, place, now=8.5), Rejection)
--- a/hawthornspoke/placing/tests/test_subset.py
+++ b/hawthornspoke/placing/tests/test_subset.py
@@ -5,13 +5,13 @@
 import pytest
 
 from hawthornspoke.placing._subset import (
-    LEAST_NEAR,
     MAX_FAR_ENGINES,
     MIN_HOSTS_PER_ENGINE,
+    MIN_NEAR_ENGINES,
     NARROW_COOLDOWN,
     Subset,
 )
-from hawthornspoke.placing.tests.playing import Play
+from hawthornspoke.placing.tests.playing import LoadSimulation
 
 #: Entry hosts and engines of one failure domain in typical deployments: few, a
 #: fifth of 99 and of 156, and a ninth of 330 and of 1,600.
@@ -53,8 +53,8 @@
 
 def test_subset_includes_all_of_few_engines():
     """With a dozen engines all hosts follow all engines."""
-    for subset in subsets(hosts=3, engines=LEAST_NEAR, far=MAX_FAR_ENGINES):
-        assert len(subset.since_by_id) == LEAST_NEAR + MAX_FAR_ENGINES
+    for subset in subsets(hosts=3, engines=MIN_NEAR_ENGINES, far=MAX_FAR_ENGINES):
+        assert len(subset.since_by_id) == MIN_NEAR_ENGINES + MAX_FAR_ENGINES
         assert (subset.near_share, subset.far_share) == (1.0, 1.0)
 
 
@@ -98,7 +98,7 @@
     for _ in range(int(4 * NARROW_COOLDOWN / 0.05)):
         now += 0.05
         subset.count(spilled=False, now=now)
-    assert len(near(subset)) == LEAST_NEAR
+    assert len(near(subset)) == MIN_NEAR_ENGINES
 
 
 def test_imminent_rejection_widens_the_subset_at_once():
@@ -115,23 +115,28 @@
     eight engines, and use others once these are full, serve as many requests on time
     with less than half of the messages, and the busiest engine gets no more.
     """
-    without_subset = Play(taken=0.8, keeps=False).run()
-    kept = Play(taken=0.8, keeps=True).run()
+    without_subset = LoadSimulation(mean_demand=0.8, uses_subset=False).run()
+    kept = LoadSimulation(mean_demand=0.8, uses_subset=True).run()
     assert kept.share_on_time() >= without_subset.share_on_time() - 0.01
     assert kept.imbalance() <= without_subset.imbalance() + 0.1
     assert kept.messages <= 0.5 * without_subset.messages
 
 
-@pytest.mark.parametrize("taken", [0.9, 1.0, 1.2])
-def test_subset_serves_as_many_on_time_at_full_load(taken):
+@pytest.mark.parametrize("mean_demand", [0.9, 1.0, 1.2])
+def test_subset_serves_as_many_on_time_at_full_load(mean_demand):
     """The same with nearly all slots occupied, or demand above capacity.
 
     A host then has to widen its subset to all engines in time. Sums of three seeds,
     since single runs differ by several percent at 1.0.
     """
     shares = []
-    for keeps in (False, True):
-        plays = [Play(taken=taken, keeps=keeps, seed=seed).run() for seed in (3, 4, 5)]
+    for uses_subset in (False, True):
+        plays = [
+            LoadSimulation(
+                mean_demand=mean_demand, uses_subset=uses_subset, seed=seed
+            ).run()
+            for seed in (3, 4, 5)
+        ]
         asked = sum(item.on_time + item.late + item.refused for item in plays)
         shares.append(sum(item.on_time for item in plays) / asked)
     without_subset, kept = shares
--- a/hawthornspoke/quarantine/__init__.py
+++ b/hawthornspoke/quarantine/__init__.py
@@ -1,31 +1,31 @@
 """Detection and quarantine of requests that crash the endpoints that run them."""
 
-from hawthornspoke.quarantine._evidence import EVIDENCE_FOR, Evidence
+from hawthornspoke.quarantine._evidence import EVIDENCE_LIFETIME, Evidence
 from hawthornspoke.quarantine._exchange import EvidenceExchange
 from hawthornspoke.quarantine._fingerprint import fingerprint_of
 from hawthornspoke.quarantine._messages import (
-    Answered,
     EndpointEnded,
-    EvidenceHeard,
-    News,
+    EvidenceReceived,
+    EvidenceUpdate,
     Quarantined,
     Released,
+    RequestCompleted,
 )
 from hawthornspoke.quarantine._quarantine import Quarantine
-from hawthornspoke.quarantine._wire import read_evidence, write_evidence
+from hawthornspoke.quarantine._wire import decode_evidence, encode_evidence
 
 __all__ = [
-    "EVIDENCE_FOR",
-    "Answered",
+    "EVIDENCE_LIFETIME",
     "EndpointEnded",
     "Evidence",
     "EvidenceExchange",
-    "EvidenceHeard",
-    "News",
+    "EvidenceReceived",
+    "EvidenceUpdate",
     "Quarantine",
     "Quarantined",
     "Released",
+    "RequestCompleted",
+    "decode_evidence",
+    "encode_evidence",
     "fingerprint_of",
-    "read_evidence",
-    "write_evidence",
 ]
--- a/hawthornspoke/quarantine/_evidence.py
+++ b/hawthornspoke/quarantine/_evidence.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 #: Lifetime of evidence in seconds.
-EVIDENCE_FOR = 900.0
+EVIDENCE_LIFETIME = 900.0
 
 #: Maximum number of requests with evidence, and of ends for each.
 MAX_REQUESTS = 512
--- a/hawthornspoke/quarantine/_exchange.py
+++ b/hawthornspoke/quarantine/_exchange.py
@@ -2,10 +2,10 @@
 
 from hawthornspoke.base import MACHINES, Machine
 from hawthornspoke.quarantine._evidence import EvidenceStore
-from hawthornspoke.quarantine._messages import EvidenceHeard, News
+from hawthornspoke.quarantine._messages import EvidenceReceived, EvidenceUpdate
 
 #: Messages that the machine handles.
-MESSAGES = (EvidenceHeard,)
+MESSAGES = (EvidenceReceived,)
 
 #: Number of ends from which evidence of a request is shared with all entry hosts. Most
 #: requests with one end only ran alongside the cause.
@@ -21,17 +21,17 @@
     def __init__(self):
         self._store = EvidenceStore()
 
-    def on_evidence_heard(self, message, *, now):
+    def on_evidence_received(self, message, *, now):
         """Merge evidence of an entry host; return what to send to all of them.
 
         Parameters
         ----------
-        message : EvidenceHeard
+        message : EvidenceReceived
         now : float
 
         Returns
         -------
-        list of News
+        list of EvidenceUpdate
         """
         changed = {
             item.fingerprint: None
@@ -64,4 +64,4 @@
 
 
 def _to_messages(items):
-    return [News(items=tuple(items))] if items else []
+    return [EvidenceUpdate(items=tuple(items))] if items else []
--- a/hawthornspoke/quarantine/_messages.py
+++ b/hawthornspoke/quarantine/_messages.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class EvidenceHeard:
+class EvidenceReceived:
     """Another process sent evidence.
 
     Parameters
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Answered:
+class RequestCompleted:
     """An endpoint completed a request and is still running.
 
     Parameters
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class News:
+class EvidenceUpdate:
     """New evidence to send to other processes.
 
     Parameters
--- a/hawthornspoke/quarantine/_quarantine.py
+++ b/hawthornspoke/quarantine/_quarantine.py
@@ -1,18 +1,22 @@
 """State machine that decides which requests are no longer sent to endpoints."""
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
-from hawthornspoke.quarantine._evidence import EVIDENCE_FOR, Evidence, EvidenceStore
+from hawthornspoke.quarantine._evidence import (
+    EVIDENCE_LIFETIME,
+    Evidence,
+    EvidenceStore,
+)
 from hawthornspoke.quarantine._messages import (
-    Answered,
     EndpointEnded,
-    EvidenceHeard,
-    News,
+    EvidenceReceived,
+    EvidenceUpdate,
     Quarantined,
     Released,
+    RequestCompleted,
 )
 
 #: Messages that the machine handles.
-MESSAGES = (Answered, EndpointEnded, EvidenceHeard)
+MESSAGES = (RequestCompleted, EndpointEnded, EvidenceReceived)
 
 #: Ends beyond the threshold at which a request is quarantined even if other requests
 #: ran at each of its ends, since one of those may have been the cause.
@@ -79,51 +83,53 @@
 
         Returns
         -------
-        list of News, Quarantined or Released
+        list of EvidenceUpdate, Quarantined or Released
         """
         end = self._recent_end_by_start.setdefault(message.start, _RecentEnd(at=now))
         end.fingerprints.update(message.fingerprints)
         self._expire_ends(now)
         items = [
-            Evidence(fingerprint=name, start=message.start, deadline=now + EVIDENCE_FOR)
+            Evidence(
+                fingerprint=name, start=message.start, deadline=now + EVIDENCE_LIFETIME
+            )
             for name in message.fingerprints
         ]
         if self._is_mass_failure(message, now):
             items += self._clear_mass_failure(now)
         return self._merge(items, now)
 
-    def on_evidence_heard(self, message, *, now):
+    def on_evidence_received(self, message, *, now):
         """Merge evidence received from another process.
 
         Parameters
         ----------
-        message : EvidenceHeard
+        message : EvidenceReceived
         now : float
 
         Returns
         -------
-        list of News, Quarantined or Released
+        list of EvidenceUpdate, Quarantined or Released
         """
         return self._merge(message.items, now)
 
-    def on_answered(self, message, *, now):
+    def on_request_completed(self, message, *, now):
         """Clear a request that an endpoint has completed.
 
         Parameters
         ----------
-        message : Answered
+        message : RequestCompleted
         now : float
 
         Returns
         -------
-        list of News or Released
+        list of EvidenceUpdate or Released
         """
         if message.fingerprint not in self._store:
             return []
         known = self._store.items_of(message.fingerprint, now=now)
         return self._merge([_cleared(item) for item in known], now)
 
-    def refused_until(self, fingerprint, *, now):
+    def quarantined_until(self, fingerprint, *, now):
         """Return until when a request is quarantined.
 
         Parameters
@@ -184,7 +190,8 @@
             "refused_for": {
                 fingerprint: round(deadline - now, 1)
                 for fingerprint in sorted(self._quarantined)
-                if (deadline := self.refused_until(fingerprint, now=now)) is not None
+                if (deadline := self.quarantined_until(fingerprint, now=now))
+                is not None
             },
         }
 
@@ -192,7 +199,7 @@
         news = tuple(item for item in items if self._store.add(item, now=now))
         if not news:
             return []
-        return [News(items=news), *self._update_quarantine(now)]
+        return [EvidenceUpdate(items=news), *self._update_quarantine(now)]
 
     def _update_quarantine(self, now):
         """Update the quarantined requests; return the changes."""
@@ -244,7 +251,7 @@
             Evidence(
                 fingerprint=fingerprint,
                 start=start,
-                deadline=now + EVIDENCE_FOR,
+                deadline=now + EVIDENCE_LIFETIME,
                 cleared=True,
             )
             for start, end in starts.items()
--- a/hawthornspoke/quarantine/_wire.py
+++ b/hawthornspoke/quarantine/_wire.py
@@ -1,13 +1,13 @@
 """Encoding and decoding of evidence for the wire."""
 
 from hawthornspoke.protocol import EndEvidence
-from hawthornspoke.quarantine._evidence import EVIDENCE_FOR, Evidence
+from hawthornspoke.quarantine._evidence import EVIDENCE_LIFETIME, Evidence
 
 #: Maximum length of a fingerprint or an incarnation.
 MAX_LENGTH = 200
 
 
-def write_evidence(items, *, now):
+def encode_evidence(items, *, now):
     """Encode evidence.
 
     Parameters
@@ -31,7 +31,7 @@
     ]
 
 
-def read_evidence(received, *, now):
+def decode_evidence(received, *, now):
     """Decode received evidence, skipping invalid items.
 
     Parameters
@@ -47,7 +47,7 @@
         Evidence(
             fingerprint=item.fingerprint,
             start=item.endpoint_start,
-            deadline=now + min(item.left_ms / 1000, EVIDENCE_FOR),
+            deadline=now + min(item.left_ms / 1000, EVIDENCE_LIFETIME),
             cleared=bool(item.cleared),
         )
         for item in received or ()
--- a/hawthornspoke/quarantine/tests/test_exchange.py
+++ b/hawthornspoke/quarantine/tests/test_exchange.py
@@ -1,6 +1,6 @@
 """Exchange of evidence between agents and entry hosts."""
 
-from hawthornspoke.quarantine import Evidence, EvidenceExchange, EvidenceHeard
+from hawthornspoke.quarantine import Evidence, EvidenceExchange, EvidenceReceived
 
 
 def item(start, *, fingerprint="f", cleared=False, deadline=100.0):
@@ -11,7 +11,7 @@
 
 def deliver(exchange, *items, now=1.0):
     """Return the incarnations that are shared after delivering some items."""
-    outcomes = exchange.step(EvidenceHeard(items=items), now=now)
+    outcomes = exchange.step(EvidenceReceived(items=items), now=now)
     return [shared.start for news in outcomes for shared in news.items]
 
 
--- a/hawthornspoke/quarantine/tests/test_quarantine.py
+++ b/hawthornspoke/quarantine/tests/test_quarantine.py
@@ -3,15 +3,15 @@
 from hypothesis import given, settings, strategies
 
 from hawthornspoke.quarantine import (
-    EVIDENCE_FOR,
-    Answered,
+    EVIDENCE_LIFETIME,
     EndpointEnded,
     Evidence,
-    EvidenceHeard,
-    News,
+    EvidenceReceived,
+    EvidenceUpdate,
     Quarantine,
     Quarantined,
     Released,
+    RequestCompleted,
 )
 from hawthornspoke.quarantine._evidence import MAX_REQUESTS
 
@@ -23,7 +23,7 @@
 
 
 def is_refused(machine, fingerprint, *, now=10.0):
-    return machine.refused_until(fingerprint, now=now) is not None
+    return machine.quarantined_until(fingerprint, now=now) is not None
 
 
 def of_kind(outcomes, kind):
@@ -52,8 +52,8 @@
     machine = Quarantine()
     for number in range(3):
         end(machine, f"e{number}", "poison", now=float(number))
-    assert machine.refused_until("poison", now=5.0) == EVIDENCE_FOR
-    assert not is_refused(machine, "poison", now=EVIDENCE_FOR + 0.1)
+    assert machine.quarantined_until("poison", now=5.0) == EVIDENCE_LIFETIME
+    assert not is_refused(machine, "poison", now=EVIDENCE_LIFETIME + 0.1)
 
 
 def test_requests_that_ran_beside_a_poison_request_are_not_refused():
@@ -110,7 +110,7 @@
     machine = Quarantine()
     end(machine, "e1", "popular", now=1.0)
     end(machine, "e2", "popular", now=2.0)
-    (news,) = machine.step(Answered(fingerprint="popular"), now=2.5)
+    (news,) = machine.step(RequestCompleted(fingerprint="popular"), now=2.5)
     assert {item.start for item in news.items if item.cleared} == {"e1", "e2"}
     end(machine, "e3", "popular", now=3.0)
     assert not is_refused(machine, "popular")
@@ -120,13 +120,13 @@
     machine = Quarantine()
     for number in range(3):
         end(machine, f"e{number}", "popular", now=float(number))
-    outcomes = machine.step(Answered(fingerprint="popular"), now=4.0)
+    outcomes = machine.step(RequestCompleted(fingerprint="popular"), now=4.0)
     assert of_kind(outcomes, Released)
     assert not is_refused(machine, "popular")
 
 
 def test_completion_of_an_unsuspected_request_changes_nothing():
-    assert Quarantine().step(Answered(fingerprint="usual"), now=1.0) == []
+    assert Quarantine().step(RequestCompleted(fingerprint="usual"), now=1.0) == []
 
 
 def test_mass_end_of_endpoints_is_no_evidence_against_their_requests():
@@ -184,17 +184,19 @@
     news = []
     for number, host in enumerate(hosts):
         outcomes = end(host, f"e{number}", "poison", now=1.0)
-        news += [item for told in of_kind(outcomes, News) for item in told.items]
+        news += [
+            item for told in of_kind(outcomes, EvidenceUpdate) for item in told.items
+        ]
     for host in hosts:
-        host.step(EvidenceHeard(items=tuple(news)), now=1.1)
+        host.step(EvidenceReceived(items=tuple(news)), now=1.1)
         assert is_refused(host, "poison")
 
 
 def test_known_evidence_is_ignored():
     machine = Quarantine()
     item = Evidence(fingerprint="f", start="e", deadline=100.0)
-    assert machine.step(EvidenceHeard(items=(item,)), now=1.0)
-    assert machine.step(EvidenceHeard(items=(item,)), now=1.0) == []
+    assert machine.step(EvidenceReceived(items=(item,)), now=1.0)
+    assert machine.step(EvidenceReceived(items=(item,)), now=1.0) == []
 
 
 def test_requests_with_one_end_do_not_displace_a_quarantined_one():
@@ -203,7 +205,7 @@
         end(machine, f"e{number}", "poison", now=float(number))
     for number in range(3 * MAX_REQUESTS):
         end(machine, f"x{number}", f"usual-{number}", now=4.0 + 0.3 * number)
-    assert is_refused(machine, "poison", now=EVIDENCE_FOR - 1.0)
+    assert is_refused(machine, "poison", now=EVIDENCE_LIFETIME - 1.0)
     assert machine.dump(now=5.0)["requests"] <= MAX_REQUESTS
 
 
@@ -228,10 +230,10 @@
 def test_hosts_agree_whatever_the_order_of_evidence(items, seed):
     """Guards against one host refusing a request that another one sends."""
     first, second = Quarantine(), Quarantine()
-    first.step(EvidenceHeard(items=tuple(items)), now=1.0)
+    first.step(EvidenceReceived(items=tuple(items)), now=1.0)
     shuffled = list(items)
     seed.shuffle(shuffled)
     for item in shuffled:
-        second.step(EvidenceHeard(items=(item,)), now=1.0)
+        second.step(EvidenceReceived(items=(item,)), now=1.0)
     for name in ("a", "b", "c"):
         assert is_refused(first, name) == is_refused(second, name)
--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -2,7 +2,7 @@
 
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.catalog import RouteTable
-from hawthornspoke.placing import Decline, Recheck
+from hawthornspoke.placing import PlacementRecheck, Rejection
 
 #: Retry-After in seconds while this host has no configuration yet, or can't confirm
 #: that a key is still valid: the duration of a short outage.
@@ -104,21 +104,21 @@
         ----------
         context : RequestContext
             Its ``rejection`` is set if no endpoint may run it any more.
-        ask : Ask
-        place : Place
+        ask : PlacementRequest
+        place : Placement
 
         Returns
         -------
-        Place or Failure
+        Placement or Failure
             The updated place; ``ENDPOINT_CHANGED`` if another endpoint may be used.
         """
         failure = self._check_configuration(context)
         if failure is None:
             failure = self._suspects.refusal(context.fingerprint)
         if failure is None:
-            message = Recheck(ask=ask, place=place)
+            message = PlacementRecheck(ask=ask, place=place)
             (decision,) = self._fleet.step(message, now=monotonic())
-            if isinstance(decision, Decline):
+            if isinstance(decision, Rejection):
                 return ENDPOINT_CHANGED.with_reason(decision.reason)
             failure = self._check_caller(context)
         if failure is None:
--- a/hawthornspoke/relay/_choosing.py
+++ b/hawthornspoke/relay/_choosing.py
@@ -1,9 +1,9 @@
 """Endpoint selection for a request, and the decision whether it may be retried."""
 
 from hawthornspoke.base import monotonic
-from hawthornspoke.placing import Ask, Decline
+from hawthornspoke.placing import PlacementRequest, Rejection
 from hawthornspoke.relay._encoding import RESPONSE_RETURN_TIME
-from hawthornspoke.retries import AskRetry, RetryAllowed, Succeeded
+from hawthornspoke.retries import RequestSucceeded, RetryAllowed, RetryRequest
 
 #: Connection attempts per request, beyond the attempts of its route, before it is
 #: refused. An unreachable endpoint costs time but doesn't run the request.
@@ -42,7 +42,7 @@
 
         Returns
         -------
-        Place or None
+        Placement or None
         """
         if context.rejection is not None:
             return None
@@ -52,7 +52,7 @@
         if context.sent and not self.may_retry(context):
             return None
         result = self._request_place(context, self.ask(context))
-        if isinstance(result, Decline):
+        if isinstance(result, Rejection):
             context.last_reason = context.last_reason or result.reason
             context.retry_after = result.retry_after
             return None
@@ -68,35 +68,37 @@
 
         Returns
         -------
-        Place or None
+        Placement or None
         """
-        result = self._request_place(context, self.ask(context, same_version=version))
-        if isinstance(result, Decline):
+        result = self._request_place(
+            context, self.ask(context, required_version=version)
+        )
+        if isinstance(result, Rejection):
             context.last_reason += (
                 f"; no endpoint to resume the stream: {result.reason}"
             )
             return None
         return result
 
-    def ask(self, context, *, same_version=None):
+    def ask(self, context, *, required_version=None):
         """Return the placement query for a request, as of now.
 
         Parameters
         ----------
         context : RequestContext
-        same_version : int or None, default=None
+        required_version : int or None, default=None
             Weights version of the stream to resume.
         """
         now = self._clock()
-        is_resumption = same_version is not None
-        return Ask(
+        is_resumption = required_version is not None
+        return PlacementRequest(
             service=context.service,
             prompt_tokens=context.prompt_tokens,
             on_time_left=1.0 if is_resumption else context.objective_deadline - now,
             time_left=context.deadline - now,
             returned=is_resumption or context.returned or context.sent > 0,
             tried=frozenset(context.tried),
-            same_version=same_version,
+            required_version=required_version,
             contact_now=now,
         )
 
@@ -116,7 +118,7 @@
             )
             return False
         now = monotonic()
-        message = AskRetry(
+        message = RetryRequest(
             repeatable=context.route.repeatable,
             was_run=context.may_have_run,
             deadline=now + remaining - RESPONSE_RETURN_TIME,
@@ -130,11 +132,11 @@
     def record_success(self, context):
         """Record that a request was answered successfully."""
         context.outcome = "answered"
-        self._budget_for(context.service).step(Succeeded(), now=monotonic())
+        self._budget_for(context.service).step(RequestSucceeded(), now=monotonic())
 
     def _request_place(self, context, ask):
         (result,) = self._fleet.step(ask, now=monotonic())
-        if isinstance(result, Decline):
+        if isinstance(result, Rejection):
             self._log_declined(context, ask, result)
         else:
             self._log_placed(context, ask, result)
@@ -153,7 +155,7 @@
             on_time_left=round(ask.on_time_left, 3),
             returned=ask.returned,
             version=place.weights_version,
-            begin_left=_seconds_until(place.begin_deadline),
+            begin_left=_seconds_until(place.start_deadline),
         )
 
     def _log_declined(self, context, ask, decline):
--- a/hawthornspoke/relay/_encoding.py
+++ b/hawthornspoke/relay/_encoding.py
@@ -32,7 +32,7 @@
         Parameters
         ----------
         context : RequestContext
-        place : Place
+        place : Placement
         last_event, version : int or None
             Id of the last event received and weights version of a stream to resume.
 
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -9,7 +9,7 @@
 from hawthornspoke.httpio import ConnectionPool, HttpServer, OperatorPort
 from hawthornspoke.metrics import Metrics
 from hawthornspoke.mirror import Neighbours
-from hawthornspoke.placing import EntryHostsSeen, Fleet
+from hawthornspoke.placing import EntryHostsUpdated, Fleet
 from hawthornspoke.relay._admission import Admission
 from hawthornspoke.relay._budgets import RetryBudgets
 from hawthornspoke.relay._contact import Contact
@@ -315,13 +315,13 @@
             if reader != before:
                 self.log.change("reader", peer=reader, before=before)
                 self.agents.send_directives()
-            seen = EntryHostsSeen(
+            seen = EntryHostsUpdated(
                 near=self.neighbours.readers.known(),
                 all=self.budgets.entry_hosts(),
                 position=self.neighbours.readers.position(),
             )
             self.fleet.step(seen, now=monotonic())
-            self.agents.set_followed(self.fleet.followed())
+            self.agents.set_followed(self.fleet.followed_addresses())
             self.budgets.update_reserves()
             self.suspects.sharing.rebalance()
             is_stable = self.contact.is_stable(now=boottime_clock())
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -90,7 +90,7 @@
         data = self._encoder.encode(
             context, attempt.place, last_event=last_event, version=version
         )
-        ask = self._selector.ask(context, same_version=version)
+        ask = self._selector.ask(context, required_version=version)
         place = self._admission.recheck(context, ask=ask, place=attempt.place)
         if not isinstance(place, Failure):
             attempt.place = place
--- a/hawthornspoke/relay/_sharing.py
+++ b/hawthornspoke/relay/_sharing.py
@@ -2,7 +2,7 @@
 
 from hawthornspoke.base import monotonic, rendezvous_order
 from hawthornspoke.protocol import Frame
-from hawthornspoke.quarantine import write_evidence
+from hawthornspoke.quarantine import encode_evidence
 
 #: Agents per failure domain that combine the evidence of a request. One may fail, and
 #: a failure domain that is cut off still has its own.
@@ -78,7 +78,7 @@
 
     def _send(self, address, items):
         if items:
-            outgoing = Frame(evidence=write_evidence(items, now=monotonic()))
+            outgoing = Frame(evidence=encode_evidence(items, now=monotonic()))
             self._link_by_address[address].send(outgoing)
 
     @staticmethod
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -6,8 +6,8 @@
 from hawthornspoke.peering import directive
 from hawthornspoke.placing import (
     CatalogChanged,
+    DeclarationDatesUpdated,
     EndpointsListed,
-    WeightsDated,
     WeightsDeclared,
 )
 from hawthornspoke.relay._agents import AgentLinks
@@ -178,19 +178,22 @@
         )
         self.agents.send_directives()
 
-    def on_dated(self, model, moments):
+    def on_dated(self, model, earliest_times):
         """Apply declaration times of versions that were read without one.
 
         Parameters
         ----------
         model : str
-        moments : tuple of (int, float)
+        earliest_times : tuple of (int, float)
             Versions and the times on the contact clock before which they were not
             declared.
         """
-        self._fleet.step(WeightsDated(model=model, moments=moments), now=monotonic())
+        self._fleet.step(
+            DeclarationDatesUpdated(model=model, earliest_times=earliest_times),
+            now=monotonic(),
+        )
         now = boottime_clock()
-        for version, at in moments:
+        for version, at in earliest_times:
             self.log.change(
                 "weights_dated",
                 model=model,
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -6,13 +6,13 @@
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.httpio import refuses_connections
 from hawthornspoke.quarantine import (
-    Answered,
     EndpointEnded,
-    EvidenceHeard,
-    News,
+    EvidenceReceived,
+    EvidenceUpdate,
     Quarantine,
     Quarantined,
-    read_evidence,
+    RequestCompleted,
+    decode_evidence,
 )
 from hawthornspoke.relay._sharing import EvidenceSharing
 
@@ -82,14 +82,14 @@
             ``QUARANTINED``, with the seconds until it may be sent again.
         """
         now = monotonic()
-        until = self.quarantine.refused_until(fingerprint, now=now)
+        until = self.quarantine.quarantined_until(fingerprint, now=now)
         if until is None:
             return None
         return QUARANTINED.with_reason(fingerprint, retry_after=round(until - now, 1))
 
     def record_answered(self, fingerprint):
         """Clear the evidence against a request that an endpoint answered."""
-        self._step(Answered(fingerprint=fingerprint))
+        self._step(RequestCompleted(fingerprint=fingerprint))
 
     def sent(self, fingerprint, attempt):
         """Track an attempt of a request, so that a quarantine can cancel it.
@@ -116,7 +116,7 @@
         Parameters
         ----------
         fingerprint : str
-        place : Place
+        place : Placement
             The endpoint that had the request.
         service : str
         """
@@ -154,8 +154,8 @@
         ----------
         frame : Frame
         """
-        items = read_evidence(frame.evidence, now=monotonic())
-        self._step(EvidenceHeard(items=items), share=False)
+        items = decode_evidence(frame.evidence, now=monotonic())
+        self._step(EvidenceReceived(items=items), share=False)
 
     def take_recorded(self, items):
         """Merge evidence recorded before this process started, and share it.
@@ -164,7 +164,7 @@
         ----------
         items : tuple of Evidence
         """
-        self._step(EvidenceHeard(items=items))
+        self._step(EvidenceReceived(items=items))
 
     async def next_unrecorded(self):
         """Wait for requests that are in quarantine due to evidence from this host.
@@ -211,7 +211,7 @@
 
     def _step(self, message, *, share=True):
         for outcome in self.quarantine.step(message, now=monotonic()):
-            if isinstance(outcome, News):
+            if isinstance(outcome, EvidenceUpdate):
                 if share:
                     self.sharing.share(outcome.items)
             elif isinstance(outcome, Quarantined):
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -4,7 +4,7 @@
 
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.httpio import BROKEN
-from hawthornspoke.placing import Finished, LoadSeen, Sent
+from hawthornspoke.placing import LoadObserved, RequestFinished, RequestSent
 
 #: Status of an endpoint that did not run a request meant for another endpoint.
 MISDIRECTED = 421
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    place : Place
+    place : Placement
     pool : ConnectionPool
     fleet : Fleet
     dialect : Dialect
@@ -101,7 +101,7 @@
         self.sent_at = monotonic()
         self.exchange = self.connection.send(data, expected_id=expected_id)
         self._notify_fleet(
-            Sent(
+            RequestSent(
                 endpoint_id=self.place.endpoint_id,
                 incarnation=self.place.incarnation,
                 prompt_tokens=prompt_tokens,
@@ -147,10 +147,10 @@
 
     def _withdrawal_time(self):
         """Return the time by which the request must have started, None if unlimited."""
-        if self.place.begin_deadline is None:
+        if self.place.start_deadline is None:
             return None
         # The deadline was computed on the monotonic clock just before sending.
-        return self._timers.clock() + self.place.begin_deadline - monotonic()
+        return self._timers.clock() + self.place.start_deadline - monotonic()
 
     def _withdraw(self):
         # The request was expected to start in time when it was sent. An engine that a
@@ -240,7 +240,7 @@
         if len(parts) == 3 and parts[0].isdigit() and parts[1].isdigit():
             reported = int(parts[0]) + int(parts[1])
             self._notify_fleet(
-                LoadSeen(
+                LoadObserved(
                     endpoint_id=self.place.endpoint_id,
                     load=reported,
                     incarnation=self.place.incarnation,
@@ -256,7 +256,7 @@
             self._on_broken(self)
         if outcome == "unreachable" or self.sent_at is not None:
             self._notify_fleet(
-                Finished(
+                RequestFinished(
                     endpoint_id=self.place.endpoint_id,
                     outcome=outcome,
                     seconds=seconds,
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -58,7 +58,7 @@
             endpoints.insert(0, ScriptedEndpoint(self.before))
         async with RelayHarness(*endpoints, timeout=timeout, keys=KEYS) as harness:
             if self.before is not None:
-                harness.fleet.endpoint_by_id["e1"].own_running = 1
+                harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
                 harness.pool.actions.append(None)
             harness.pool.actions.append(lambda: action(harness))
             milliseconds = f"X-Deadline-Ms: {timeout * 1000:.0f}"
@@ -254,7 +254,7 @@
             endpoints.insert(0, ScriptedEndpoint(point.before))
         async with RelayHarness(*endpoints, timeout=LONG_TIMEOUT, keys=KEYS) as harness:
             if point.before is not None:
-                harness.fleet.endpoint_by_id["e1"].own_running = 1
+                harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
                 harness.pool.actions.append(None)
             caller = harness.call(point.route, extra=[KEY])
             harness.pool.actions.append(caller.close)
@@ -312,7 +312,7 @@
     async def scenario():
         first, second = ScriptedEndpoint(), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             harness.pool.actions.append(lambda: change_endpoints(harness, leaving=[0]))
             status, _, _, _ = await harness.ask("once")
             assert status == 200
@@ -332,7 +332,7 @@
     async def scenario():
         first, second = ScriptedEndpoint(), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
 
             def close():
                 harness.pool.last.abort()
@@ -363,7 +363,7 @@
 
         first, second = ScriptedEndpoint(keep_socket), ScriptedEndpoint()
         async with RelayHarness(first, second) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             assert (await harness.ask("once"))[0] == 200
             harness.pool.actions.append(lambda: sockets[0].shutdown(socket.SHUT_RDWR))
             status, _, _, _ = await harness.ask("once")
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -3,7 +3,13 @@
 from hypothesis import given, settings
 
 from hawthornspoke.catalog import EndpointEntry, Service
-from hawthornspoke.placing import Ask, CatalogChanged, EndpointsListed, Fleet, Place
+from hawthornspoke.placing import (
+    CatalogChanged,
+    EndpointsListed,
+    Fleet,
+    Placement,
+    PlacementRequest,
+)
 from hawthornspoke.protocol import EngineState, Frame
 from hawthornspoke.protocol.tests.structs import structs
 from hawthornspoke.relay._agents import AgentLinks
@@ -56,9 +62,9 @@
 def test_invalid_frame_of_one_agent_does_not_affect_the_other_engine(frame):
     agent_links, fleet = make_links()
     agent_links._on_frame(ADDRESSES[0], StubLink(), frame)
-    ask = Ask(service="s", prompt_tokens=10, tried=(ADDRESSES[0],))
+    ask = PlacementRequest(service="s", prompt_tokens=10, tried=(ADDRESSES[0],))
     (answer,) = fleet.step(ask, now=0.1)
-    assert isinstance(answer, Place)
+    assert isinstance(answer, Placement)
     assert answer.endpoint_id == ADDRESSES[1]
 
 
--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -99,7 +99,7 @@
         first, second = ScriptedEndpoint(step, step), ScriptedEndpoint(step, step)
         first.steps, second.steps = [step], [answer(body=b"good")]
         async with RelayHarness(first, second) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             status, _, body, _ = await harness.ask("again")
             assert (status, body) == (200, b"good")
             assert len(first.requests) == len(second.requests) == 1
@@ -118,7 +118,7 @@
         dead, alive = ScriptedEndpoint(), ScriptedEndpoint(answer())
         async with RelayHarness(dead, alive) as harness:
             dead.close()
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             status, _, _, _ = await harness.ask("once")
             assert status == 200
 
@@ -136,7 +136,7 @@
         first = ScriptedEndpoint(events([1, 2, 3], complete=False, cut=b"id: 4\nda"))
         second = ScriptedEndpoint(events([4, 5]))
         async with RelayHarness(first, second, timeout=2.0) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             status, _, body, complete = await harness.ask("stream")
             assert (status, complete) == (200, True)
             assert event_ids(body) == [1, 2, 3, 4, 5]
@@ -161,7 +161,7 @@
             ScriptedEndpoint(events([1])),
         )
         async with RelayHarness(first, second, timeout=0.6) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             status, _, _, _ = await harness.ask("stream")
             assert status == 502
             assert second.requests == []
@@ -180,7 +180,7 @@
         first = ScriptedEndpoint(events([1, 2], complete=False))
         second = ScriptedEndpoint(events([3], version="2"))
         async with RelayHarness(first, second, timeout=2.0) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             status, _, body, complete = await harness.ask("stream")
             assert (status, complete) == (200, False)
             assert event_ids(body) == [1, 2]
@@ -291,7 +291,7 @@
             await asyncio.sleep(0.1)
             writer.transport.abort()
             await asyncio.sleep(0.1)
-            assert harness.fleet.endpoint_by_id["e0"].own_running == 0
+            assert harness.fleet.endpoint_by_id["e0"].own_in_flight == 0
 
     run_scenario(scenario)
 
--- a/hawthornspoke/relay/tests/test_incarnations.py
+++ b/hawthornspoke/relay/tests/test_incarnations.py
@@ -77,12 +77,12 @@
             should_reset.set()
             status, _, _, _ = await first
             assert status == 502
-            assert tracked_endpoint(harness).own_running == 1
+            assert tracked_endpoint(harness).own_in_flight == 1
             assert tracked_endpoint(harness).failure_rate == 0.0
             released.set()
             status, _, _, _ = await second
             assert status == 200
-            assert tracked_endpoint(harness).own_running == 0
+            assert tracked_endpoint(harness).own_in_flight == 0
 
     asyncio.run(scenario())
 
--- a/hawthornspoke/relay/tests/test_old_weights.py
+++ b/hawthornspoke/relay/tests/test_old_weights.py
@@ -4,7 +4,7 @@
 
 from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.catalog import Catalog, DeclaredWeights, EndpointEntry, Service
-from hawthornspoke.placing import Ask, Decline, Fleet, WeightsDeclared
+from hawthornspoke.placing import Fleet, PlacementRequest, Rejection, WeightsDeclared
 from hawthornspoke.relay.tests.endpoint import (
     ENGINE,
     RelayHarness,
@@ -68,7 +68,7 @@
         )
         async with RelayHarness(full, current, timeout=3.0, fleet=fleet()) as harness:
             entry = harness.fleet.endpoint_by_id["e1"].entry
-            harness.fleet.endpoint_by_id["e1"].own_running = 3
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 3
             declare(harness, 2)
             request_task = asyncio.create_task(harness.ask("stream"))
             await asyncio.sleep(0.1)
@@ -130,9 +130,11 @@
         relay.sink.on_entries((old,))
         relay.sink.on_declared(DeclaredWeights(model="m", version=2))
         now = monotonic()
-        (answer,) = relay.fleet.step(Ask(service="s", prompt_tokens=10), now=now)
+        (answer,) = relay.fleet.step(
+            PlacementRequest(service="s", prompt_tokens=10), now=now
+        )
         relay.agents.close()
-        assert isinstance(answer, Decline)
+        assert isinstance(answer, Rejection)
         assert answer.reason == "no_weights"
 
     asyncio.run(scenario())
--- a/hawthornspoke/relay/tests/test_sharing.py
+++ b/hawthornspoke/relay/tests/test_sharing.py
@@ -3,12 +3,12 @@
 from hawthornspoke.base import monotonic
 from hawthornspoke.protocol import EndEvidence, Frame, decode, encode
 from hawthornspoke.quarantine import (
-    EVIDENCE_FOR,
+    EVIDENCE_LIFETIME,
     EndpointEnded,
     Evidence,
-    EvidenceHeard,
+    EvidenceReceived,
     Quarantine,
-    read_evidence,
+    decode_evidence,
 )
 from hawthornspoke.relay._sharing import AGENTS_PER_DOMAIN, EvidenceSharing
 
@@ -23,7 +23,7 @@
 
     def send(self, frame):
         received = decode(Frame, encode(frame))
-        self.received_items += read_evidence(received.evidence, now=monotonic())
+        self.received_items += decode_evidence(received.evidence, now=monotonic())
         return True
 
 
@@ -110,7 +110,7 @@
 def test_evidence_from_agents_is_not_sent_back():
     host = FakeHost(agents=1)
     item = Evidence(fingerprint="f", start="e1", deadline=monotonic() + 50)
-    host.quarantine.step(EvidenceHeard(items=(item,)), now=monotonic())
+    host.quarantine.step(EvidenceReceived(items=(item,)), now=monotonic())
     host.sharing.rebalance()
     assert host.notified_addresses() == set()
 
@@ -124,6 +124,6 @@
         EndEvidence(fingerprint="f" * 1000, endpoint_start="e", left_ms=1),
         EndEvidence(fingerprint="f", endpoint_start="e", left_ms=-1),
     ]
-    (item,) = read_evidence([*bad, good], now=5.0)
-    assert item.deadline == 5.0 + EVIDENCE_FOR
+    (item,) = decode_evidence([*bad, good], now=5.0)
+    assert item.deadline == 5.0 + EVIDENCE_LIFETIME
     assert item.cleared is False
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -5,7 +5,7 @@
 from hawthornspoke.base import monotonic
 from hawthornspoke.httpio import refuses_connections
 from hawthornspoke.protocol import Frame
-from hawthornspoke.quarantine import EndpointEnded, Evidence, write_evidence
+from hawthornspoke.quarantine import EndpointEnded, Evidence, encode_evidence
 from hawthornspoke.relay import _suspects
 from hawthornspoke.relay.tests.endpoint import (
     RelayHarness,
@@ -55,7 +55,7 @@
         Evidence(fingerprint=fingerprint, start=start, deadline=now + 60)
         for start in ("x1", "x2", "x3")
     ]
-    return Frame(evidence=write_evidence(items, now=now))
+    return Frame(evidence=encode_evidence(items, now=now))
 
 
 async def fingerprint_of_next(harness, prefix):
@@ -145,12 +145,12 @@
             request_task = asyncio.create_task(harness.ask("stream"))
             await asyncio.sleep(0.1)
             at_endpoint = harness.fleet.endpoint_by_id["e0"]
-            assert at_endpoint.own_running == 1
+            assert at_endpoint.own_in_flight == 1
             harness.suspects.merge_evidence(evidence_against(fingerprint))
             status, head, _, _ = await asyncio.wait_for(request_task, 0.5)
             assert status == 502
             assert field(head, "Retry-After") is None
-            assert at_endpoint.own_running == 0
+            assert at_endpoint.own_in_flight == 0
             assert at_endpoint.failure_rate == 0
 
     run_scenario(scenario)
@@ -163,7 +163,7 @@
             ScriptedEndpoint(answer(), answer()),
         )
         async with RelayHarness(first, second) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             assert (await harness.ask("again"))[0] == 200
             await asyncio.sleep(0.05)
             assert harness.suspects.quarantine.evidence(now=monotonic()) == []
@@ -224,7 +224,7 @@
             ScriptedEndpoint(answer()),
         )
         async with RelayHarness(first, second, timeout=2.0) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             assert (await harness.ask("again"))[0] == 200
             await asyncio.sleep(0.05)
             items = harness.suspects.quarantine.evidence(now=monotonic())
@@ -240,7 +240,7 @@
             ScriptedEndpoint(answer(status=500)),
         )
         async with RelayHarness(first, second, timeout=2.0) as harness:
-            harness.fleet.endpoint_by_id["e1"].own_running = 1
+            harness.fleet.endpoint_by_id["e1"].own_in_flight = 1
             assert (await harness.ask("again"))[0] == 500
             items = harness.suspects.quarantine.evidence(now=monotonic())
             assert all(item.cleared for item in items)
--- a/hawthornspoke/retries/__init__.py
+++ b/hawthornspoke/retries/__init__.py
@@ -1,11 +1,17 @@
 """Retry budget: whether a failed attempt may be retried."""
 
 from hawthornspoke.retries._budget import (
-    AskRetry,
+    RequestSucceeded,
     RetryAllowed,
     RetryBudget,
     RetryDenied,
-    Succeeded,
+    RetryRequest,
 )
 
-__all__ = ["AskRetry", "RetryAllowed", "RetryBudget", "RetryDenied", "Succeeded"]
+__all__ = [
+    "RequestSucceeded",
+    "RetryAllowed",
+    "RetryBudget",
+    "RetryDenied",
+    "RetryRequest",
+]
--- a/hawthornspoke/retries/_budget.py
+++ b/hawthornspoke/retries/_budget.py
@@ -10,12 +10,12 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Succeeded:
+class RequestSucceeded:
     """A request succeeded."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class AskRetry:
+class RetryRequest:
     """Asks whether a failed attempt may be retried.
 
     Parameters
@@ -76,17 +76,17 @@
         self.allowed = 0
         self.denied_by_code = {}
 
-    def on_succeeded(self, message, *, now):
+    def on_request_succeeded(self, message, *, now):
         """Add the tokens earned by a success."""
         self.tokens = min(float(self.reserve), self.tokens + self.ratio)
         return []
 
-    def on_ask_retry(self, message, *, now):
+    def on_retry_request(self, message, *, now):
         """Allow or deny a retry.
 
         Parameters
         ----------
-        message : AskRetry
+        message : RetryRequest
         now : float
 
         Returns
--- a/hawthornspoke/routing/__init__.py
+++ b/hawthornspoke/routing/__init__.py
@@ -3,22 +3,22 @@
 from hawthornspoke.routing._candidates import Candidate, RequestTraits
 from hawthornspoke.routing._policies import POLICIES
 from hawthornspoke.routing._router import (
-    Choose,
-    Chosen,
-    LoadHeard,
-    Outcome,
+    AttemptEnded,
+    EndpointSelected,
+    LoadReported,
     Router,
+    RoutingRequest,
     Unroutable,
 )
 
 __all__ = [
     "POLICIES",
+    "AttemptEnded",
     "Candidate",
-    "Choose",
-    "Chosen",
-    "LoadHeard",
-    "Outcome",
+    "EndpointSelected",
+    "LoadReported",
     "RequestTraits",
     "Router",
+    "RoutingRequest",
     "Unroutable",
 ]
--- a/hawthornspoke/routing/_router.py
+++ b/hawthornspoke/routing/_router.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class LoadHeard:
+class LoadReported:
     """An endpoint's report of its load.
 
     Parameters
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Choose:
+class RoutingRequest:
     """Asks for an endpoint for a request.
 
     Parameters
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Outcome:
+class AttemptEnded:
     """An attempt ended.
 
     Parameters
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Chosen:
+class EndpointSelected:
     """The selected endpoint; the request counts as in flight from now on."""
 
     node: str
@@ -178,12 +178,12 @@
         self._rng = random.Random(seed)
         self._chooser = POLICIES.get(policy)()
 
-    def on_load_heard(self, message, *, now):
+    def on_load_reported(self, message, *, now):
         """Record an endpoint's load report.
 
         Parameters
         ----------
-        message : LoadHeard
+        message : LoadReported
         now : float
 
         Returns
@@ -200,17 +200,17 @@
         endpoint.ended_since_report = 0
         return []
 
-    def on_choose(self, message, *, now):
+    def on_routing_request(self, message, *, now):
         """Select an endpoint.
 
         Parameters
         ----------
-        message : Choose
+        message : RoutingRequest
         now : float
 
         Returns
         -------
-        list of Chosen or Unroutable
+        list of EndpointSelected or Unroutable
         """
         endpoints = [
             view for view in message.endpoints if view.node not in message.excluded
@@ -229,14 +229,14 @@
         chosen = self._endpoint(name)
         chosen.in_flight += 1
         chosen.sent_since_report += 1
-        return [Chosen(node=name)]
+        return [EndpointSelected(node=name)]
 
-    def on_outcome(self, message, *, now):
+    def on_attempt_ended(self, message, *, now):
         """Record the outcome of an attempt.
 
         Parameters
         ----------
-        message : Outcome
+        message : AttemptEnded
         now : float
 
         Returns
--- a/hawthornspoke/spread/_evidence.py
+++ b/hawthornspoke/spread/_evidence.py
@@ -5,9 +5,9 @@
 from hawthornspoke.protocol import Frame
 from hawthornspoke.quarantine import (
     EvidenceExchange,
-    EvidenceHeard,
-    read_evidence,
-    write_evidence,
+    EvidenceReceived,
+    decode_evidence,
+    encode_evidence,
 )
 
 
@@ -29,15 +29,15 @@
         frame : Frame
         """
         now = monotonic()
-        received = EvidenceHeard(items=read_evidence(frame.evidence, now=now))
+        received = EvidenceReceived(items=decode_evidence(frame.evidence, now=now))
         for outcome in self.exchange.step(received, now=now):
-            update = Frame(evidence=write_evidence(outcome.items, now=now))
+            update = Frame(evidence=encode_evidence(outcome.items, now=now))
             data = PeerConnection.encode(update)
             for other in self._links:
                 other.send_encoded(data)
         if link not in self._links:
             self._links.add(link)
-            current = write_evidence(self.exchange.evidence(now=now), now=now)
+            current = encode_evidence(self.exchange.evidence(now=now), now=now)
             link.send(Frame(evidence=current))
 
     def drop(self, link):
--- a/hawthornspoke/spread/tests/test_far_loads.py
+++ b/hawthornspoke/spread/tests/test_far_loads.py
@@ -4,14 +4,19 @@
 from types import SimpleNamespace
 
 from hawthornspoke.catalog import EndpointEntry, Service
-from hawthornspoke.placing import CatalogChanged, EndpointsListed, EntryHostsSeen, Fleet
-from hawthornspoke.placing.tests.playing import ENGINE, SLOTS, Play
+from hawthornspoke.placing import (
+    CatalogChanged,
+    EndpointsListed,
+    EntryHostsUpdated,
+    Fleet,
+)
+from hawthornspoke.placing.tests.playing import ENGINE, SLOTS, LoadSimulation
 from hawthornspoke.spread._entry_links import _EntryHost, _is_due
 
 SEEDS = (3, 4, 5)
 
 
-class FarPlay(Play):
+class FarPlay(LoadSimulation):
     """A simulation in which all engines report load on the schedule of remote hosts."""
 
     def _fleet(self, place, hosts, engines):
@@ -29,18 +34,18 @@
             for number in range(engines)
         )
         fleet.step(EndpointsListed(entries=entries), now=0.0)
-        seen = EntryHostsSeen(near=hosts, all=2 * hosts, position=place)
+        seen = EntryHostsUpdated(near=hosts, all=2 * hosts, position=place)
         fleet.step(seen, now=0.0)
         return fleet
 
     def _is_due(self, place, number, load, now):
-        host = self._told.setdefault((place, number), _EntryHost())
+        host = self._last_reports.setdefault((place, number), _EntryHost())
         return _is_due(host, _state(load), now)
 
-    def _tell(self, fleet, place, number, load, now):
-        host = self._told[place, number]
-        super()._tell(fleet, place, number, load, now)
-        self._told[place, number] = host
+    def _send_report(self, fleet, place, number, load, now):
+        host = self._last_reports[place, number]
+        super()._send_report(fleet, place, number, load, now)
+        self._last_reports[place, number] = host
         host.record_report(_state(load), now)
 
 
@@ -54,7 +59,9 @@
     """Return the share of callers answered on time, over all seeds."""
     random.seed(1)
     plays = [
-        FarPlay(taken=0.8, keeps=True, hosts=13, engines=18, seed=seed).run()
+        FarPlay(
+            mean_demand=0.8, uses_subset=True, hosts=13, engines=18, seed=seed
+        ).run()
         for seed in SEEDS
     ]
     asked = sum(play.on_time + play.late + play.refused for play in plays)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -329,7 +329,7 @@
     Mutation(
         name="after a wait: endpoint not looked at",
         file="relay/_admission.py",
-        old="            if isinstance(decision, Decline):",
+        old="            if isinstance(decision, Rejection):",
         new="            if False:",
         test="hawthornspoke/relay/tests/test_after_a_wait.py -k endpoint_that",
     ),
