--- a/hawthornspoke/mirror/_follow.py
+++ b/hawthornspoke/mirror/_follow.py
@@ -45,7 +45,10 @@
         discovery_timeout=discovery_timeout,
     )
     record = RecordKeeper(
-        store=store, clock=watch.clock, on_dated=sink.on_dated, log=sink.log
+        store=store,
+        clock=watch.clock,
+        on_declaration_dates=sink.on_declaration_dates,
+        log=sink.log,
     )
     quarantine = QuarantineRecord(
         store=store, suspects=sink.suspects, log=sink.log, first_start=first_start
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -50,7 +50,7 @@
     ----------
     store : object
         See ``RecordKeeper``.
-    suspects : Suspects
+    suspects : PoisonRequestTracker
     log : EventLog
     first_start : bool, default=False
         Whether the whole system starts for the first time, so that no row exists.
@@ -93,7 +93,7 @@
             for start in entry.starts
         )
         if items:
-            self._suspects.take_recorded(items)
+            self._suspects.merge_recorded(items)
         return None
 
     async def _write(self, items):
--- a/hawthornspoke/mirror/_record_keeper.py
+++ b/hawthornspoke/mirror/_record_keeper.py
@@ -75,7 +75,7 @@
         revision isn't the expected one, or a Failure.
     clock : PlatformClock
         Clock fed with the platform's answers to this process.
-    on_dated : callable
+    on_declaration_dates : callable
         Called with a model and a tuple of pairs of a version and a lower bound on its
         declaration time, in seconds on the contact clock.
     log : EventLog
@@ -84,7 +84,7 @@
     __slots__ = (
         "_store",
         "_clock",
-        "_on_dated",
+        "_on_declaration_dates",
         "_log",
         "_newest_revision_by_model",
         "_pending_by_model",
@@ -92,10 +92,10 @@
         "_wake",
     )
 
-    def __init__(self, *, store, clock, on_dated, log):
+    def __init__(self, *, store, clock, on_declaration_dates, log):
         self._store = store
         self._clock = clock
-        self._on_dated = on_dated
+        self._on_declaration_dates = on_declaration_dates
         self._log = log
         self._newest_revision_by_model = {}
         self._pending_by_model = {}
@@ -179,7 +179,7 @@
             if _applies_to(declaration_time, pending):
                 bounds.append((declaration_time.version, bound))
         if bounds:
-            self._on_dated(model, tuple(bounds))
+            self._on_declaration_dates(model, tuple(bounds))
         return None
 
     async def _write(self, model, pending):
--- a/hawthornspoke/mirror/tests/test_quarantine_record.py
+++ b/hawthornspoke/mirror/tests/test_quarantine_record.py
@@ -73,7 +73,7 @@
             return self.unrecorded.pop(0)
         return await asyncio.Event().wait()
 
-    def take_recorded(self, items):
+    def merge_recorded(self, items):
         self.taken += items
 
 
--- a/hawthornspoke/mirror/tests/test_record.py
+++ b/hawthornspoke/mirror/tests/test_record.py
@@ -140,7 +140,7 @@
         keeper = RecordKeeper(
             store=store,
             clock=clock or PlatformClock(),
-            on_dated=lambda model, moments: dated.append((model, moments)),
+            on_declaration_dates=lambda model, moments: dated.append((model, moments)),
             log=log,
         )
         declared = DeclaredWeights(model="m", version=version)
--- a/hawthornspoke/relay/__init__.py
+++ b/hawthornspoke/relay/__init__.py
@@ -5,7 +5,7 @@
 from hawthornspoke.relay._events import EventSplitter
 from hawthornspoke.relay._process import Relay
 from hawthornspoke.relay._settings import RelaySettings
-from hawthornspoke.relay._suspects import Suspects
+from hawthornspoke.relay._suspects import PoisonRequestTracker
 
 __all__ = [
     "Confirmed",
@@ -13,8 +13,8 @@
     "ContactLost",
     "Dialect",
     "EventSplitter",
+    "PoisonRequestTracker",
     "ReadFailed",
     "Relay",
     "RelaySettings",
-    "Suspects",
 ]
--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -31,7 +31,7 @@
     dialect : Dialect
     fleet : Fleet
     contact : Contact
-    suspects : Suspects
+    suspects : PoisonRequestTracker
     clock : callable
         Clock of request deadlines; includes the time for which the host is suspended.
     """
--- a/hawthornspoke/relay/_agents.py
+++ b/hawthornspoke/relay/_agents.py
@@ -50,7 +50,7 @@
         is none yet.
     on_entry_hosts : callable
         Called with an agent's address and the entry hosts that it sees.
-    suspects : Suspects
+    suspects : PoisonRequestTracker
         Exchanges evidence of poison requests with agents.
     earliest_arrival : callable, default=boottime_clock
         Returns a time after which the data being read now has arrived.
--- a/hawthornspoke/relay/_forward.py
+++ b/hawthornspoke/relay/_forward.py
@@ -32,7 +32,7 @@
     dialect : Dialect
     budget_for : callable
         Returns the RetryBudget of a service.
-    suspects : Suspects
+    suspects : PoisonRequestTracker
     log : EventLog
     """
 
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -34,7 +34,7 @@
     forwarder : Forwarder
     admission : Admission
     timers : Timers
-    suspects : Suspects
+    suspects : PoisonRequestTracker
     dialect : Dialect
     log : EventLog
     metrics : Metrics
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -17,7 +17,7 @@
 from hawthornspoke.relay._forward import Forwarder
 from hawthornspoke.relay._handler import Handler
 from hawthornspoke.relay._sink import Sink
-from hawthornspoke.relay._suspects import Suspects
+from hawthornspoke.relay._suspects import PoisonRequestTracker
 from hawthornspoke.relay._timers import Timers
 
 #: Seconds after SIGTERM during which new requests are still served: the load balancer
@@ -103,7 +103,9 @@
             reported_entry_hosts=lambda: self.agents.entry_hosts(),
         )
         self.timers = Timers(clock=boottime_clock)
-        self.suspects = Suspects(fleet=self.fleet, log=self.log, metrics=self.metrics)
+        self.suspects = PoisonRequestTracker(
+            fleet=self.fleet, log=self.log, metrics=self.metrics
+        )
         self._stop_deadline = None
         self._stopped = None
         admission = Admission(
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -16,7 +16,7 @@
     fleet : Fleet
     pool : ConnectionPool
     dialect : Dialect
-    suspects : Suspects
+    suspects : PoisonRequestTracker
     log : EventLog
     """
 
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -27,7 +27,7 @@
     front : HttpServer
         Serves callers' requests.
     neighbours : Neighbours
-    suspects : Suspects
+    suspects : PoisonRequestTracker
     log : EventLog
     metrics : Metrics
     earliest_arrival : callable
@@ -178,7 +178,7 @@
         )
         self.agents.send_directives()
 
-    def on_dated(self, model, earliest_times):
+    def on_declaration_dates(self, model, earliest_times):
         """Apply declaration times of versions that were read without one.
 
         Parameters
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -25,7 +25,7 @@
 MAX_OBSERVED = 512
 
 
-class Suspects:
+class PoisonRequestTracker:
     """Finds out which requests crash endpoints, and shares the evidence.
 
     Parameters
@@ -157,7 +157,7 @@
         items = decode_evidence(frame.evidence, now=monotonic())
         self._step(EvidenceReceived(items=items), share=False)
 
-    def take_recorded(self, items):
+    def merge_recorded(self, items):
         """Merge evidence recorded before this process started, and share it.
 
         Parameters
--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -25,7 +25,7 @@
 from hawthornspoke.relay._admission import Admission
 from hawthornspoke.relay._forward import Forwarder
 from hawthornspoke.relay._handler import Handler
-from hawthornspoke.relay._suspects import Suspects
+from hawthornspoke.relay._suspects import PoisonRequestTracker
 from hawthornspoke.relay._timers import Timers
 from hawthornspoke.retries import RetryBudget
 
@@ -194,7 +194,7 @@
     return step
 
 
-def lone_relay(*, source=None):
+def make_relay(*, source=None):
     """Return a relay that listens on free loopback ports."""
     return Relay(
         settings=RelaySettings(
@@ -210,8 +210,10 @@
 
 
 def make_suspects(fleet):
-    """Return the Suspects of an entry host without agents."""
-    return Suspects(fleet=fleet, log=EventLog(node="test"), metrics=Metrics())
+    """Return the PoisonRequestTracker of an entry host without agents."""
+    return PoisonRequestTracker(
+        fleet=fleet, log=EventLog(node="test"), metrics=Metrics()
+    )
 
 
 ROUTES = (
--- a/hawthornspoke/relay/tests/test_old_weights.py
+++ b/hawthornspoke/relay/tests/test_old_weights.py
@@ -11,7 +11,7 @@
     ScriptedEndpoint,
     delayed_stream,
     events,
-    lone_relay,
+    make_relay,
 )
 
 BOUND = 0.8
@@ -115,7 +115,7 @@
     """
 
     async def scenario():
-        relay = lone_relay()
+        relay = make_relay()
         old = EndpointEntry(
             endpoint_id="e0",
             service="s",
--- a/hawthornspoke/relay/tests/test_reading.py
+++ b/hawthornspoke/relay/tests/test_reading.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hawthornspoke.relay.tests.endpoint import lone_relay
+from hawthornspoke.relay.tests.endpoint import make_relay
 
 
 class FailingSource:
@@ -42,7 +42,7 @@
 
     async def scenario():
         source = FailingSource()
-        relay = lone_relay(source=source)
+        relay = make_relay(source=source)
         log = relay.log = RecordingLog()
         running = asyncio.create_task(relay.run())
         try:
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -74,7 +74,7 @@
 
 
 class RecordingSuspects:
-    """Suspects with another ``refusal`` method."""
+    """PoisonRequestTracker with another ``refusal`` method."""
 
     def __init__(self, suspects, refusal):
         self.refusal = refusal
--- a/hawthornspoke/relay/tests/test_telling_agents.py
+++ b/hawthornspoke/relay/tests/test_telling_agents.py
@@ -7,7 +7,7 @@
 from hawthornspoke.peering import listen
 from hawthornspoke.placing.tests.test_fleet import ENGINE, entry
 from hawthornspoke.protocol import Frame, PeerEndpoint, decode
-from hawthornspoke.relay.tests.endpoint import lone_relay
+from hawthornspoke.relay.tests.endpoint import make_relay
 
 ENDPOINTS = 60
 
@@ -36,7 +36,7 @@
 
 def connected_sink():
     """Return the sink of a host that reads the platform, and its links to agents."""
-    sink = lone_relay().sink
+    sink = make_relay().sink
     catalog = SimpleNamespace(
         revision=1,
         service_by_name={
@@ -145,7 +145,7 @@
 
         agent = await listen("127.0.0.1", 0, on_frame=take, on_closed=lambda link: None)
         port = agent.sockets[0].getsockname()[1]
-        sink = lone_relay().sink
+        sink = make_relay().sink
         sink.agents.port = port
         sink.on_entries([entry("e0", address="127.0.0.1:1")])
         async with asyncio.timeout(2.0):
@@ -155,4 +155,4 @@
         agent.close()
         return domains[0]
 
-    assert asyncio.run(scenario()) == lone_relay().settings.failure_domain
+    assert asyncio.run(scenario()) == make_relay().settings.failure_domain
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -387,7 +387,7 @@
     Mutation(
         name="poison: no record outlives the processes",
         file="mirror/_quarantine_record.py",
-        old="        if items:\n            self._suspects.take_recorded(items)",
+        old="        if items:\n            self._suspects.merge_recorded(items)",
         new="        if False:\n            pass",
         test="platform/adapter/tests/test_requests_that_end_engines.py "
         "-k all_processes_ended",
