--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -60,7 +60,7 @@
     Member,
     Role,
 )
-from hawthornspoke.rollout import CHANGING, OLD, WAITING, HostState, may_change_over
+from hawthornspoke.rollout import CHANGING, OLD, WAITING, HostState, may_swap_weights
 from hawthornspoke.store import HostEntry
 from hawthornspoke.swarm import (
     AnnounceChunks,
@@ -544,7 +544,7 @@
             if own_keys & set(view.member.progress or {}):
                 state = STATE_BY_WARMING.get(view.member.warming or 0, OLD)
                 states.append(HostState(node=view.node, state=state))
-        return may_change_over(
+        return may_swap_weights(
             node=node,
             digest=str(self.core.holder.revision),
             hosts=states,
--- a/hawthornspoke/rollout/__init__.py
+++ b/hawthornspoke/rollout/__init__.py
@@ -6,7 +6,7 @@
     OLD,
     WAITING,
     HostState,
-    may_change_over,
+    may_swap_weights,
 )
 
-__all__ = ["CHANGING", "NEW", "OLD", "WAITING", "HostState", "may_change_over"]
+__all__ = ["CHANGING", "NEW", "OLD", "WAITING", "HostState", "may_swap_weights"]
--- a/hawthornspoke/rollout/_changeover.py
+++ b/hawthornspoke/rollout/_changeover.py
@@ -25,7 +25,7 @@
     state: str
 
 
-def may_change_over(*, node, digest, hosts, max_unavailable):
+def may_swap_weights(*, node, digest, hosts, max_unavailable):
     """Tell whether a host may stop serving to replace its weights in place.
 
     Parameters
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -50,7 +50,7 @@
     settings : SpreadSettings
     delivery : Delivery
     entry_links : EntryLinks
-    read_alone : coroutine function
+    read_platform : coroutine function
         See ``Agent``.
     log : EventLog
     earliest_arrival : callable
@@ -68,14 +68,14 @@
         "_exchange",
         "_upgrade",
         "_entry_links",
-        "_read_alone",
+        "_read_platform",
         "_log",
         "_earliest_arrival",
         "_directive",
     )
 
     def __init__(
-        self, *, settings, delivery, entry_links, read_alone, log, earliest_arrival
+        self, *, settings, delivery, entry_links, read_platform, log, earliest_arrival
     ):
         self.declared = DeclaredVersions()
         self._settings = settings
@@ -83,7 +83,7 @@
         self._exchange = delivery.exchange
         self._upgrade = delivery.upgrade
         self._entry_links = entry_links
-        self._read_alone = read_alone
+        self._read_platform = read_platform
         self._log = log
         self._earliest_arrival = earliest_arrival
         self._directive = None
@@ -123,7 +123,7 @@
             await asyncio.sleep(FIRST_START_DELAY)
         interval = DIRECT_READ_INTERVAL
         while self._directive is None:
-            peers = await self._read_alone.peers()
+            peers = await self._read_platform.peers()
             if is_failure(peers):
                 self._log.decision("introduction_failed", reason=peers.reason)
                 peers = []
@@ -139,7 +139,7 @@
             await asyncio.sleep(interval * random.uniform(0.8, 1.2))
             interval = min(2 * interval, MAX_BOOTSTRAP_INTERVAL)
 
-    async def read_alone(self):
+    async def read_platform(self):
         """Read the platform while no entry host that reads it is connected.
 
         Runs until cancelled.
@@ -154,7 +154,7 @@
                 or monotonic() < no_reader_since + DIRECT_READ_AFTER
             ):
                 continue
-            directive = await self._read_alone(self._directive)
+            directive = await self._read_platform(self._directive)
             if is_failure(directive):
                 self._log.change("platform_lost", reason=directive.reason)
             else:
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -46,7 +46,7 @@
         The engine on this host; see ``Installer``.
     origin : object
         ``manifest`` and ``piece``.
-    read_alone : coroutine function
+    read_platform : coroutine function
         Reads the platform once, given the last Directive or None, and returns a
         Directive or a Failure; used only while no entry host is connected. Its
         ``peers`` returns only the endpoints.
@@ -73,7 +73,7 @@
         "_engine_down",
     )
 
-    def __init__(self, *, settings, engine, origin, read_alone):
+    def __init__(self, *, settings, engine, origin, read_platform):
         self.settings = settings
         self.engine = engine
         self.log = EventLog(node=settings.node)
@@ -100,7 +100,7 @@
             settings=settings,
             delivery=self.delivery,
             entry_links=self.entry_links,
-            read_alone=read_alone,
+            read_platform=read_platform,
             log=self.log,
             earliest_arrival=self.stall_detector.earliest_arrival,
         )
@@ -162,7 +162,7 @@
             self._log_summaries(ticks),
             self.entry_links.probe(ticks),
             self.exchange.run(ticks),
-            self.directives.read_alone(),
+            self.directives.read_platform(),
         ]
         self.exchange.spawn(self.directives.bootstrap())
         tasks = [loop.create_task(item) for item in loops]
--- a/hawthornspoke/spread/tests/test_agents.py
+++ b/hawthornspoke/spread/tests/test_agents.py
@@ -170,7 +170,7 @@
             ),
             engine=engine,
             origin=self.origin,
-            read_alone=FakePlatform(self),
+            read_platform=FakePlatform(self),
         )
         self.agents.append(agent)
         self.tasks.append(asyncio.create_task(agent.run()))
--- a/hawthornspoke/spread/tests/test_frames.py
+++ b/hawthornspoke/spread/tests/test_frames.py
@@ -75,7 +75,7 @@
         ),
         engine=None,
         origin=Origin(),
-        read_alone=None,
+        read_platform=None,
     )
     made._on_frame(Link(), Frame(directive=directive()))
     made.exchange.start_transfer(
