--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -63,20 +63,20 @@
 from hawthornspoke.rollout import CHANGING, OLD, WAITING, HostState, may_swap_weights
 from hawthornspoke.store import HostEntry
 from hawthornspoke.swarm import (
+    AllChunksVerified,
     AnnounceChunks,
-    Announced,
-    AskHoldings,
     ChunkFailed,
     ChunkVerified,
-    Complete,
-    Drop,
     FetchFromOrigin,
     FetchFromPeer,
-    Participants,
+    ParticipantsChanged,
+    PeerAnnounced,
     PeerUnreachable,
+    QueryHoldings,
     Swarm,
     Tick as SwarmTick,
-    Want,
+    TransferCancelled,
+    TransferRequested,
 )
 
 #: Seconds between reads of the engine's state. A restarted engine rejects requests
@@ -87,7 +87,7 @@
 MANIFEST_RETRY_DELAY = 1.0
 
 STATE_BY_WARMING = {1: WAITING, 2: CHANGING}
-SWARM_EVENTS = (ChunkVerified, ChunkFailed, Announced, PeerUnreachable)
+SWARM_EVENTS = (ChunkVerified, ChunkFailed, PeerAnnounced, PeerUnreachable)
 
 
 class AgentControl(ControlActor):
@@ -100,7 +100,7 @@
     metrics : Metrics
     store : ChunkStore
     engine : object
-    link : Link
+    link : LinkRateLimiter
         Rate limiter for incoming chunks.
     """
 
@@ -258,7 +258,7 @@
     def hosts_changed(self, *, now):
         """Update the participants of running transfers."""
         for digest in list(self.swarm.by_digest):
-            message = Participants(
+            message = ParticipantsChanged(
                 digest=digest,
                 participants=self._participants(digest),
                 region_by_domain=self._regions(),
@@ -299,7 +299,7 @@
         indices = struct.unpack(
             f"<{len(announce.indices or b'') // 4}I", announce.indices or b""
         )
-        message = Announced(
+        message = PeerAnnounced(
             digest=announce.digest or "",
             node=announce.node or "",
             indices=indices,
@@ -375,11 +375,11 @@
 
     def _step_swarm(self, message, now):
         for outcome in self.swarm.step(message, now=now):
-            if isinstance(outcome, (FetchFromOrigin, FetchFromPeer, AskHoldings)):
+            if isinstance(outcome, (FetchFromOrigin, FetchFromPeer, QueryHoldings)):
                 self._enqueue_fetch(outcome)
             elif isinstance(outcome, AnnounceChunks):
                 self._announce(outcome)
-            elif isinstance(outcome, Complete):
+            elif isinstance(outcome, AllChunksVerified):
                 logger.info(
                     "weights {}: all chunks verified after {:.2f} s",
                     outcome.digest[:12],
@@ -444,7 +444,7 @@
             self._step_deployment(message, now)
             return
         start = self.start_by_digest[digest]
-        want = Want(
+        want = TransferRequested(
             digest=digest,
             chunks=len(message.manifest.chunks),
             size=message.manifest.size,
@@ -481,7 +481,7 @@
     def _drop_transfer(self, digest, now):
         """Cancel a superseded transfer; complete weights are kept."""
         self.manifest_deadline_by_digest.pop(digest, None)
-        self._step_swarm(Drop(digest=digest), now)
+        self._step_swarm(TransferCancelled(digest=digest), now)
         self.pending_fetches = deque(
             fetch for fetch in self.pending_fetches if fetch.digest != digest
         )
--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -14,12 +14,12 @@
     Connection,
 )
 from hawthornspoke.swarm import (
-    Announced,
-    AskHoldings,
     ChunkFailed,
     ChunkVerified,
     FetchFromOrigin,
+    PeerAnnounced,
     PeerUnreachable,
+    QueryHoldings,
 )
 
 NO_MANIFEST = Failure(code="no_manifest")
@@ -77,7 +77,7 @@
     ----------
     node : str
     store : ChunkStore
-    link : Link
+    link : LinkRateLimiter
         Rate limiter for incoming chunks.
     clients : PlatformClients
     source_by_digest : dict of str to str
@@ -114,7 +114,7 @@
     def _execute(self, message):
         if isinstance(message, GetManifest):
             return self._find_manifest(message)
-        if isinstance(message, AskHoldings):
+        if isinstance(message, QueryHoldings):
             return self._fetch_holdings(message)
         if isinstance(message, FetchFromOrigin):
             return self._fetch_from_origin(message)
@@ -163,7 +163,7 @@
         )
         if is_failure(reply):
             return PeerUnreachable(digest=message.digest, node=message.node)
-        return Announced(
+        return PeerAnnounced(
             digest=message.digest,
             node=message.node,
             indices=unpack_bitmap(reply.bitmap or b""),
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -18,7 +18,7 @@
     Holdings,
     RpcServer,
 )
-from hawthornspoke.swarm import ChunkStore, Link
+from hawthornspoke.swarm import ChunkStore, LinkRateLimiter
 
 #: Seconds that a submit waits for the first events, which usually arrive in time.
 FIRST_EVENT_TIMEOUT = 0.02
@@ -155,7 +155,7 @@
             metrics=self.metrics,
             store=self.store,
             engine=engine,
-            link=Link(rate=float(settings["link_rate"])),
+            link=LinkRateLimiter(rate=float(settings["link_rate"])),
         )
 
     def make_handler(self):
@@ -163,7 +163,7 @@
         return _Handler(
             actor=self.actor,
             store=self.store,
-            link_out=Link(rate=float(self.settings["link_rate"])),
+            link_out=LinkRateLimiter(rate=float(self.settings["link_rate"])),
             metrics=self.metrics,
             serve_slots=self.settings["serve_slots"],
         )
--- a/hawthornspoke/agent/_wanted.py
+++ b/hawthornspoke/agent/_wanted.py
@@ -50,7 +50,7 @@
     Returns
     -------
     dict
-        Keyword arguments of :class:`hawthornspoke.swarm.Want`.
+        Keyword arguments of :class:`hawthornspoke.swarm.TransferRequested`.
     """
     rollout = document["rollout"]
     return {
--- a/hawthornspoke/mirror/__init__.py
+++ b/hawthornspoke/mirror/__init__.py
@@ -2,19 +2,19 @@
 
 from hawthornspoke.mirror import pace
 from hawthornspoke.mirror._follow import follow_platform
-from hawthornspoke.mirror._intake import Intake
+from hawthornspoke.mirror._intake import RowDispatcher
 from hawthornspoke.mirror._neighbours import Neighbours
 from hawthornspoke.mirror._quarantine_record import QuarantineRecord
 from hawthornspoke.mirror._readers import NeighbourListReceived, ReaderFailed, Readers
-from hawthornspoke.mirror._record_keeper import RecordKeeper
+from hawthornspoke.mirror._record_keeper import DeclarationRecorder
 from hawthornspoke.mirror._tables import Mirror
-from hawthornspoke.mirror._types import HISTORY_GONE, News, Row, Written
+from hawthornspoke.mirror._types import HISTORY_GONE, Row, RowWritten, TableUpdate
 from hawthornspoke.mirror._unusable import (
     CONFIGURATION,
     ENDPOINT,
     WEIGHTS,
     UnusableRows,
-    sort_out,
+    decode_rows,
 )
 from hawthornspoke.mirror._watch import FollowedTable, TableWatcher
 
@@ -23,21 +23,21 @@
     "ENDPOINT",
     "HISTORY_GONE",
     "WEIGHTS",
+    "DeclarationRecorder",
     "FollowedTable",
-    "Intake",
     "Mirror",
     "NeighbourListReceived",
     "Neighbours",
-    "News",
     "QuarantineRecord",
     "ReaderFailed",
     "Readers",
-    "RecordKeeper",
     "Row",
+    "RowDispatcher",
+    "RowWritten",
+    "TableUpdate",
     "TableWatcher",
     "UnusableRows",
-    "Written",
+    "decode_rows",
     "follow_platform",
     "pace",
-    "sort_out",
 ]
--- a/hawthornspoke/mirror/_follow.py
+++ b/hawthornspoke/mirror/_follow.py
@@ -1,9 +1,9 @@
 """Sets up all reading and writing of the platform by an entry host."""
 
 from hawthornspoke.mirror import pace
-from hawthornspoke.mirror._intake import Intake
+from hawthornspoke.mirror._intake import RowDispatcher
 from hawthornspoke.mirror._quarantine_record import QuarantineRecord
-from hawthornspoke.mirror._record_keeper import RecordKeeper
+from hawthornspoke.mirror._record_keeper import DeclarationRecorder
 from hawthornspoke.mirror._watch import FollowedTable, TableWatcher
 
 
@@ -24,13 +24,13 @@
     Parameters
     ----------
     store : object
-        See ``TableWatcher``, ``RecordKeeper`` and ``QuarantineRecord``.
+        See ``TableWatcher``, ``DeclarationRecorder`` and ``QuarantineRecord``.
     sink : Sink
     neighbours : Neighbours
     operators_table, endpoints_table : str
         Names of the tables.
     decode_entry, operators_decoder : callable
-        See ``Intake``.
+        See ``RowDispatcher``.
     first_start : bool, default=False
         Whether the whole system starts for the first time.
     discovery_timeout : float, default=0.0
@@ -44,7 +44,7 @@
         first_start=first_start,
         discovery_timeout=discovery_timeout,
     )
-    record = RecordKeeper(
+    record = DeclarationRecorder(
         store=store,
         clock=watch.clock,
         on_declaration_dates=sink.on_declaration_dates,
@@ -53,7 +53,7 @@
     quarantine = QuarantineRecord(
         store=store, suspects=sink.suspects, log=sink.log, first_start=first_start
     )
-    intake = Intake(
+    intake = RowDispatcher(
         sink=sink,
         record=record,
         decode_entry=decode_entry,
@@ -63,14 +63,14 @@
         name=operators_table,
         wait=pace.OPERATORS_POLL_WAIT,
         pause=pace.OPERATORS_CHANGE_PAUSE,
-        take=intake.take_operators,
+        update=intake.apply_operators,
         confirms_configuration=True,
     )
     endpoints = FollowedTable(
         name=endpoints_table,
         wait=pace.ENDPOINTS_POLL_WAIT,
         pause=pace.ENDPOINTS_CHANGE_PAUSE,
-        take=intake.take_endpoints,
+        update=intake.apply_endpoints,
     )
     await neighbours.serve(watch)
     await watch.run((operators, endpoints), background=(record.run, quarantine.run))
--- a/hawthornspoke/mirror/_intake.py
+++ b/hawthornspoke/mirror/_intake.py
@@ -10,14 +10,14 @@
 )
 
 
-class Intake:
+class RowDispatcher:
     """Decodes rows independently, so that an invalid row does not affect others.
 
     Parameters
     ----------
     sink : object
         Has ``on_catalog``, ``on_entries``, ``on_declared``, ``log`` and ``metrics``.
-    record : RecordKeeper
+    record : DeclarationRecorder
     decode_entry : callable
         Given the id of an endpoint and the data of its row, returns an EndpointEntry or
         a Failure.
@@ -52,21 +52,21 @@
         self._revision = float("-inf")
         self._reason_by_key_by_kind = {CONFIGURATION: {}, WEIGHTS: {}}
 
-    def take_operators(self, news):
+    def apply_operators(self, news):
         """Apply rows of the operators' table; invalid ones leave the state as it is.
 
         Parameters
         ----------
-        news : News
+        news : TableUpdate
         """
         if news.whole:
             self._reason_by_key_by_kind = {CONFIGURATION: {}, WEIGHTS: {}}
         for row in news.rows:
             self._apply_operators_row(row, news)
         for kind, reason_by_key in self._reason_by_key_by_kind.items():
-            self._unusable.take(kind, reason_by_key)
+            self._unusable.update(kind, reason_by_key)
 
-    def take_endpoints(self, news):
+    def apply_endpoints(self, news):
         """Apply rows of the endpoints' table.
 
         An invalid row removes the entry with its key: the row no longer identifies an
@@ -75,7 +75,7 @@
 
         Parameters
         ----------
-        news : News
+        news : TableUpdate
         """
         if not news.rows and not news.whole:
             return
@@ -107,7 +107,7 @@
             )
             # Only answers of the platform itself have this time.
             from_platform = news.made_at is not None
-            self._record.take(outcome, row, from_platform=from_platform)
+            self._record.update(outcome, row, from_platform=from_platform)
 
     def _apply_catalog(self, catalog):
         self._sink.on_catalog(catalog)
@@ -128,7 +128,7 @@
                 reason_by_key[endpoint_id] = outcome.reason
             else:
                 entries.append(outcome)
-        self._unusable.take(ENDPOINT, reason_by_key)
+        self._unusable.update(ENDPOINT, reason_by_key)
         self._sink.on_entries(entries)
 
     def _check_service(self, outcome):
--- a/hawthornspoke/mirror/_neighbours.py
+++ b/hawthornspoke/mirror/_neighbours.py
@@ -7,7 +7,7 @@
 from hawthornspoke.base import Failure, boottime_clock, is_failure, monotonic
 from hawthornspoke.catalog import UNKNOWN_TIME
 from hawthornspoke.mirror._readers import NeighbourListReceived, ReaderFailed, Readers
-from hawthornspoke.mirror._types import NOT_READING, News, Row
+from hawthornspoke.mirror._types import NOT_READING, Row, TableUpdate
 from hawthornspoke.peering import connect, listen
 from hawthornspoke.protocol import Frame, TableAsk, TableNews, TableRow
 
@@ -108,7 +108,7 @@
         for link in self._link_by_address.values():
             link.close()
 
-    def told(self, agent, addresses):
+    def update_entry_hosts(self, agent, addresses):
         """Replace the list of entry hosts that an agent sees."""
         message = NeighbourListReceived(agent=agent, addresses=tuple(addresses))
         self.readers.step(message, now=monotonic())
@@ -136,7 +136,7 @@
 
         Returns
         -------
-        News or Failure
+        TableUpdate or Failure
             After ``NOT_READING`` the next neighbour in order has to be queried; after
             any other failure this host has to read the platform itself.
         """
@@ -307,7 +307,7 @@
     # The neighbour's state was confirmed `age_ms` before it answered, and it answered
     # no earlier than `held_ms` after the query was sent.
     answered_at = asked_at + answer.held_ms / 1000
-    return News(
+    return TableUpdate(
         rows=[_decode_row(row, answered_at) for row in answer.rows or ()],
         revision=answer.up_to,
         whole=bool(answer.whole),
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -6,7 +6,7 @@
 
 from hawthornspoke import fields
 from hawthornspoke.base import is_failure, monotonic
-from hawthornspoke.mirror._types import Written
+from hawthornspoke.mirror._types import RowWritten
 from hawthornspoke.quarantine import EVIDENCE_LIFETIME, Evidence
 
 #: Table and key of the only row, whose size is bounded for any number of requests.
@@ -49,7 +49,7 @@
     Parameters
     ----------
     store : object
-        See ``RecordKeeper``.
+        See ``DeclarationRecorder``.
     suspects : PoisonRequestTracker
     log : EventLog
     first_start : bool, default=False
@@ -110,7 +110,7 @@
             answer = await self._store.write(
                 QUARANTINE_TABLE, KEY, data, expected=revision
             )
-            if is_failure(answer) or isinstance(answer, Written):
+            if is_failure(answer) or isinstance(answer, RowWritten):
                 return answer if is_failure(answer) else None
         return None
 
--- a/hawthornspoke/mirror/_readers.py
+++ b/hawthornspoke/mirror/_readers.py
@@ -108,7 +108,7 @@
         """Return whether a host failed within the last ``avoid_for`` seconds."""
         return now < self._avoid_deadline_by_address.get(address, 0.0)
 
-    def known(self):
+    def host_count(self):
         """Return the number of known hosts of this failure domain, with this one."""
         return len(self._failure_domain_addresses())
 
--- a/hawthornspoke/mirror/_record_keeper.py
+++ b/hawthornspoke/mirror/_record_keeper.py
@@ -12,7 +12,7 @@
     decode_record,
     encode_record,
 )
-from hawthornspoke.mirror._types import Written
+from hawthornspoke.mirror._types import RowWritten
 
 #: Seconds after a declaration was received for which a failed call is retried. Old
 #: weights may be used for 8 and 13.4 s after a declaration; later, knowing its time
@@ -57,7 +57,7 @@
         self.revision = revision
 
 
-class RecordKeeper:
+class DeclarationRecorder:
     """Writes declaration times of versions, or reads those this process can't know.
 
     A version becomes binding a fixed time after its declaration, and immediately if the
@@ -70,9 +70,9 @@
     Parameters
     ----------
     store : object
-        ``await read(table, first=, past=)`` returns News or a Failure. ``await
-        write(table, key, data, expected=)`` returns Written, News of the row if its
-        revision isn't the expected one, or a Failure.
+        ``await read(table, first=, past=)`` returns TableUpdate or a Failure. ``await
+        write(table, key, data, expected=)`` returns RowWritten, TableUpdate of the row
+        if its revision isn't the expected one, or a Failure.
     clock : PlatformClock
         Clock fed with the platform's answers to this process.
     on_declaration_dates : callable
@@ -102,7 +102,7 @@
         self._stored_by_model = {}
         self._wake = asyncio.Event()
 
-    def take(self, declared, row, *, from_platform=True):
+    def update(self, declared, row, *, from_platform=True):
         """Schedule the write or read for a declaration, unless it is known already.
 
         Parameters
@@ -201,7 +201,7 @@
             )
             if is_failure(answer):
                 return answer
-            if isinstance(answer, Written):
+            if isinstance(answer, RowWritten):
                 # If the revision is that of a later write, the next write conflicts
                 # and gets the row.
                 self._stored_by_model[model] = _StoredRow(
--- a/hawthornspoke/mirror/_tables.py
+++ b/hawthornspoke/mirror/_tables.py
@@ -1,6 +1,6 @@
 """Local copies of the platform's tables."""
 
-from hawthornspoke.mirror._types import News, Row
+from hawthornspoke.mirror._types import Row, TableUpdate
 
 #: Maximum number of tombstones (removed rows) kept for each table, for answers to
 #: neighbours. A query from before the oldest tombstone gets the whole table. A failure
@@ -34,7 +34,7 @@
     def __init__(self):
         self._table_by_name = {}
 
-    def take(self, name, news):
+    def update(self, name, news):
         """Apply an answer to a table, except for rows older than the known ones.
 
         Neighbours are queried in turn, and one that was suspended or partitioned
@@ -44,11 +44,11 @@
         Parameters
         ----------
         name : str
-        news : News
+        news : TableUpdate
 
         Returns
         -------
-        News
+        TableUpdate
             The accepted part of the answer. If ``news`` is whole it is whole as well,
             with the known rows in place of older ones.
         """
@@ -71,7 +71,7 @@
         table.revision = max(table.revision, news.revision)
         accepted_rows = table.live_rows() if news.whole else newer_rows
         self._drop_old_tombstones(table)
-        return News(
+        return TableUpdate(
             rows=accepted_rows,
             revision=table.revision,
             whole=news.whole,
@@ -86,7 +86,7 @@
         Parameters
         ----------
         name : str
-        news : News
+        news : TableUpdate
             Its ``known_until`` has to be set.
         write_time_bound : callable
             Given a revision, returns a lower bound on the time it was written.
@@ -111,7 +111,7 @@
 
         Returns
         -------
-        News or None
+        TableUpdate or None
             None if the table has not been read yet.
         """
         table = self._table_by_name.get(name)
@@ -119,10 +119,12 @@
             return None
         rows = table.row_by_key.values()
         if after is None or after < table.complete_from:
-            return News(rows=table.live_rows(), revision=table.revision, whole=True)
+            return TableUpdate(
+                rows=table.live_rows(), revision=table.revision, whole=True
+            )
         changed = [row for row in rows if row.revision > after]
         changed.sort(key=lambda row: row.revision)
-        return News(rows=changed, revision=table.revision)
+        return TableUpdate(rows=changed, revision=table.revision)
 
     def _drop_old_tombstones(self, table):
         tombstones = sorted(
--- a/hawthornspoke/mirror/_types.py
+++ b/hawthornspoke/mirror/_types.py
@@ -34,7 +34,7 @@
         self.written_at = written_at
 
 
-class Written:
+class RowWritten:
     """Result of a successful write of a row.
 
     Parameters
@@ -49,7 +49,7 @@
         self.revision = revision
 
 
-class News:
+class TableUpdate:
     """Changes of a table, or all of its rows.
 
     Parameters
--- a/hawthornspoke/mirror/_unusable.py
+++ b/hawthornspoke/mirror/_unusable.py
@@ -45,7 +45,7 @@
         self._lines_this_minute = 0
         self._minute_ends_at = float("-inf")
 
-    def take(self, kind, reason_by_key):
+    def update(self, kind, reason_by_key):
         """Update the unusable rows of a kind, and report the new ones.
 
         Parameters
@@ -76,7 +76,7 @@
             )
 
 
-def sort_out(rows, decode):
+def decode_rows(rows, decode):
     """Decode rows independently of each other.
 
     Parameters
--- a/hawthornspoke/mirror/_watch.py
+++ b/hawthornspoke/mirror/_watch.py
@@ -71,19 +71,19 @@
         Long-poll seconds: the platform may wait this long for a change.
     pause : float
         Seconds between an answer with changes and the next query.
-    take : callable
-        Called with News.
+    update : callable
+        Called with TableUpdate.
     confirms_configuration : bool, default=False
         Whether an answer confirms that nothing was revoked before it was made.
     """
 
-    __slots__ = ("name", "wait", "pause", "take", "confirms_configuration")
+    __slots__ = ("name", "wait", "pause", "update", "confirms_configuration")
 
-    def __init__(self, *, name, wait, pause, take, confirms_configuration=False):
+    def __init__(self, *, name, wait, pause, update, confirms_configuration=False):
         self.name = name
         self.wait = wait
         self.pause = pause
-        self.take = take
+        self.update = update
         self.confirms_configuration = confirms_configuration
 
 
@@ -93,8 +93,9 @@
     Parameters
     ----------
     store : object
-        ``await read(table)`` and ``await follow(table, after=, wait=)`` return News
-        or a Failure, ``HISTORY_GONE`` if the whole table has to be read again.
+        ``await read(table)`` and ``await follow(table, after=, wait=)`` return
+        TableUpdate or a Failure, ``HISTORY_GONE`` if the whole table has to be read
+        again.
     neighbours : Neighbours
     on_confirmed : callable
         Called with the time up to which the platform's state is known, in seconds on
@@ -283,8 +284,8 @@
         """Apply an answer to the mirror, and return it without outdated rows."""
         # A feed contains every version of a row; only the newest one is kept.
         news.rows = list({row.key: row for row in news.rows}.values())
-        news = self.mirror.take(table.name, news)
-        table.take(news)
+        news = self.mirror.update(table.name, news)
+        table.update(news)
         if news.rows:
             self._notify_waiters()
         if table.confirms_configuration:
--- a/hawthornspoke/mirror/tests/test_dating.py
+++ b/hawthornspoke/mirror/tests/test_dating.py
@@ -4,7 +4,7 @@
 
 from hawthornspoke.base import boottime_clock
 from hawthornspoke.catalog import UNKNOWN_TIME
-from hawthornspoke.mirror import Mirror, News, Row
+from hawthornspoke.mirror import Mirror, Row, TableUpdate
 from hawthornspoke.mirror._dating import PlatformClock
 from hawthornspoke.mirror._watch import MIN_OUTAGE, NEIGHBOUR_WAIT
 from hawthornspoke.mirror.tests.test_watch import run_scenario, wait_until
@@ -56,15 +56,17 @@
 
 def test_rows_keep_their_write_time_when_reread():
     mirror = Mirror()
-    first = News(rows=[Row(key="a", data=b"1", revision=3)], revision=3, whole=True)
+    first = TableUpdate(
+        rows=[Row(key="a", data=b"1", revision=3)], revision=3, whole=True
+    )
     mirror.set_write_times("t", first, lambda revision: UNKNOWN_TIME)
-    mirror.take("t", first)
+    mirror.update("t", first)
     assert first.rows[0].written_at == UNKNOWN_TIME
-    change = News(rows=[Row(key="b", data=b"1", revision=5)], revision=5)
+    change = TableUpdate(rows=[Row(key="b", data=b"1", revision=5)], revision=5)
     change.known_until = 10.0
     mirror.set_write_times("t", change, lambda revision: 10.6)
-    mirror.take("t", change)
-    again = News(
+    mirror.update("t", change)
+    again = TableUpdate(
         rows=[
             Row(key="a", data=b"2", revision=7),
             Row(key="b", data=b"1", revision=5),
@@ -141,7 +143,7 @@
         await wait_until(lambda: asker.seen)
         for host in (reader, asker):
             host.news = []
-            taken = host.watch.mirror.take
+            taken = host.watch.mirror.update
             host.watch.mirror = RecordingMirror(taken, host.news)
         changed_at = boottime_clock()
         reader.store.put(b"2")
@@ -158,12 +160,12 @@
 class RecordingMirror:
     """A mirror that records the accepted part of each answer."""
 
-    def __init__(self, take, kept):
-        self._mirror = take.__self__
+    def __init__(self, update, kept):
+        self._mirror = update.__self__
         self._kept = kept
 
-    def take(self, name, news):
-        taken = self._mirror.take(name, news)
+    def update(self, name, news):
+        taken = self._mirror.update(name, news)
         self._kept.append(taken)
         return taken
 
--- a/hawthornspoke/mirror/tests/test_quarantine_record.py
+++ b/hawthornspoke/mirror/tests/test_quarantine_record.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings, strategies as st
 
 from hawthornspoke.base import Failure, monotonic
-from hawthornspoke.mirror import News, QuarantineRecord, Row, Written
+from hawthornspoke.mirror import QuarantineRecord, Row, RowWritten, TableUpdate
 from hawthornspoke.mirror._quarantine_record import KEY, MAX_REQUESTS
 from hawthornspoke.quarantine import EVIDENCE_LIFETIME, Evidence
 
@@ -27,7 +27,7 @@
 def news(*entries, data=None, revision=7, made_at=MADE_AT):
     if data is None:
         data = json.dumps({"requests": entries}).encode()
-    return News(
+    return TableUpdate(
         rows=[Row(key=KEY, data=data, revision=revision)],
         revision=revision,
         made_at=made_at,
@@ -35,7 +35,7 @@
 
 
 def empty_news():
-    return News(rows=[], revision=3, made_at=MADE_AT)
+    return TableUpdate(rows=[], revision=3, made_at=MADE_AT)
 
 
 def evidence(fingerprint="new"):
@@ -121,7 +121,7 @@
 
 
 def test_new_request_is_added_to_the_row():
-    store = FakeStore(empty_news(), news(entry("f")), Written(revision=8))
+    store = FakeStore(empty_news(), news(entry("f")), RowWritten(revision=8))
     run_record(store, FakeSuspects(evidence()))
     ((expected, written),) = store.written
     assert expected == 7
@@ -140,7 +140,7 @@
         empty_news(),
         news(entry("f")),
         news(entry("f")),
-        Written(revision=9),
+        RowWritten(revision=9),
     )
     run_record(store, FakeSuspects(evidence()))
     assert [expected for expected, _ in store.written] == [0, 7]
@@ -149,7 +149,7 @@
 
 def test_failed_calls_are_retried():
     store = FakeStore(
-        STORE_DOWN, empty_news(), STORE_DOWN, empty_news(), Written(revision=4)
+        STORE_DOWN, empty_news(), STORE_DOWN, empty_news(), RowWritten(revision=4)
     )
     events = run_record(store, FakeSuspects(evidence()), seconds=2.6)
     assert events.count("quarantine_unrecorded") == 2
@@ -158,7 +158,9 @@
 
 def test_row_is_bounded_and_drops_expired_entries():
     entries = [entry(f"f{number}", left=number - 5) for number in range(100)]
-    store = FakeStore(empty_news(), news(*entries[:MAX_REQUESTS]), Written(revision=8))
+    store = FakeStore(
+        empty_news(), news(*entries[:MAX_REQUESTS]), RowWritten(revision=8)
+    )
     run_record(store, FakeSuspects(evidence()))
     names = [item["fingerprint"] for item in store.written[0][1]]
     assert len(names) <= MAX_REQUESTS
@@ -178,7 +180,7 @@
 
 
 def test_malformed_row_is_overwritten():
-    store = FakeStore(empty_news(), news(data=b"7"), Written(revision=8))
+    store = FakeStore(empty_news(), news(data=b"7"), RowWritten(revision=8))
     events = run_record(store, FakeSuspects(evidence()))
     assert "quarantine_unreadable" in events
     assert store.written[0][0] == 7
--- a/hawthornspoke/mirror/tests/test_record.py
+++ b/hawthornspoke/mirror/tests/test_record.py
@@ -7,7 +7,7 @@
 
 from hawthornspoke.base import Failure, boottime_clock, is_failure
 from hawthornspoke.catalog import DeclaredWeights
-from hawthornspoke.mirror import News, RecordKeeper, Row, Written
+from hawthornspoke.mirror import DeclarationRecorder, Row, RowWritten, TableUpdate
 from hawthornspoke.mirror._dating import PlatformClock
 from hawthornspoke.mirror._record import (
     MAX_VERSIONS,
@@ -137,7 +137,7 @@
 
     async def run():
         dated, log = [], FakeLog()
-        keeper = RecordKeeper(
+        keeper = DeclarationRecorder(
             store=store,
             clock=clock or PlatformClock(),
             on_declaration_dates=lambda model, moments: dated.append((model, moments)),
@@ -148,7 +148,7 @@
             key="version", data=b"", revision=20, written_at=declared_at
         )
         task = asyncio.create_task(keeper.run())
-        keeper.take(declared, declaring_row, from_platform=from_platform)
+        keeper.update(declared, declaring_row, from_platform=from_platform)
         await asyncio.sleep(seconds)
         task.cancel()
         return dated, log.events
@@ -163,7 +163,7 @@
 
 
 def news(*rows):
-    return News(rows=list(rows), revision=REVISION, made_at=MADE_AT)
+    return TableUpdate(rows=list(rows), revision=REVISION, made_at=MADE_AT)
 
 
 def test_conflict_with_same_version_keeps_the_row():
@@ -179,14 +179,14 @@
     although other hosts had a better bound.
     """
     early = row({**TWO, "not_before_ms": 15000})
-    store = FakeStore(news(early), Written(revision=41))
+    store = FakeStore(news(early), RowWritten(revision=41))
     run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=21.0))
     assert store.written[-1] == (REVISION, [TWO])
 
 
 def test_conflict_with_older_version_is_merged():
     store = FakeStore(
-        news(row({**TWO, "version": 1, "revision": 10})), Written(revision=41)
+        news(row({**TWO, "version": 1, "revision": 10})), RowWritten(revision=41)
     )
     run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=22.5))
     (_, first), (expected, second) = store.written
@@ -197,7 +197,7 @@
 
 def test_impossible_row_is_overwritten():
     untrue = row({**TWO, "not_before_ms": 10**9})
-    store = FakeStore(news(untrue), Written(revision=41))
+    store = FakeStore(news(untrue), RowWritten(revision=41))
     _, events = run_keeper(
         store, declared_at=1.0, clock=clock_with_answer(19, made_at=20.5)
     )
@@ -208,7 +208,7 @@
 def test_row_removed_during_the_write_is_recreated():
     """A conflict without a row in the answer must not count as a successful write."""
     store = FakeStore(
-        news(row(TWO | {"revision": 10, "version": 1})), news(), Written(revision=41)
+        news(row(TWO | {"revision": 10, "version": 1})), news(), RowWritten(revision=41)
     )
     run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=22.5))
     assert [expected for expected, _ in store.written] == [0, REVISION, 0]
--- a/hawthornspoke/mirror/tests/test_tables.py
+++ b/hawthornspoke/mirror/tests/test_tables.py
@@ -1,6 +1,6 @@
 """Changes and tombstones in local copies of tables."""
 
-from hawthornspoke.mirror import Mirror, News, Row
+from hawthornspoke.mirror import Mirror, Row, TableUpdate
 
 
 def row(key, revision, data=b"x"):
@@ -17,9 +17,11 @@
 
 def test_changes_since_a_revision_are_ordered():
     mirror = Mirror()
-    mirror.take("t", News(rows=[row("a", 3), row("b", 5)], revision=6, whole=True))
-    mirror.take("t", News(rows=[row("b", 8, b"z")], revision=8))
-    mirror.take("t", News(rows=[row("a", 9, b"y")], revision=9))
+    mirror.update(
+        "t", TableUpdate(rows=[row("a", 3), row("b", 5)], revision=6, whole=True)
+    )
+    mirror.update("t", TableUpdate(rows=[row("b", 8, b"z")], revision=8))
+    mirror.update("t", TableUpdate(rows=[row("a", 9, b"y")], revision=9))
     news = mirror.changes_since("t", 6)
     assert contents(news) == [("b", b"z"), ("a", b"y")]
     assert (news.revision, news.whole) == (9, False)
@@ -35,7 +37,7 @@
     continue to use the removed endpoint.
     """
     mirror = Mirror()
-    mirror.take("t", News(rows=[row("a", 3)], revision=6, whole=True))
+    mirror.update("t", TableUpdate(rows=[row("a", 3)], revision=6, whole=True))
     late = mirror.changes_since("t", 4)
     assert late.whole
     assert contents(late) == [("a", b"x")]
@@ -44,8 +46,10 @@
 
 def test_removed_rows_are_included_in_changes():
     mirror = Mirror()
-    mirror.take("t", News(rows=[row("a", 3), row("b", 5)], revision=6, whole=True))
-    mirror.take("t", News(rows=[row("a", 8, None)], revision=8))
+    mirror.update(
+        "t", TableUpdate(rows=[row("a", 3), row("b", 5)], revision=6, whole=True)
+    )
+    mirror.update("t", TableUpdate(rows=[row("a", 8, None)], revision=8))
     assert contents(mirror.changes_since("t", 6)) == [("a", None)]
     assert contents(mirror.changes_since("t", None)) == [("b", b"x")]
 
@@ -58,16 +62,20 @@
     endpoints that are gone.
     """
     mirror = Mirror()
-    mirror.take("t", News(rows=[row("a", 3), row("b", 5)], revision=6, whole=True))
-    mirror.take("t", News(rows=[row("b", 5)], revision=20, whole=True))
+    mirror.update(
+        "t", TableUpdate(rows=[row("a", 3), row("b", 5)], revision=6, whole=True)
+    )
+    mirror.update("t", TableUpdate(rows=[row("b", 5)], revision=20, whole=True))
     assert contents(mirror.changes_since("t", 6)) == [("a", None)]
 
 
 def test_number_of_tombstones_is_bounded():
     mirror = Mirror()
-    mirror.take("t", News(rows=[row("kept", 1)], revision=1, whole=True))
+    mirror.update("t", TableUpdate(rows=[row("kept", 1)], revision=1, whole=True))
     for number in range(2, 1000):
-        mirror.take("t", News(rows=[row(f"k{number}", number, None)], revision=number))
+        mirror.update(
+            "t", TableUpdate(rows=[row(f"k{number}", number, None)], revision=number)
+        )
     late = mirror.changes_since("t", 5)
     assert late.whole
     assert contents(late) == [("kept", b"x")]
@@ -83,11 +91,13 @@
     otherwise the earlier start of the endpoint would be in the list again.
     """
     mirror = Mirror()
-    old = News(rows=[row("a", 3, b"first"), row("b", 4)], revision=5, whole=True)
-    mirror.take("t", News(rows=list(old.rows), revision=5, whole=True))
-    mirror.take("t", News(rows=[row("a", 7, b"second"), row("c", 8)], revision=8))
-    mirror.take("t", News(rows=[row("b", 9, None)], revision=9))
-    taken = mirror.take("t", old)
+    old = TableUpdate(rows=[row("a", 3, b"first"), row("b", 4)], revision=5, whole=True)
+    mirror.update("t", TableUpdate(rows=list(old.rows), revision=5, whole=True))
+    mirror.update(
+        "t", TableUpdate(rows=[row("a", 7, b"second"), row("c", 8)], revision=8)
+    )
+    mirror.update("t", TableUpdate(rows=[row("b", 9, None)], revision=9))
+    taken = mirror.update("t", old)
     assert taken.whole
     assert sorted(contents(taken)) == [("a", b"second"), ("c", b"x")]
     assert taken.revision == 9
@@ -100,16 +110,20 @@
 def test_late_change_of_a_row_is_ignored():
     """The same with an answer of changes only, one of which is new."""
     mirror = Mirror()
-    mirror.take("t", News(rows=[row("a", 7, b"second")], revision=8, whole=True))
-    late = News(rows=[row("a", 6, b"first"), row("b", 9)], revision=9)
-    taken = mirror.take("t", late)
+    mirror.update(
+        "t", TableUpdate(rows=[row("a", 7, b"second")], revision=8, whole=True)
+    )
+    late = TableUpdate(rows=[row("a", 6, b"first"), row("b", 9)], revision=9)
+    taken = mirror.update("t", late)
     assert not taken.whole
     assert contents(taken) == [("b", b"x")]
 
 
 def test_newer_whole_table_removes_missing_rows():
     mirror = Mirror()
-    mirror.take("t", News(rows=[row("a", 3), row("b", 4)], revision=5, whole=True))
-    taken = mirror.take("t", News(rows=[row("a", 3)], revision=6, whole=True))
+    mirror.update(
+        "t", TableUpdate(rows=[row("a", 3), row("b", 4)], revision=5, whole=True)
+    )
+    taken = mirror.update("t", TableUpdate(rows=[row("a", 3)], revision=6, whole=True))
     assert contents(taken) == [("a", b"x")]
     assert contents(mirror.changes_since("t", 5)) == [("b", None)]
--- a/hawthornspoke/mirror/tests/test_watch.py
+++ b/hawthornspoke/mirror/tests/test_watch.py
@@ -8,8 +8,8 @@
     HISTORY_GONE,
     FollowedTable,
     Neighbours,
-    News,
     Row,
+    TableUpdate,
     TableWatcher,
 )
 from hawthornspoke.mirror._neighbours import ANSWER_TIMEOUT, POLL_INTERVAL
@@ -46,7 +46,7 @@
         if self.fault is not None:
             return await self._fail()
         row = Row(key="k", data=self.data, revision=self.revision)
-        return News(rows=[row], revision=self.revision, whole=True)
+        return TableUpdate(rows=[row], revision=self.revision, whole=True)
 
     async def follow(self, table, *, after, wait):
         deadline = boottime_clock() + wait
@@ -55,7 +55,7 @@
                 break
             await asyncio.sleep(0.01)
         news = await self.read(table)
-        if isinstance(news, News):
+        if isinstance(news, TableUpdate):
             news.rows = [row for row in news.rows if row.revision > after]
             news.whole = False
         return news
@@ -95,15 +95,15 @@
 
     async def start(self, hosts, *, named_after=0.0):
         loop = asyncio.get_running_loop()
-        loop.call_later(named_after, self.neighbours.told, "agent", hosts)
+        loop.call_later(named_after, self.neighbours.update_entry_hosts, "agent", hosts)
         if not named_after:
-            self.neighbours.told("agent", hosts)
+            self.neighbours.update_entry_hosts("agent", hosts)
         await self.neighbours.serve(self.watch)
         table = FollowedTable(
             name="t",
             wait=0.5,
             pause=0.05,
-            take=lambda news: self.seen.extend(row.data for row in news.rows),
+            update=lambda news: self.seen.extend(row.data for row in news.rows),
             confirms_configuration=True,
         )
         self.task = asyncio.get_running_loop().create_task(self.watch.run([table]))
@@ -254,7 +254,7 @@
         third = WatchingHost(THIRD, second.port, FakeStore())
         everyone = (READER, ASKER, THIRD)
         for host in (first, second):
-            host.neighbours.told("agent", everyone)
+            host.neighbours.update_entry_hosts("agent", everyone)
         await third.start(everyone)
         try:
             await wait_until(lambda: third.seen and second.watch.is_current())
@@ -291,7 +291,7 @@
             return await original(table)
 
         host.store.follow, host.store.read = gone, read
-        table = FollowedTable(name="t", wait=0.5, pause=0.0, take=host.seen.append)
+        table = FollowedTable(name="t", wait=0.5, pause=0.0, update=host.seen.append)
         following = asyncio.create_task(host.watch.run([table]))
         await asyncio.sleep(1.0)
         following.cancel()
@@ -360,7 +360,7 @@
             host_without_agents.store.put(str(number).encode())
             await asyncio.sleep(0.1)
         assert host_without_agents.store.calls <= 4
-        host_without_agents.neighbours.told("agent", (READER,))
+        host_without_agents.neighbours.update_entry_hosts("agent", (READER,))
         await asyncio.sleep(FIRST_START_PAUSE)
         host_without_agents.store.put(b"last")
         await wait_until(lambda: host_without_agents.seen[-1] == b"last", seconds=0.3)
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -318,7 +318,7 @@
                 self.log.change("reader", peer=reader, before=before)
                 self.agents.send_directives()
             seen = EntryHostsUpdated(
-                near=self.neighbours.readers.known(),
+                near=self.neighbours.readers.host_count(),
                 all=self.budgets.entry_hosts(),
                 position=self.neighbours.readers.position(),
             )
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -82,7 +82,7 @@
             fleet=fleet,
             log=log,
             directive_for=self.directive_for,
-            on_entry_hosts=neighbours.told,
+            on_entry_hosts=neighbours.update_entry_hosts,
             suspects=suspects,
             earliest_arrival=earliest_arrival,
         )
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -11,18 +11,18 @@
 from hawthornspoke.spread._peers import Peers
 from hawthornspoke.spread._uploads import PIECE_TIMEOUT, UploadQueue
 from hawthornspoke.swarm import (
+    AllChunksVerified,
     AnnounceChunks,
-    Announced,
-    AskHoldings,
-    Complete,
-    Drop,
     FetchFromOrigin,
     FetchFromPeer,
-    Participants,
+    ParticipantsChanged,
+    PeerAnnounced,
     PeerUnreachable,
+    QueryHoldings,
     Swarm,
     Tick,
-    Want,
+    TransferCancelled,
+    TransferRequested,
 )
 
 #: Seconds for which new pieces are batched into one announcement. A piece takes 50 ms
@@ -146,7 +146,7 @@
         while True:
             await ticks.next()
             if any(not item.complete for item in self.swarm.by_digest.values()) or any(
-                item.fresh for item in self.swarm.by_digest.values()
+                item.new_chunks for item in self.swarm.by_digest.values()
             ):
                 self._step(Tick())
 
@@ -186,7 +186,7 @@
         )
         for name in list(self.swarm.by_digest):
             self._step(
-                Participants(
+                ParticipantsChanged(
                     digest=name,
                     participants=dict(peer_by_name),
                     region_by_domain=self._settings.region_by_failure_domain,
@@ -197,7 +197,7 @@
         """Start fetching the missing pieces of a version."""
         self.weights_by_name[weights.name] = weights
         self._step(
-            Want(
+            TransferRequested(
                 digest=weights.name,
                 chunks=len(weights.digests),
                 size=len(weights.digests),
@@ -222,14 +222,14 @@
             if node == self._settings.engine_address:
                 continue
             if self._peers.source_of(node) == "region":
-                ask = AskHoldings(
+                ask = QueryHoldings(
                     digest=name, node=node, address=peer.address, port=peer.port
                 )
                 self.spawn(self._request_holdings(ask))
 
     def drop(self, name):
         """Stop fetching a version; held pieces remain available to peers."""
-        self._step(Drop(digest=name))
+        self._step(TransferCancelled(digest=name))
 
     def forget(self, name):
         """Stop fetching a version and free its pieces."""
@@ -263,9 +263,9 @@
             self.spawn(self._fetcher.fetch_from_origin(outcome))
         elif isinstance(outcome, AnnounceChunks):
             self._announce(outcome)
-        elif isinstance(outcome, AskHoldings):
+        elif isinstance(outcome, QueryHoldings):
             self.spawn(self._request_holdings(outcome))
-        elif isinstance(outcome, Complete):
+        elif isinstance(outcome, AllChunksVerified):
             weights = self.weights_by_name.get(outcome.digest)
             if weights is not None and weights.is_complete:
                 self._on_complete(weights)
@@ -288,7 +288,7 @@
             self._step(PeerUnreachable(digest=ask.digest, node=ask.node))
             return
         self._step(
-            Announced(
+            PeerAnnounced(
                 digest=ask.digest,
                 node=ask.node,
                 indices=unpack_indices(answer.holdings.bitmap),
@@ -317,7 +317,7 @@
 
     def _handle_announce(self, announce):
         self._step(
-            Announced(
+            PeerAnnounced(
                 digest=announce.digest or "",
                 node=announce.node or "",
                 indices=unpack_indices(announce.indices),
--- a/hawthornspoke/standins/_origin.py
+++ b/hawthornspoke/standins/_origin.py
@@ -6,7 +6,7 @@
 from hawthornspoke.base import digest_of
 from hawthornspoke.config import Manifest
 from hawthornspoke.standins._faults import Faults
-from hawthornspoke.swarm import Link
+from hawthornspoke.swarm import LinkRateLimiter
 from hawthornspoke.web import Response, json_response
 
 
@@ -49,7 +49,7 @@
         )
         self.bytes_sent = 0
         self.requests = 0
-        self._link = Link(rate=rate)
+        self._link = LinkRateLimiter(rate=rate)
         self._data_by_source = {}
         self._lock = threading.Lock()
 
--- a/hawthornspoke/swarm/__init__.py
+++ b/hawthornspoke/swarm/__init__.py
@@ -1,20 +1,20 @@
 """Peer-to-peer distribution of weights: planner, strategies and chunk store."""
 
-from hawthornspoke.swarm._link import Link
+from hawthornspoke.swarm._link import LinkRateLimiter
 from hawthornspoke.swarm._messages import (
+    AllChunksVerified,
     AnnounceChunks,
-    Announced,
-    AskHoldings,
     ChunkFailed,
     ChunkVerified,
-    Complete,
-    Drop,
     FetchFromOrigin,
     FetchFromPeer,
-    Participants,
+    ParticipantsChanged,
+    PeerAnnounced,
     PeerUnreachable,
+    QueryHoldings,
     Tick,
-    Want,
+    TransferCancelled,
+    TransferRequested,
 )
 from hawthornspoke.swarm._planner import Swarm
 from hawthornspoke.swarm._store import ChunkStore
@@ -22,20 +22,20 @@
 
 __all__ = [
     "STRATEGIES",
+    "AllChunksVerified",
     "AnnounceChunks",
-    "Announced",
-    "AskHoldings",
     "ChunkFailed",
     "ChunkStore",
     "ChunkVerified",
-    "Complete",
-    "Drop",
     "FetchFromOrigin",
     "FetchFromPeer",
-    "Link",
-    "Participants",
+    "LinkRateLimiter",
+    "ParticipantsChanged",
+    "PeerAnnounced",
     "PeerUnreachable",
+    "QueryHoldings",
     "Swarm",
     "Tick",
-    "Want",
+    "TransferCancelled",
+    "TransferRequested",
 ]
--- a/hawthornspoke/swarm/_link.py
+++ b/hawthornspoke/swarm/_link.py
@@ -5,7 +5,7 @@
 from hawthornspoke.base import monotonic
 
 
-class Link:
+class LinkRateLimiter:
     """A token bucket for one direction of a link.
 
     Parameters
--- a/hawthornspoke/swarm/_messages.py
+++ b/hawthornspoke/swarm/_messages.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Want:
+class TransferRequested:
     """Request to transfer some weights to this host.
 
     Parameters
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Participants:
+class ParticipantsChanged:
     """The set of hosts that load some weights has changed."""
 
     digest: str
@@ -45,14 +45,14 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Drop:
+class TransferCancelled:
     """Some weights are no longer needed; their transfer stops immediately."""
 
     digest: str
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Announced:
+class PeerAnnounced:
     """A peer has announced which chunks it holds.
 
     Parameters
@@ -157,7 +157,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class AskHoldings:
+class QueryHoldings:
     """Query a peer for the chunks it holds."""
 
     digest: str
@@ -167,7 +167,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Complete:
+class AllChunksVerified:
     """This host holds all chunks of some weights, verified.
 
     Parameters
--- a/hawthornspoke/swarm/_planner.py
+++ b/hawthornspoke/swarm/_planner.py
@@ -4,32 +4,32 @@
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 from hawthornspoke.swarm._messages import (
+    AllChunksVerified,
     AnnounceChunks,
-    Announced,
-    AskHoldings,
     ChunkFailed,
     ChunkVerified,
-    Complete,
-    Drop,
     FetchFromOrigin,
     FetchFromPeer,
-    Participants,
+    ParticipantsChanged,
+    PeerAnnounced,
     PeerUnreachable,
+    QueryHoldings,
     Tick,
-    Want,
+    TransferCancelled,
+    TransferRequested,
 )
 from hawthornspoke.swarm._transfer import Participant, Transfer
 
 #: Message classes that the machine handles.
 MESSAGES = (
-    Announced,
+    PeerAnnounced,
     ChunkFailed,
     ChunkVerified,
-    Drop,
-    Participants,
+    TransferCancelled,
+    ParticipantsChanged,
     PeerUnreachable,
     Tick,
-    Want,
+    TransferRequested,
 )
 
 #: Maximum number of digests whose announcements are stored before a transfer of
@@ -124,12 +124,12 @@
         self._origin_avoid_deadline = 0.0
         self.failed_by_cause = {}
 
-    def on_want(self, message, *, now):
+    def on_transfer_requested(self, message, *, now):
         """Start a transfer.
 
         Parameters
         ----------
-        message : Want
+        message : TransferRequested
         now : float
 
         Returns
@@ -158,12 +158,12 @@
             transfer.mark_held(index, now=now, injected=True)
         for early in self._early_announcements.pop(message.digest, {}).values():
             transfer.record_holdings(early.node, early.indices, early.held, now=now)
-        outcomes = [Complete(digest=message.digest, elapsed=0.0)]
+        outcomes = [AllChunksVerified(digest=message.digest, elapsed=0.0)]
         if not transfer.complete:
             outcomes = self._query_peers(transfer, count=2, now=now)
         return outcomes + self._plan(now=now)
 
-    def on_participants(self, message, *, now):
+    def on_participants_changed(self, message, *, now):
         """Update the set of participating hosts."""
         transfer = self.by_digest.get(message.digest)
         if transfer is None or self.node not in message.participants:
@@ -172,7 +172,7 @@
         transfer.set_participants(hosts, now=now)
         return self._plan(now=now)
 
-    def on_drop(self, message, *, now):
+    def on_transfer_cancelled(self, message, *, now):
         """Stop a transfer; results of its in-flight fetches are ignored."""
         transfer = self.by_digest.pop(message.digest, None)
         if transfer is not None:
@@ -180,7 +180,7 @@
                 self._release(transfer, source)
         return self._plan(now=now)
 
-    def on_announced(self, message, *, now):
+    def on_peer_announced(self, message, *, now):
         """Record the chunks a peer has announced and fetch those that are missing."""
         transfer = self.by_digest.get(message.digest)
         if transfer is None:
@@ -223,7 +223,7 @@
             transfer.participants[source].failures = 0
         if transfer.complete:
             elapsed = now - transfer.started_at
-            outcomes = [Complete(digest=message.digest, elapsed=elapsed)]
+            outcomes = [AllChunksVerified(digest=message.digest, elapsed=elapsed)]
             outcomes += self._announce(transfer, now=now)
             return outcomes + self._plan(now=now)
         transfer.now = now
@@ -250,7 +250,7 @@
         outcomes = []
         for transfer in self.by_digest.values():
             transfer.now = now
-            if transfer.fresh and now >= transfer.next_announcement_at:
+            if transfer.new_chunks and now >= transfer.next_announcement_at:
                 outcomes += self._announce(transfer, now=now)
         outcomes += self._plan(now=now)
         for transfer in self.by_digest.values():
@@ -416,7 +416,7 @@
     def _announce(self, transfer, *, now):
         transfer.next_announcement_at = now + self.announce_every
         announcements = transfer.strategy.announcements(transfer)
-        transfer.fresh = []
+        transfer.new_chunks = []
         transfer.injected = set()
         return [
             AnnounceChunks(
@@ -466,7 +466,7 @@
 
     def _holdings_query(self, transfer, name):
         peer = transfer.participants[name]
-        return AskHoldings(
+        return QueryHoldings(
             digest=transfer.digest, node=name, address=peer.address, port=peer.port
         )
 
@@ -476,7 +476,7 @@
         indices = message.indices
         if before is not None:
             indices = tuple(dict.fromkeys(before.indices + indices))
-        kept[message.node] = Announced(
+        kept[message.node] = PeerAnnounced(
             digest=message.digest,
             node=message.node,
             indices=indices,
--- a/hawthornspoke/swarm/_strategies.py
+++ b/hawthornspoke/swarm/_strategies.py
@@ -51,7 +51,7 @@
         """Return the announcements of newly held chunks, as ChunkAnnouncement."""
         return [
             ChunkAnnouncement(
-                indices=tuple(transfer.fresh),
+                indices=tuple(transfer.new_chunks),
                 host_names=tuple(transfer.incomplete_peers()),
                 held=len(transfer.held),
             )
@@ -272,7 +272,7 @@
             if transfer.participants[name].region == region
         ]
         local = ChunkAnnouncement(
-            indices=tuple(transfer.fresh),
+            indices=tuple(transfer.new_chunks),
             host_names=tuple(local_nodes),
             held=len(transfer.held),
         )
--- a/hawthornspoke/swarm/_transfer.py
+++ b/hawthornspoke/swarm/_transfer.py
@@ -112,7 +112,7 @@
         "in_flight_by_index",
         "missing",
         "chunks_seen",
-        "fresh",
+        "new_chunks",
         "injected",
         "next_announcement_at",
         "next_query_at",
@@ -155,7 +155,7 @@
         self.missing = list(range(chunks))
         random.Random(f"{seed}/{node}/{digest}").shuffle(self.missing)
         self.chunks_seen = 0
-        self.fresh = []
+        self.new_chunks = []
         self.injected = set()
         self.next_announcement_at = now
         self.next_query_at = now
@@ -314,7 +314,7 @@
             self.chunks_seen += 1
         self.held.add(index)
         self.missing.remove(index)
-        self.fresh.append(index)
+        self.new_chunks.append(index)
         if injected:
             self.injected.add(index)
         self.last_progress_at = now
--- a/hawthornspoke/swarm/tests/test_exchange.py
+++ b/hawthornspoke/swarm/tests/test_exchange.py
@@ -7,18 +7,18 @@
 
 from hawthornspoke.store import HostEntry
 from hawthornspoke.swarm import (
+    AllChunksVerified,
     AnnounceChunks,
-    Announced,
-    AskHoldings,
     ChunkFailed,
     ChunkVerified,
-    Complete,
     FetchFromOrigin,
     FetchFromPeer,
+    PeerAnnounced,
     PeerUnreachable,
+    QueryHoldings,
     Swarm,
     Tick,
-    Want,
+    TransferRequested,
 )
 
 CHUNK_SECONDS = 0.05
@@ -60,7 +60,7 @@
         self.count = 0
         self.origin_free_at = 0.0
         for name in self.names:
-            want = Want(
+            want = TransferRequested(
                 digest="d",
                 chunks=chunks,
                 size=chunks,
@@ -90,7 +90,7 @@
                 return
 
     def handle_outcome(self, name, outcome):
-        if isinstance(outcome, Complete):
+        if isinstance(outcome, AllChunksVerified):
             self.complete.add(name)
         elif isinstance(outcome, FetchFromOrigin) and name in self.refused:
             failed = ChunkFailed(digest="d", index=outcome.index, cause="failed")
@@ -104,7 +104,7 @@
             self.schedule(self.origin_free_at - self.now, name, done)
         elif isinstance(outcome, FetchFromPeer):
             self.schedule(CHUNK_SECONDS, name, self.fetch_result(outcome))
-        elif isinstance(outcome, AskHoldings):
+        elif isinstance(outcome, QueryHoldings):
             self.schedule(MESSAGE_SECONDS, name, self.query_holdings(outcome))
         elif isinstance(outcome, AnnounceChunks):
             self.announce(name, outcome)
@@ -120,10 +120,12 @@
         if ask.node in self.dead:
             return PeerUnreachable(digest="d", node=ask.node)
         held = self.held[ask.node]
-        return Announced(digest="d", node=ask.node, indices=tuple(held), held=len(held))
+        return PeerAnnounced(
+            digest="d", node=ask.node, indices=tuple(held), held=len(held)
+        )
 
     def announce(self, name, outcome):
-        message = Announced(
+        message = PeerAnnounced(
             digest="d", node=name, indices=outcome.indices, held=outcome.held
         )
         for target, _ in outcome.targets:
@@ -166,12 +168,12 @@
 
 def test_dropped_transfer_frees_its_slots():
     """Leaked slots would stop all fetches of a host after superseded transfers."""
-    from hawthornspoke.swarm import Drop
+    from hawthornspoke.swarm import TransferCancelled
 
     network = Network(3, 20)
     network.run(0.2)
     machine = network.by_name["host-00"]
-    machine.step(Drop(digest="d"), now=0.2)
+    machine.step(TransferCancelled(digest="d"), now=0.2)
     dump = machine.dump(now=0.2)
     assert (dump["peer_fetches"], dump["origin_fetches"]) == (0, 0)
 
@@ -198,7 +200,7 @@
     readers_by_region = {"north": set(), "south": set()}
     for name, entry in hosts.items():
         swarm = Swarm(node=name, origin_slots=96)
-        want = Want(
+        want = TransferRequested(
             digest="d",
             chunks=96,
             size=96,
--- a/hawthornspoke/swarm/tests/test_origin_is_back.py
+++ b/hawthornspoke/swarm/tests/test_origin_is_back.py
@@ -1,12 +1,12 @@
 """Backoff of an unreachable origin, and how announcements end it early."""
 
 from hawthornspoke.swarm import (
-    Announced,
     ChunkFailed,
     FetchFromOrigin,
+    PeerAnnounced,
     Swarm,
     Tick,
-    Want,
+    TransferRequested,
 )
 from hawthornspoke.swarm.tests.test_restarted_peer import host
 
@@ -23,7 +23,7 @@
 def refused_swarm():
     """Return a machine whose fetch from the origin failed at 1.0, and the chunk."""
     swarm = Swarm(node=NAMES[0], origin_slots=1, origin_avoid_for=AVOID_FOR)
-    want = Want(
+    want = TransferRequested(
         digest="d", chunks=CHUNKS, size=1, participants={n: host(n) for n in NAMES}
     )
     (first,) = origin_reads(swarm.step(want, now=0.0))
@@ -42,7 +42,7 @@
     """
     swarm, first = refused_swarm()
     other = (first + 1) % CHUNKS
-    news = Announced(digest="d", node=NAMES[1], indices=(other,), held=1)
+    news = PeerAnnounced(digest="d", node=NAMES[1], indices=(other,), held=1)
     assert len(origin_reads(swarm.step(news, now=1.6))) == 1
 
 
@@ -50,6 +50,6 @@
     swarm, first = refused_swarm()
     other = (first + 1) % CHUNKS
     swarm.by_digest["d"].record_holdings(NAMES[1], (other,), 1, now=1.5)
-    again = Announced(digest="d", node=NAMES[2], indices=(other,), held=1)
+    again = PeerAnnounced(digest="d", node=NAMES[2], indices=(other,), held=1)
     assert origin_reads(swarm.step(again, now=1.6)) == []
     assert len(origin_reads(swarm.step(Tick(), now=1.0 + AVOID_FOR))) == 1
--- a/hawthornspoke/swarm/tests/test_regional_news.py
+++ b/hawthornspoke/swarm/tests/test_regional_news.py
@@ -5,18 +5,18 @@
 from hawthornspoke.base import rendezvous_order
 from hawthornspoke.store import HostEntry
 from hawthornspoke.swarm import (
+    AllChunksVerified,
     AnnounceChunks,
-    Announced,
-    AskHoldings,
     ChunkFailed,
     ChunkVerified,
-    Complete,
     FetchFromOrigin,
     FetchFromPeer,
-    Participants,
+    ParticipantsChanged,
+    PeerAnnounced,
+    QueryHoldings,
     Swarm,
     Tick,
-    Want,
+    TransferRequested,
 )
 from hawthornspoke.swarm._strategies import Regional
 from hawthornspoke.swarm.tests.test_exchange import MESSAGE_SECONDS, TICK, Network
@@ -75,7 +75,7 @@
             peer_slots=6,
             origin_slots=1,
         )
-        want = Want(
+        want = TransferRequested(
             digest="d",
             chunks=CHUNKS,
             size=CHUNKS,
@@ -96,7 +96,7 @@
         self._start_host(name)
 
     def handle_outcome(self, name, outcome):
-        if isinstance(outcome, Complete):
+        if isinstance(outcome, AllChunksVerified):
             if len(self.held[name]) == CHUNKS:
                 self.complete.add(name)
         elif isinstance(outcome, FetchFromOrigin) and name not in self.refused:
@@ -213,9 +213,9 @@
 def test_simulation_answers_holdings_queries():
     """The tests above are meaningful only if simulated hosts answer these queries."""
     network = LinkNetwork(5, initial_holdings={"host-001": (3,)})
-    ask = AskHoldings(digest="d", node="host-001", address="x", port=1)
+    ask = QueryHoldings(digest="d", node="host-001", address="x", port=1)
     answer = network.query_holdings(ask)
-    assert answer == Announced(digest="d", node="host-001", indices=(3,), held=1)
+    assert answer == PeerAnnounced(digest="d", node="host-001", indices=(3,), held=1)
 
 
 def test_host_leaving_another_group_does_not_break_announcements():
@@ -231,7 +231,7 @@
     }
     shared = {"digest": "d", "region_by_domain": regions}
     swarm = Swarm(node="host-000", announce_every=0.0, origin_slots=CHUNKS)
-    want = Want(
+    want = TransferRequested(
         chunks=CHUNKS,
         size=CHUNKS,
         participants=hosts,
@@ -245,10 +245,10 @@
         swarm.step(ChunkVerified(digest="d", index=index), now=0.1)
     leaving = next(name for name in hosts if name not in group)
     left = {name: entry for name, entry in hosts.items() if name != leaving}
-    swarm.step(Participants(participants=left, **shared), now=0.2)
+    swarm.step(ParticipantsChanged(participants=left, **shared), now=0.2)
     assert swarm.by_digest["d"].group_nodes() == group
     swarm.by_digest["d"].injected = set(range(CHUNKS))
-    swarm.by_digest["d"].fresh = list(range(CHUNKS))
+    swarm.by_digest["d"].new_chunks = list(range(CHUNKS))
     announced = swarm.step(Tick(), now=0.3)
     addresses = {address for item in announced for address, _ in item.targets}
     assert leaving not in addresses
--- a/hawthornspoke/swarm/tests/test_restarted_peer.py
+++ b/hawthornspoke/swarm/tests/test_restarted_peer.py
@@ -3,13 +3,13 @@
 from hawthornspoke.store import HostEntry
 from hawthornspoke.swarm import (
     AnnounceChunks,
-    Announced,
     ChunkFailed,
     ChunkVerified,
     FetchFromPeer,
+    PeerAnnounced,
     Swarm,
     Tick,
-    Want,
+    TransferRequested,
 )
 
 CHUNKS = 6
@@ -41,9 +41,9 @@
     """
     swarm = Swarm(node="host-0", announce_every=0.1)
     hosts = {name: host(name) for name in NAMES}
-    want = Want(digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts)
+    want = TransferRequested(digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts)
     swarm.step(want, now=0.0)
-    news = Announced(
+    news = PeerAnnounced(
         digest="d", node="host-1", indices=tuple(range(CHUNKS)), held=CHUNKS
     )
     fetches = outcomes_of_type(swarm.step(news, now=0.1), FetchFromPeer)
@@ -64,9 +64,9 @@
     """
     swarm = Swarm(node="host-0", announce_every=0.1)
     hosts = {name: host(name) for name in NAMES}
-    want = Want(digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts)
+    want = TransferRequested(digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts)
     swarm.step(want, now=0.0)
-    news = Announced(
+    news = PeerAnnounced(
         digest="d", node="host-1", indices=tuple(range(CHUNKS)), held=CHUNKS
     )
     fetches_in_flight = outcomes_of_type(swarm.step(news, now=0.1), FetchFromPeer)
@@ -78,6 +78,6 @@
         fetches_in_flight += outcomes_of_type(
             swarm.step(missing, now=0.2), FetchFromPeer
         )
-    again = Announced(digest="d", node="host-1", indices=(lost[0],), held=1)
+    again = PeerAnnounced(digest="d", node="host-1", indices=(lost[0],), held=1)
     fetches = outcomes_of_type(swarm.step(again, now=0.5), FetchFromPeer)
     assert [(fetch.index, fetch.node) for fetch in fetches] == [(lost[0], "host-1")]
