--- a/hawthornspoke/cli/_app.py
+++ b/hawthornspoke/cli/_app.py
@@ -359,7 +359,7 @@
 
 
 def _run_role(role, file, overrides, process_class):
-    from hawthornspoke.cli._logs import set_up_logs
+    from hawthornspoke.cli._logs import configure_logging
     from hawthornspoke.settings import load_settings
 
     settings, failures = load_settings(
@@ -368,7 +368,7 @@
     if failures:
         _print_failures(failures)
         return codes.BAD_USAGE
-    set_up_logs(settings["log_level"])
+    configure_logging(settings["log_level"])
     try:
         process_class(settings=settings).run()
     except OSError as error:
--- a/hawthornspoke/cli/_apply.py
+++ b/hawthornspoke/cli/_apply.py
@@ -5,7 +5,7 @@
 from hawthornspoke.base import is_failure, monotonic
 from hawthornspoke.cli import _exit_codes as codes
 from hawthornspoke.operator import (
-    Accepted,
+    ApplyAccepted,
     ApplyConflict,
     ApplyOutcomeUnknown,
     apply_folder,
@@ -63,7 +63,7 @@
 
 
 def _print_accepted(outcome, clients, wait):
-    assert isinstance(outcome, Accepted)
+    assert isinstance(outcome, ApplyAccepted)
     state = "accepted" if outcome.changed else "in force already"
     print(f"revision {outcome.revision} {state}, document {outcome.digest[:12]}")
     if not wait:
--- a/hawthornspoke/cli/_logs.py
+++ b/hawthornspoke/cli/_logs.py
@@ -8,7 +8,7 @@
 FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSS!UTC} {level: <7} {message}"
 
 
-def set_up_logs(level):
+def configure_logging(level):
     """Send log lines of a level and above to standard error.
 
     Parameters
--- a/hawthornspoke/demo/_demo.py
+++ b/hawthornspoke/demo/_demo.py
@@ -10,7 +10,7 @@
 import urllib3
 
 from hawthornspoke.base import monotonic
-from hawthornspoke.cli._logs import set_up_logs
+from hawthornspoke.cli._logs import configure_logging
 from hawthornspoke.demo._fleet import (
     ADDRESS,
     CHUNK_COUNT,
@@ -18,7 +18,12 @@
     N_ENGINES,
     DemoFleet,
 )
-from hawthornspoke.operator import Accepted, apply_folder, read_fleet, render_status
+from hawthornspoke.operator import (
+    ApplyAccepted,
+    apply_folder,
+    read_fleet,
+    render_status,
+)
 
 API_KEY = "demo-key"
 TIMEOUT_SECONDS = 30.0
@@ -42,7 +47,7 @@
     int
         Exit code: 0, 1 if a step failed, or 7 if a port is in use.
     """
-    set_up_logs("WARNING")
+    configure_logging("WARNING")
     fleet = DemoFleet(port=port)
     try:
         fleet.start()
@@ -102,7 +107,7 @@
     started = monotonic()
     folder = files("hawthornspoke.demo") / name
     outcome = apply_folder(folder, clients=fleet.clients, author="demo")
-    if not isinstance(outcome, Accepted):
+    if not isinstance(outcome, ApplyAccepted):
         print(f"declarations were rejected: {outcome}", file=sys.stderr)
         return None
     while monotonic() - started < TIMEOUT_SECONDS:
--- a/hawthornspoke/fields/_fields.py
+++ b/hawthornspoke/fields/_fields.py
@@ -23,7 +23,7 @@
 #: The largest count that fits an i32 field of the messages between processes, and the
 #: largest integer up to which a 64-bit float is exact.
 MAX_COUNT = 2**31 - 1
-LARGEST_VERSION = 2**53
+MAX_EXACT_INT = 2**53
 
 MAX_PORT = 65535
 
@@ -34,7 +34,7 @@
     """A field is missing or its value is invalid."""
 
 
-def as_value(decode):
+def failure_on_field_error(decode):
     """Decorate a decoder to return ``UNUSABLE`` instead of raising ``FieldError``.
 
     Parameters
@@ -56,7 +56,7 @@
     return wrapper
 
 
-def object_of(data):
+def parse_object(data):
     """Parse a JSON object.
 
     Parameters
@@ -155,7 +155,7 @@
     return value
 
 
-def number(obj, name, default=REQUIRED, *, low=0, high=LARGEST_VERSION):
+def number(obj, name, default=REQUIRED, *, low=0, high=MAX_EXACT_INT):
     """Return a finite number within inclusive bounds.
 
     Parameters
--- a/hawthornspoke/fields/tests/test_fields.py
+++ b/hawthornspoke/fields/tests/test_fields.py
@@ -80,9 +80,9 @@
 
 
 def test_decoder_returns_a_failure_with_the_reason():
-    @fields.as_value
+    @fields.failure_on_field_error
     def decode(data):
-        return fields.text(fields.object_of(data), "x")
+        return fields.text(fields.parse_object(data), "x")
 
     assert decode(b'{"x": "a"}') == "a"
     for data in (b"", b"[]", b"\xff", b"[" * 100_000, b'{"x": 1}'):
--- a/hawthornspoke/httpio/__init__.py
+++ b/hawthornspoke/httpio/__init__.py
@@ -7,8 +7,8 @@
 """
 
 from hawthornspoke.httpio._client import (
-    BROKEN,
     CONNECT_FAILED,
+    CONNECTION_BROKEN,
     NOT_HTTP,
     NOT_SENT,
     ClientConnection,
@@ -19,13 +19,13 @@
 )
 from hawthornspoke.httpio._fetch import fetch
 from hawthornspoke.httpio._message import Message, Request, Response
-from hawthornspoke.httpio._operator import OperatorPort
+from hawthornspoke.httpio._operator import OperatorHandler
 from hawthornspoke.httpio._pool import ConnectionPool
 from hawthornspoke.httpio._probe import refuses_connections
 from hawthornspoke.httpio._server import CallerGone, HttpServer, Reply, ServerLimits
 
 __all__ = [
-    "BROKEN",
+    "CONNECTION_BROKEN",
     "CONNECT_FAILED",
     "NOT_HTTP",
     "NOT_SENT",
@@ -35,7 +35,7 @@
     "Exchange",
     "HttpServer",
     "Message",
-    "OperatorPort",
+    "OperatorHandler",
     "Reply",
     "Request",
     "Response",
--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -34,7 +34,7 @@
 READ_BUFFER_BYTES = 262144
 
 CONNECT_FAILED = Failure(code="connect_failed")
-BROKEN = Failure(code="connection_broken")
+CONNECTION_BROKEN = Failure(code="connection_broken")
 NOT_SENT = Failure(code="not_sent")
 NOT_HTTP = Failure(code="not_http")
 
@@ -169,7 +169,7 @@
         self.reusable = False
         exchange, self.exchange = self.exchange, None
         if exchange is not None:
-            exchange.end(BROKEN.with_reason(str(exc) if exc else "closed"))
+            exchange.end(CONNECTION_BROKEN.with_reason(str(exc) if exc else "closed"))
 
     def eof_received(self):
         """Complete a response that is delimited by the end of its connection.
--- a/hawthornspoke/httpio/_fetch.py
+++ b/hawthornspoke/httpio/_fetch.py
@@ -4,7 +4,7 @@
 
 from hawthornspoke.base import Failure, boottime_clock
 from hawthornspoke.httpio._client import (
-    BROKEN,
+    CONNECTION_BROKEN,
     NOT_SENT,
     ClientConnection,
     encode_request,
@@ -106,12 +106,12 @@
             complete = not isinstance(answer, Failure)
             return answer
     except TimeoutError:
-        return BROKEN.with_reason(
+        return CONNECTION_BROKEN.with_reason(
             f"{method} {target}: no response within {timeout:g} s"
         )
     finally:
         if isinstance(connection, ClientConnection):
             if complete:
-                pool.put_back(address, connection)
+                pool.return_connection(address, connection)
             else:
                 connection.abort()
--- a/hawthornspoke/httpio/_operator.py
+++ b/hawthornspoke/httpio/_operator.py
@@ -5,7 +5,7 @@
 METRICS_TYPE = "text/plain; version=0.0.4"
 
 
-class OperatorPort:
+class OperatorHandler:
     """Request handler that serves ``/metrics`` and ``/dump``.
 
     Parameters
--- a/hawthornspoke/httpio/_pool.py
+++ b/hawthornspoke/httpio/_pool.py
@@ -9,11 +9,11 @@
 class _IdleConnection:
     """An idle connection and the incarnation of the endpoint it was opened to."""
 
-    __slots__ = ("connection", "start")
+    __slots__ = ("connection", "instance")
 
-    def __init__(self, *, connection, start):
+    def __init__(self, *, connection, instance):
         self.connection = connection
-        self.start = start
+        self.instance = instance
 
 
 class ConnectionPool:
@@ -47,7 +47,7 @@
         self.opened = 0
         self._idle_by_key = {}
 
-    async def acquire(self, key, address, *, start=None, fresh=False, timeout=None):
+    async def acquire(self, key, address, *, instance=None, fresh=False, timeout=None):
         """Return an idle connection or open a new one.
 
         Parameters
@@ -56,7 +56,7 @@
             Connections are reused only under the same key, as an address can be
             reassigned to another endpoint.
         address : str
-        start : object, default=None
+        instance : object, default=None
             Incarnation of the endpoint. Idle connections to other incarnations are
             closed: after a power loss such a connection still looks open, and a
             request sent on it would have an unknown outcome.
@@ -69,7 +69,7 @@
         -------
         ClientConnection or Failure
         """
-        idle = self._idle_connections(key, start)
+        idle = self._idle_connections(key, instance)
         now = boottime_clock()
         while idle and not fresh:
             connection = idle.pop().connection
@@ -81,10 +81,10 @@
             address, timeout=timeout or self.connect_timeout, id_header=self.id_header
         )
 
-    def put_back(self, key, connection, *, start=None):
+    def return_connection(self, key, connection, *, instance=None):
         """Return a connection to the pool after a complete response."""
         if connection.release():
-            entry = _IdleConnection(connection=connection, start=start)
+            entry = _IdleConnection(connection=connection, instance=instance)
             self._idle_by_key.setdefault(key, []).append(entry)
             if self.closes_idle:
                 delay = max(0.0, connection.idle_deadline - boottime_clock())
@@ -104,12 +104,12 @@
                 idle.remove(item)
                 item.connection.abort()
 
-    def _idle_connections(self, key, start):
+    def _idle_connections(self, key, instance):
         """Return the idle connections to one incarnation and close all others."""
         idle = self._idle_by_key.get(key)
         if not idle:
             return idle
-        for item in [item for item in idle if item.start != start]:
+        for item in [item for item in idle if item.instance != instance]:
             idle.remove(item)
             item.connection.abort()
         return idle
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -328,7 +328,7 @@
         self.task = None
         self.idle_deadline = monotonic() + self.server.limits.idle_time
         if not task.cancelled() and task.exception() is not None:
-            self.server.on_broken(task.exception())
+            self.server.on_handler_error(task.exception())
         if self.transport is None:
             return
         if not reply.finished:
@@ -358,7 +358,7 @@
     port : int
     handler : coroutine function
         Called with a Request and its Reply.
-    on_broken : callable
+    on_handler_error : callable
         Called with an exception that the handler raised.
     limits : ServerLimits or None, default=None
     """
@@ -367,7 +367,7 @@
         "host",
         "port",
         "handler",
-        "on_broken",
+        "on_handler_error",
         "limits",
         "connections",
         "draining",
@@ -375,11 +375,11 @@
         "_sweeper",
     )
 
-    def __init__(self, *, host, port, handler, on_broken, limits=None):
+    def __init__(self, *, host, port, handler, on_handler_error, limits=None):
         self.host = host
         self.port = port
         self.handler = handler
-        self.on_broken = on_broken
+        self.on_handler_error = on_handler_error
         self.limits = limits or ServerLimits()
         self.connections = set()
         self.draining = False
--- a/hawthornspoke/httpio/tests/test_after_a_wait.py
+++ b/hawthornspoke/httpio/tests/test_after_a_wait.py
@@ -32,7 +32,9 @@
         received_targets.append(request.target)
         reply.send(200, [("Keep-Alive", "timeout=10")])
 
-    server = HttpServer(host="127.0.0.1", port=0, handler=handle, on_broken=print)
+    server = HttpServer(
+        host="127.0.0.1", port=0, handler=handle, on_handler_error=print
+    )
     await server.start()
     return server
 
--- a/hawthornspoke/httpio/tests/test_operator.py
+++ b/hawthornspoke/httpio/tests/test_operator.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hawthornspoke.httpio import ConnectionPool, HttpServer, OperatorPort, fetch
+from hawthornspoke.httpio import ConnectionPool, HttpServer, OperatorHandler, fetch
 from hawthornspoke.metrics import Metrics
 
 
@@ -16,8 +16,10 @@
     async def run():
         metrics = Metrics()
         metrics.count("requests_total", outcome="done")
-        handler = OperatorPort(metrics=metrics, dump=lambda: {"node": "n1"})
-        server = HttpServer(host="127.0.0.1", port=0, handler=handler, on_broken=print)
+        handler = OperatorHandler(metrics=metrics, dump=lambda: {"node": "n1"})
+        server = HttpServer(
+            host="127.0.0.1", port=0, handler=handler, on_handler_error=print
+        )
         await server.start()
         pool = ConnectionPool()
         answer = await fetch(
--- a/hawthornspoke/httpio/tests/test_pipelined.py
+++ b/hawthornspoke/httpio/tests/test_pipelined.py
@@ -18,7 +18,7 @@
         self.requests = []
         self.handler_delay = 0.01
         self.server = HttpServer(
-            host="127.0.0.1", port=0, handler=self._handle, on_broken=print
+            host="127.0.0.1", port=0, handler=self._handle, on_handler_error=print
         )
         await self.server.start()
         self.reader, self.writer = await asyncio.open_connection(
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -178,9 +178,9 @@
     return json.dumps({"requests": items}).encode()
 
 
-@fields.as_value
+@fields.failure_on_field_error
 def _decode(data):
-    tree = fields.object_of(data)
+    tree = fields.parse_object(data)
     return [
         _Entry(
             fingerprint=fields.text(item, "fingerprint"),
--- a/hawthornspoke/mirror/_record.py
+++ b/hawthornspoke/mirror/_record.py
@@ -130,15 +130,15 @@
     return [*older, added][-MAX_VERSIONS:]
 
 
-@fields.as_value
+@fields.failure_on_field_error
 def _decode(data):
-    tree = fields.object_of(data)
+    tree = fields.parse_object(data)
     return [
         DeclarationTime(
             version=fields.whole_number(
-                item, "version", low=1, high=fields.LARGEST_VERSION
+                item, "version", low=1, high=fields.MAX_EXACT_INT
             ),
-            revision=fields.whole_number(item, "revision", high=fields.LARGEST_VERSION),
+            revision=fields.whole_number(item, "revision", high=fields.MAX_EXACT_INT),
             not_before=fields.number(item, "not_before_ms") / MS,
         )
         for item in fields.children(tree, "versions")
--- a/hawthornspoke/operator/__init__.py
+++ b/hawthornspoke/operator/__init__.py
@@ -1,7 +1,7 @@
 """Implementation of the operators' commands: plan, apply, history, status, drain."""
 
 from hawthornspoke.operator._apply import (
-    Accepted,
+    ApplyAccepted,
     ApplyConflict,
     ApplyOutcomeUnknown,
     apply_folder,
@@ -18,7 +18,7 @@
 from hawthornspoke.operator._status import render_status
 
 __all__ = [
-    "Accepted",
+    "ApplyAccepted",
     "ApplyConflict",
     "ApplyOutcomeUnknown",
     "HostStatus",
--- a/hawthornspoke/operator/_apply.py
+++ b/hawthornspoke/operator/_apply.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Accepted:
+class ApplyAccepted:
     """The folder is the accepted configuration.
 
     Parameters
@@ -90,7 +90,7 @@
 
     Returns
     -------
-    Accepted, ApplyConflict, ApplyOutcomeUnknown, list of Failure, or Failure
+    ApplyAccepted, ApplyConflict, ApplyOutcomeUnknown, list of Failure, or Failure
         A list of failures if the folder is invalid.
     """
     declarations = load_folder(folder)
@@ -111,7 +111,7 @@
     if base is not None and base != revision:
         return ApplyConflict(row=row, lines=diff_documents(old_document, document))
     if _without_previous(document) == _without_previous(old_document):
-        return Accepted(revision=revision, digest=row["digest"], changed=False)
+        return ApplyAccepted(revision=revision, digest=row["digest"], changed=False)
     return _accept(clients, row, document, author)
 
 
@@ -175,7 +175,7 @@
         ]
     )
     if not is_failure(outcome):
-        return Accepted(revision=revision, digest=digest, changed=True)
+        return ApplyAccepted(revision=revision, digest=digest, changed=True)
     if outcome == UNSURE or outcome == CONFLICT:
         return _read_back(clients, new_row, document)
     return outcome
@@ -195,7 +195,7 @@
             _sleep()
             continue
         if written["token"] == new_row["token"]:
-            return Accepted(
+            return ApplyAccepted(
                 revision=new_row["revision"], digest=new_row["digest"], changed=True
             )
         return _make_conflict(clients, document)
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -6,7 +6,7 @@
 
 from hawthornspoke.base import StallDetector, Ticks, boottime_clock, monotonic
 from hawthornspoke.events import EventLog
-from hawthornspoke.httpio import ConnectionPool, HttpServer, OperatorPort
+from hawthornspoke.httpio import ConnectionPool, HttpServer, OperatorHandler
 from hawthornspoke.metrics import Metrics
 from hawthornspoke.mirror import Neighbours
 from hawthornspoke.placing import EntryHostsUpdated, Fleet
@@ -155,7 +155,7 @@
         )
         self.operator = self._server(
             f"{ip}:{settings.operator_port}",
-            OperatorPort(metrics=self.metrics, dump=self._dump),
+            OperatorHandler(metrics=self.metrics, dump=self._dump),
         )
 
     @property
@@ -217,7 +217,7 @@
     def _server(self, address, handler):
         host, _, port = address.rpartition(":")
         return HttpServer(
-            host=host, port=int(port), handler=handler, on_broken=self._on_broken
+            host=host, port=int(port), handler=handler, on_handler_error=self._on_broken
         )
 
     def _on_broken(self, error):
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from hawthornspoke.base import Failure, monotonic
-from hawthornspoke.httpio import BROKEN
+from hawthornspoke.httpio import CONNECTION_BROKEN
 from hawthornspoke.placing import LoadObserved, RequestFinished, RequestSent
 
 #: Status of an endpoint that did not run a request meant for another endpoint.
@@ -71,7 +71,7 @@
             ``UNREACHABLE`` if the connection failed; nothing was sent.
         """
         connection = await self._pool.acquire(
-            self.place.endpoint_id, self.place.address, start=self.place.incarnation
+            self.place.endpoint_id, self.place.address, instance=self.place.incarnation
         )
         if isinstance(connection, Failure):
             self._end("unreachable")
@@ -231,7 +231,9 @@
 
     def _release(self):
         place = self.place
-        self._pool.put_back(place.endpoint_id, self.connection, start=place.incarnation)
+        self._pool.return_connection(
+            place.endpoint_id, self.connection, instance=place.incarnation
+        )
         self.connection = None
 
     def _record_load(self, head):
@@ -252,7 +254,7 @@
             return
         self._ended = True
         self._on_ended(self)
-        if outcome == "failed" and self.exchange.failure == BROKEN:
+        if outcome == "failed" and self.exchange.failure == CONNECTION_BROKEN:
             self._on_broken(self)
         if outcome == "unreachable" or self.sent_at is not None:
             self._notify_fleet(
--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -327,7 +327,7 @@
             host="127.0.0.1",
             port=0,
             handler=self.handler,
-            on_broken=self.handler_errors.append,
+            on_handler_error=self.handler_errors.append,
         )
         await self.server.start()
         return self
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -13,7 +13,7 @@
 )
 from hawthornspoke.catalog import UNKNOWN_START
 from hawthornspoke.events import EventLog
-from hawthornspoke.httpio import HttpServer, OperatorPort
+from hawthornspoke.httpio import HttpServer, OperatorHandler
 from hawthornspoke.metrics import Metrics
 from hawthornspoke.peering import listen
 from hawthornspoke.spread._delivery import Delivery
@@ -107,8 +107,8 @@
         self.operator = HttpServer(
             host=settings.ip,
             port=settings.operator_port,
-            handler=OperatorPort(metrics=self.metrics, dump=self._dump),
-            on_broken=lambda error: self.log.change("failed", error=repr(error)),
+            handler=OperatorHandler(metrics=self.metrics, dump=self._dump),
+            on_handler_error=lambda error: self.log.change("failed", error=repr(error)),
         )
         self._snapshot = None
         self._incarnation = UNKNOWN_START
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -259,7 +259,7 @@
     Mutation(
         name="connections are kept by id alone",
         file="httpio/_pool.py",
-        old="[item for item in idle if item.start != start]",
+        old="[item for item in idle if item.instance != instance]",
         new="[]",
         test="hawthornspoke/httpio/tests/test_pool.py -k earlier_incarnation",
     ),
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -70,7 +70,7 @@
     async def start(self):
         """Start listening."""
         self.server = HttpServer(
-            host=self.ip, port=self.port, handler=self.handle, on_broken=print
+            host=self.ip, port=self.port, handler=self.handle, on_handler_error=print
         )
         await self.server.start()
 
@@ -220,7 +220,7 @@
 
     async def start(self, ip, port):
         self.server = HttpServer(
-            host=ip, port=port, handler=self.handle, on_broken=print
+            host=ip, port=port, handler=self.handle, on_handler_error=print
         )
         await self.server.start()
 
