--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -25,15 +25,15 @@
 from hawthornspoke.base import Failure, is_failure
 from hawthornspoke.config import ServiceView
 from hawthornspoke.deployment import (
+    CancelTransfer,
     Deployment,
-    DropTransfer,
-    EngineSeen,
+    EngineStateUpdated,
     OrderEnded,
     OrderLoad,
     OrderUnload,
-    PermitRead,
-    SetDeclared,
+    SetDeclaredWeights,
     StartTransfer,
+    SwapPermitUpdated,
     SwitchLive,
     Tick as DeploymentTick,
     TransferComplete,
@@ -169,7 +169,7 @@
             self._dispatch_fetches()
         elif isinstance(message, RunEnded):
             self._step_gate(Finish(request_id=message.request_id), now)
-        elif isinstance(message, EngineSeen):
+        elif isinstance(message, EngineStateUpdated):
             self.reading_engine_state = False
             self._step_deployment(message, now)
         elif isinstance(message, OrderEnded):
@@ -251,7 +251,7 @@
             if item.source:
                 self.source_by_digest[item.digest] = item.source
         self._evict_unneeded()
-        self._step_deployment(SetDeclared(items=tuple(items)), now)
+        self._step_deployment(SetDeclaredWeights(items=tuple(items)), now)
         self._set_plain_live(now)
         self.hosts_changed(now=now)
 
@@ -274,7 +274,9 @@
         self._step_gate(GateTick(), now)
         self._step_swarm(SwarmTick(), now)
         if self.deployment.phase:
-            self._step_deployment(PermitRead(allowed=self._is_change_allowed()), now)
+            self._step_deployment(
+                SwapPermitUpdated(allowed=self._is_change_allowed()), now
+            )
         running = {}
         for item in self.gate.running_by_id.values():
             digest = item.admit.digest
@@ -356,7 +358,7 @@
             if isinstance(outcome, StartTransfer):
                 self.start_by_digest[outcome.digest] = outcome
                 self._get_manifest(outcome.digest, now)
-            elif isinstance(outcome, DropTransfer):
+            elif isinstance(outcome, CancelTransfer):
                 self._drop_transfer(outcome.digest, now)
             elif isinstance(outcome, (OrderLoad, OrderUnload)):
                 self.engine_actor.tell(outcome)
@@ -476,7 +478,7 @@
     def _evict(self, digest):
         self.store.drop(digest)
         self.swarm.by_digest.pop(digest, None)
-        self.deployment.forget_digest(digest)
+        self.deployment.remove_stored_weights(digest)
 
     def _drop_transfer(self, digest, now):
         """Cancel a superseded transfer; complete weights are kept."""
--- a/hawthornspoke/agent/_engine_actor.py
+++ b/hawthornspoke/agent/_engine_actor.py
@@ -7,7 +7,7 @@
 
 from hawthornspoke.agent._engines import FENCED, CutAnswer
 from hawthornspoke.base import Failure, is_failure, monotonic
-from hawthornspoke.deployment import EngineSeen, OrderEnded, OrderLoad
+from hawthornspoke.deployment import EngineStateUpdated, OrderEnded, OrderLoad
 from hawthornspoke.protocol import ENGINE_ENDED, Event, EventKind
 
 
@@ -86,12 +86,12 @@
     def _read_state(self):
         state = self.engine.state()
         if state is None:
-            return EngineSeen(instance="")
+            return EngineStateUpdated(instance="")
         if state.get("instance") != self.instance:
             self.instance = state.get("instance", "")
             self.fence = int(state.get("fence", 0)) + 1
             self.staged_by_digest = {}
-        return EngineSeen(
+        return EngineStateUpdated(
             instance=self.instance,
             loaded=frozenset(state.get("loaded", ())),
             memory=int(state.get("memory", 0)),
--- a/hawthornspoke/agent/_wanted.py
+++ b/hawthornspoke/agent/_wanted.py
@@ -1,6 +1,6 @@
 """Weights that the active document requires on one host."""
 
-from hawthornspoke.deployment import Declared
+from hawthornspoke.deployment import TargetWeights
 
 DEFAULT_PRIORITY = 3
 
@@ -14,14 +14,14 @@
 
     Returns
     -------
-    list of Declared
+    list of TargetWeights
     """
     items = []
     for view in services:
         if view.kind != "model":
             continue
         priority = view.table.get("burst_priority", DEFAULT_PRIORITY)
-        base = Declared(
+        base = TargetWeights(
             key=view.live_key(),
             digest=view.digest,
             source=view.sources.get(view.digest, ""),
@@ -29,7 +29,7 @@
         )
         items.append(base)
         for name, digest in sorted(view.adapters.items()):
-            adapter = Declared(
+            adapter = TargetWeights(
                 key=view.live_key(name),
                 digest=digest,
                 base=view.digest,
--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class Declared:
+class TargetWeights:
     """Weights declared for a live key.
 
     Parameters
@@ -41,12 +41,12 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class SetDeclared:
+class SetDeclaredWeights:
     """The document in force declares the weights that this host is to run.
 
     Parameters
     ----------
-    items : tuple of Declared
+    items : tuple of TargetWeights
         Declared weights, base weights before their adapters.
     """
 
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class EngineSeen:
+class EngineStateUpdated:
     """The state of the engine was queried.
 
     Parameters
@@ -98,7 +98,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class PermitRead:
+class SwapPermitUpdated:
     """Whether the state of the other hosts permits this one to stop serving."""
 
     allowed: bool
@@ -127,7 +127,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class DropTransfer:
+class CancelTransfer:
     """Stop the transfer of weights that are no longer declared."""
 
     digest: str
@@ -205,7 +205,7 @@
         self.base_by_digest = {}
         self.transfers = set()
         self.refused_by_digest = {}
-        self.engine = EngineSeen(instance="")
+        self.engine = EngineStateUpdated(instance="")
         self.order = None
         self.phase = NO_SWAP
         self._has_configuration = False
@@ -214,7 +214,7 @@
         self._swap_permitted = False
         self._running_by_digest = {}
 
-    def on_set_declared(self, message, *, now):
+    def on_set_declared_weights(self, message, *, now):
         """Update the declared weights of this host."""
         self.declared_by_key = {item.key: item for item in message.items}
         for item in message.items:
@@ -230,7 +230,7 @@
         declared_digests = self._declared_digests()
         for digest in sorted(self.transfers - declared_digests):
             self.transfers.discard(digest)
-            outcomes.append(DropTransfer(digest=digest))
+            outcomes.append(CancelTransfer(digest=digest))
         return outcomes + self._advance(now=now)
 
     def on_transfer_complete(self, message, *, now):
@@ -245,7 +245,7 @@
         self.refused_by_digest[message.digest] = message.reason
         return []
 
-    def on_engine_seen(self, message, *, now):
+    def on_engine_state_updated(self, message, *, now):
         """Update the state of the engine."""
         outcomes = []
         restarted = message.instance != self.engine.instance
@@ -253,7 +253,7 @@
             if restarted or digest not in message.loaded:
                 del self.live_by_key[key]
                 outcomes.append(SwitchLive(key=key, digest=None))
-        self.engine = EngineSeen(
+        self.engine = EngineStateUpdated(
             instance=message.instance,
             loaded=frozenset(message.loaded),
             memory=message.memory,
@@ -274,7 +274,7 @@
         else:
             loaded.discard(message.digest)
             size = -size
-        self.engine = EngineSeen(
+        self.engine = EngineStateUpdated(
             instance=self.engine.instance,
             loaded=frozenset(loaded),
             memory=self.engine.memory,
@@ -282,7 +282,7 @@
         )
         return self._advance(now=now)
 
-    def on_permit_read(self, message, *, now):
+    def on_swap_permit_updated(self, message, *, now):
         """Update whether this host may stop serving."""
         self._swap_permitted = message.allowed
         return self._advance(now=now)
@@ -297,7 +297,7 @@
         self._running_by_digest = running
         return self._advance(now=now)
 
-    def forget_digest(self, digest):
+    def remove_stored_weights(self, digest):
         """Record that weights are no longer stored on this host.
 
         Parameters
--- a/hawthornspoke/membership/__init__.py
+++ b/hawthornspoke/membership/__init__.py
@@ -2,10 +2,10 @@
 
 from hawthornspoke.membership._detector import (
     STATIC_FIELDS,
-    HostListed,
+    HostListUpdated,
     MemberChanged,
-    MemberHeard,
     Membership,
+    MemberStateReceived,
     MemberView,
     Tick,
 )
@@ -13,9 +13,9 @@
 
 __all__ = [
     "STATIC_FIELDS",
-    "HostListed",
+    "HostListUpdated",
     "MemberChanged",
-    "MemberHeard",
+    "MemberStateReceived",
     "MemberView",
     "Membership",
     "Tick",
--- a/hawthornspoke/membership/_detector.py
+++ b/hawthornspoke/membership/_detector.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class MemberHeard:
+class MemberStateReceived:
     """State of a node was received, directly or relayed.
 
     Parameters
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class HostListed:
+class HostListUpdated:
     """The platform's host list was read.
 
     Parameters
@@ -182,12 +182,12 @@
         self.pauses = 0
         self._last_tick = None
 
-    def on_member_heard(self, message, *, now):
+    def on_member_state_received(self, message, *, now):
         """Update a node if the received state is newer than the stored one.
 
         Parameters
         ----------
-        message : MemberHeard
+        message : MemberStateReceived
         now : float
 
         Returns
@@ -221,12 +221,12 @@
         view.dead_deadline = view.received_at + self.dead_after
         return self._update_status(view, now=now)
 
-    def on_host_listed(self, message, *, now):
+    def on_host_list_updated(self, message, *, now):
         """Apply the host list, which seeds the nodes and also marks leaving ones.
 
         Parameters
         ----------
-        message : HostListed
+        message : HostListUpdated
         now : float
 
         Returns
--- a/hawthornspoke/node/_core.py
+++ b/hawthornspoke/node/_core.py
@@ -3,7 +3,12 @@
 import random
 
 from hawthornspoke.base import is_failure, rendezvous_order
-from hawthornspoke.membership import HostListed, MemberHeard, Membership, Tick
+from hawthornspoke.membership import (
+    HostListUpdated,
+    Membership,
+    MemberStateReceived,
+    Tick,
+)
 from hawthornspoke.protocol import PROTOCOL_VERSION, Datagram, Gossip
 from hawthornspoke.revision import (
     DocumentActivated,
@@ -89,11 +94,11 @@
         outcomes = []
         sender = gossip.sender
         if sender is not None:
-            update = MemberHeard(member=sender)
+            update = MemberStateReceived(member=sender)
             outcomes += self.membership.step(update, now=now)
         for member in gossip.members or ():
             age = (member.age_ms or 0) / 1000
-            update = MemberHeard(member=member, age=age)
+            update = MemberStateReceived(member=member, age=age)
             outcomes += self.membership.step(update, now=now)
         if gossip.revision:
             source = sender.node if sender is not None else ""
@@ -181,7 +186,7 @@
         if is_failure(entries):
             return []
         self.host_entries = entries
-        return self.membership.step(HostListed(entries=entries), now=now)
+        return self.membership.step(HostListUpdated(entries=entries), now=now)
 
     def accept_document(self, message, *, now):
         """Process a fetched document.
--- a/hawthornspoke/replay/_trace.py
+++ b/hawthornspoke/replay/_trace.py
@@ -6,7 +6,7 @@
 
 import hawthornspoke
 from hawthornspoke.base import MACHINES
-from hawthornspoke.deployment import Declared
+from hawthornspoke.deployment import TargetWeights
 from hawthornspoke.membership import MemberView
 from hawthornspoke.protocol import Live, Member
 from hawthornspoke.routing import RequestTraits
@@ -14,7 +14,7 @@
 
 #: Classes that a trace may use as field values, keyed by their ``type``.
 VALUE_CLASSES = {
-    "Declared": Declared,
+    "TargetWeights": TargetWeights,
     "HostEntry": HostEntry,
     "Live": Live,
     "Member": Member,
