--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -234,7 +234,7 @@
 
     # Overrides of ControlActor.
 
-    def put_in_force(self, document, *, now):
+    def apply_document(self, document, *, now):
         """Apply the services that a document declares for this host."""
         self.document = document
         node = self.settings["node"]
@@ -253,9 +253,9 @@
         self._evict_unneeded()
         self._step_deployment(SetDeclaredWeights(items=tuple(items)), now)
         self._set_plain_live(now)
-        self.hosts_changed(now=now)
+        self.on_hosts_changed(now=now)
 
-    def hosts_changed(self, *, now):
+    def on_hosts_changed(self, *, now):
         """Update the participants of running transfers."""
         for digest in list(self.swarm.by_digest):
             message = ParticipantsChanged(
--- a/hawthornspoke/agent/_engine_actor.py
+++ b/hawthornspoke/agent/_engine_actor.py
@@ -5,7 +5,7 @@
 import pykka
 from loguru import logger
 
-from hawthornspoke.agent._engines import FENCED, CutAnswer
+from hawthornspoke.agent._engines import FENCED, IncompleteResponse
 from hawthornspoke.base import Failure, is_failure, monotonic
 from hawthornspoke.deployment import EngineStateUpdated, OrderEnded, OrderLoad
 from hawthornspoke.protocol import ENGINE_ENDED, Event, EventKind
@@ -158,7 +158,7 @@
                 run.fail("cancelled")
                 return
         run.push(Event(kind=EventKind.DONE))
-    except CutAnswer as error:
+    except IncompleteResponse as error:
         if engine.has_ended():
             run.fail(f"{ENGINE_ENDED.code}: {exits.record()}")
         else:
--- a/hawthornspoke/agent/_engines.py
+++ b/hawthornspoke/agent/_engines.py
@@ -35,7 +35,7 @@
 )
 
 
-class CutAnswer(Exception):
+class IncompleteResponse(Exception):
     """The engine's response ended early; raised only while a driver iterates."""
 
 
@@ -48,7 +48,7 @@
         self.url = url.rstrip("/")
         self.pool = urllib3.PoolManager(maxsize=64)
 
-    def open(self, method, path, *, body, headers, timeout, objection=None):
+    def open(self, method, path, *, body, headers, timeout, precheck=None):
         """Send a request and return the response with its body unread.
 
         Parameters
@@ -58,7 +58,7 @@
         headers : dict of str to str or None
         timeout : float
             Seconds.
-        objection : callable or None, default=None
+        precheck : callable or None, default=None
             Called just before sending; returns a Failure if the request must not
             be sent any more, otherwise None.
 
@@ -69,10 +69,10 @@
 
         Raises
         ------
-        CutAnswer
+        IncompleteResponse
             If the request was sent, at least in part, and no response arrived.
         """
-        failure = objection() if objection is not None else None
+        failure = precheck() if precheck is not None else None
         if failure is not None:
             return failure
         try:
@@ -92,7 +92,7 @@
         ) as error:
             return ENGINE_DOWN.with_reason(str(error), retry_after=1.0)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise CutAnswer(str(error))
+            raise IncompleteResponse(str(error))
 
     def has_ended(self):
         """Return whether no process listens at the engine's address."""
@@ -115,7 +115,7 @@
             if isinstance(answer, Failure) or answer.status != 200:
                 return None
             return json.loads(answer.read())
-        except (CutAnswer, urllib3.exceptions.HTTPError, OSError, ValueError):
+        except (IncompleteResponse, urllib3.exceptions.HTTPError, OSError, ValueError):
             return None
 
 
@@ -129,7 +129,7 @@
     except (urllib3.exceptions.HTTPError, OSError, ValueError, AttributeError) as error:
         # urllib3 raises AttributeError when a cancel shuts the response down while
         # another thread reads it.
-        raise CutAnswer(repr(error))
+        raise IncompleteResponse(repr(error))
 
 
 def _head_event(answer, digest):
@@ -191,7 +191,7 @@
 
         Raises
         ------
-        CutAnswer
+        IncompleteResponse
             If the request may have run and the response is incomplete.
         """
         submit = run.submit
@@ -209,7 +209,7 @@
             body=json.dumps(payload).encode(),
             headers=headers,
             timeout=timeout,
-            objection=run.objection,
+            precheck=run.precheck,
         )
         if isinstance(answer, Failure):
             yield answer
@@ -221,7 +221,7 @@
             yield rejection
             return
         if answer.status >= 500:
-            raise CutAnswer(f"engine answered {answer.status}")
+            raise IncompleteResponse(f"engine answered {answer.status}")
         yield _head_event(answer, submit.digest)
         if payload.get("stream") is True:
             yield from self._events(answer)
@@ -260,7 +260,7 @@
                 headers=None,
                 timeout=STATE_TIMEOUT,
             )
-        except CutAnswer:
+        except IncompleteResponse:
             # The next load order discards the remaining staged chunks.
             return
         if not isinstance(answer, Failure):
@@ -323,14 +323,14 @@
             yield Event(kind=EventKind.TOKENS, data=complete, count=count)
         if rest or not ended:
             # A stream that ends after a complete event looks like a short response.
-            raise CutAnswer("the stream ended without its end mark")
+            raise IncompleteResponse("the stream ended without its end mark")
 
     def _put(self, path, data):
         try:
             answer = self._client.open(
                 "PUT", path, body=data, headers=None, timeout=STATE_TIMEOUT * 5
             )
-        except CutAnswer as error:
+        except IncompleteResponse as error:
             return ORDER_FAILED.with_reason(str(error))
         if isinstance(answer, Failure):
             return answer
@@ -348,7 +348,7 @@
                 headers={"Content-Type": "application/json"},
                 timeout=ORDER_TIMEOUT,
             )
-        except CutAnswer as error:
+        except IncompleteResponse as error:
             return ORDER_FAILED.with_reason(str(error))
         if isinstance(answer, Failure):
             return answer
@@ -404,7 +404,7 @@
             body=submit.body or None,
             headers=headers,
             timeout=timeout,
-            objection=run.objection,
+            precheck=run.precheck,
         )
         if isinstance(answer, Failure):
             yield answer
--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -125,7 +125,7 @@
         source = self.source_by_digest.get(message.digest)
         if manifest is None or source is None:
             return _chunk_failed(message, "missing")
-        start, stop = manifest.span(message.index)
+        start, stop = manifest.byte_range(message.index)
         data = self.clients.origin.chunk(
             source, start=start, stop=stop, timeout=ORIGIN_TIMEOUT
         )
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -61,7 +61,7 @@
         self._response = None
         self._lock = threading.Lock()
 
-    def objection(self):
+    def precheck(self):
         """Check whether the engine may still be called.
 
         The request has passed the gate and the start of a thread since it arrived. If
--- a/hawthornspoke/agent/tests/test_engine_ends.py
+++ b/hawthornspoke/agent/tests/test_engine_ends.py
@@ -5,7 +5,7 @@
 from hawthornspoke.agent import _engine_ends
 from hawthornspoke.agent._engine_actor import run_request
 from hawthornspoke.agent._engine_ends import SAME_EXIT_SECONDS, EngineExits
-from hawthornspoke.agent._engines import ENGINES, CutAnswer
+from hawthornspoke.agent._engines import ENGINES, IncompleteResponse
 from hawthornspoke.agent._runs import Run
 from hawthornspoke.base import monotonic
 from hawthornspoke.protocol import EventKind, Submit
@@ -23,7 +23,7 @@
         self._has_ended = has_ended
 
     def answer(self, run, *, timeout):
-        raise CutAnswer("broken")
+        raise IncompleteResponse("broken")
 
     def has_ended(self):
         return self._has_ended
--- a/hawthornspoke/config/_document.py
+++ b/hawthornspoke/config/_document.py
@@ -50,7 +50,7 @@
         patterns = self.table["hosts"]
         return any(fnmatch.fnmatchcase(host, pattern) for pattern in patterns)
 
-    def serves(self, organisation):
+    def allows_organisation(self, organisation):
         """Return whether an organisation may use the service.
 
         Parameters
@@ -76,7 +76,7 @@
             return []
         return [self.digest, *self.adapters.values()]
 
-    def accepts(self, digest, *, adapter=""):
+    def accepts_digest(self, digest, *, adapter=""):
         """Return whether a response computed with these weights is valid.
 
         Parameters
--- a/hawthornspoke/config/_manifest.py
+++ b/hawthornspoke/config/_manifest.py
@@ -44,7 +44,7 @@
         }
         return json.dumps(tree, sort_keys=True, separators=(",", ":")).encode()
 
-    def span(self, index):
+    def byte_range(self, index):
         """Return the byte range of a chunk.
 
         Parameters
--- a/hawthornspoke/config/tests/test_config.py
+++ b/hawthornspoke/config/tests/test_config.py
@@ -112,8 +112,8 @@
     )
     view = ServiceView(name="s", table=second["services"]["s"])
     assert view.digest == "d1b"
-    assert view.accepts("d1")
-    assert not view.accepts("d9")
+    assert view.accepts_digest("d1")
+    assert not view.accepts_digest("d9")
     assert view.runs_on("h-7")
     assert not view.runs_on("x-7")
 
@@ -129,6 +129,6 @@
     manifest = Manifest(chunks=["a", "b"], chunk_size=4, size=7)
     same = parse_manifest(manifest.to_bytes())
     assert same.digest == manifest.digest
-    assert manifest.span(1) == (4, 7)
+    assert manifest.byte_range(1) == (4, 7)
     for invalid_manifest in (b"{}", b"x", b'{"chunks":["a"],"chunk_size":4,"size":9}'):
         assert is_failure(parse_manifest(invalid_manifest))
--- a/hawthornspoke/entry/_attempt.py
+++ b/hawthornspoke/entry/_attempt.py
@@ -126,7 +126,7 @@
         ------
         hawthornspoke.protocol.Event
         """
-        self._connection = self.pool.take(
+        self._connection = self.pool.acquire_connection(
             address=self.endpoint.address, port=self.endpoint.port
         )
         reply = self._submit()
@@ -189,7 +189,7 @@
             "submit",
             submit,
             deadline=min(context.deadline, limit),
-            objection=self._check_before_send,
+            precheck=self._check_before_send,
         )
 
     def _check_before_send(self):
@@ -233,7 +233,7 @@
         return self._failed_after_submit(CUT_OFF.with_reason(failure.reason))
 
     def _result_of_final_event(self, event):
-        self.pool.give_back(self._connection)
+        self.pool.release_connection(self._connection)
         if event.kind == EventKind.DONE:
             return AttemptResult(done=True, was_run=True)
         retry_after = None
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -211,7 +211,7 @@
         if service is None:
             missing = NO_SUCH_SERVICE.with_reason(f"no service {service_name!r}")
             return self._denial(missing, now)
-        if not service.serves(organisation):
+        if not service.allows_organisation(organisation):
             reason = f"{service_name!r} is not open to {organisation!r}"
             return self._denial(FORBIDDEN.with_reason(reason), now)
         return organisation
@@ -228,7 +228,7 @@
         )
         if may_reject:
             return failure
-        self.core.hasten_table(now=now)
+        self.core.expedite_table_read(now=now)
         reason = f"{failure.code}, by a configuration that may be old"
         return NOT_READY.with_reason(reason, retry_after=1.0)
 
@@ -324,7 +324,7 @@
 
     # Hooks called by the base class.
 
-    def put_in_force(self, document, *, now):
+    def apply_document(self, document, *, now):
         """Apply services, organisations and limits of a new document."""
         self.service_by_name = {
             name: ServiceView(name=name, table=table)
@@ -342,7 +342,7 @@
         limits = SetLimits(rate_by_organisation=rates, burst_by_organisation=bursts)
         self.limits.step(limits, now=now)
 
-    def member_changed(self, change, *, now):
+    def on_member_changed(self, change, *, now):
         """Remove dead endpoints; send the full state to new entry hosts."""
         view = self.core.membership.by_id.get(change.node)
         if change.after == "alive" and view is not None and view.role == "entry":
@@ -354,7 +354,7 @@
             self.full_relay_by_node.pop(change.node, None)
             self.copy_deadline_by_node.pop(change.node, None)
 
-    def hosts_changed(self, *, now):
+    def on_hosts_changed(self, *, now):
         """Update the entry hosts among which the rate limits are shared."""
         counts = {}
         for view in self.core.membership.by_id.values():
@@ -377,7 +377,7 @@
             self._send_summary(entries, own, now)
         self.quarantine_sync.resend_recent(now=now)
 
-    def answer_heartbeat(self, gossip, source, *, now):
+    def reply_to_heartbeat(self, gossip, source, *, now):
         """Reply with the revision, and with peers if the agent is loading weights."""
         members = []
         if gossip.sender.warming:
@@ -455,7 +455,9 @@
                 live = item.digest or ""
                 if digest is not None and live != digest:
                     continue
-                if service.kind == "plain" or service.accepts(live, adapter=adapter):
+                if service.kind == "plain" or service.accepts_digest(
+                    live, adapter=adapter
+                ):
                     live_by_node[view.node] = (view, live)
         return live_by_node
 
--- a/hawthornspoke/entry/_forward.py
+++ b/hawthornspoke/entry/_forward.py
@@ -218,7 +218,7 @@
             return False
         self._retried_after_switch.add(endpoint.node)
         adapter = self.context.adapter
-        return self.context.service.accepts(result.live, adapter=adapter)
+        return self.context.service.accepts_digest(result.live, adapter=adapter)
 
     def _may_retry(self, result):
         failure = result.failure
--- a/hawthornspoke/entry/tests/test_after_a_wait.py
+++ b/hawthornspoke/entry/tests/test_after_a_wait.py
@@ -70,12 +70,12 @@
     def __init__(self, stall):
         self._stall = stall
 
-    def take(self, *, address, port):
+    def acquire_connection(self, *, address, port):
         connection = StallingConnection(address=address, port=port)
         connection.stall = self._stall
         return connection
 
-    def give_back(self, connection):
+    def release_connection(self, connection):
         connection.close()
 
 
--- a/hawthornspoke/node/_control.py
+++ b/hawthornspoke/node/_control.py
@@ -119,7 +119,7 @@
             self._process_outcomes(
                 self.core.apply_host_list(message.entries, now=now), now
             )
-            self.hosts_changed(now=now)
+            self.on_hosts_changed(now=now)
         elif isinstance(message, DocumentFetched):
             self.reading_document = False
             self._process_outcomes(self.core.accept_document(message, now=now), now)
@@ -139,13 +139,13 @@
     def on_announce(self, announce, *, now):
         """Handle a chunk announcement."""
 
-    def put_in_force(self, document, *, now):
+    def apply_document(self, document, *, now):
         """Apply a document that has become active."""
 
-    def hosts_changed(self, *, now):
+    def on_hosts_changed(self, *, now):
         """React to a new host list."""
 
-    def member_changed(self, change, *, now):
+    def on_member_changed(self, change, *, now):
         """React to a changed member status."""
 
     def role_tick(self, *, now):
@@ -154,7 +154,7 @@
     def send_heartbeat(self, *, now):
         """Send this node's state to the nodes that need it."""
 
-    def answer_heartbeat(self, gossip, source, *, now):
+    def reply_to_heartbeat(self, gossip, source, *, now):
         """Reply to a heartbeat that requests it."""
 
     def drain(self, reason, *, now):
@@ -223,7 +223,7 @@
             return
         self._process_outcomes(self.core.apply_gossip(gossip, now=now), now)
         if gossip.reply_wanted and gossip.sender is not None:
-            self.answer_heartbeat(gossip, message.source, now=now)
+            self.reply_to_heartbeat(gossip, message.source, now=now)
 
     def _on_tick(self, now):
         core = self.core
@@ -261,7 +261,7 @@
                     "node {}: {} -> {}", outcome.node, outcome.before, outcome.after
                 )
                 self.metrics.count("member_changes_total", to=outcome.after)
-                self.member_changed(outcome, now=now)
+                self.on_member_changed(outcome, now=now)
 
     def _fetch(self, fetch, now):
         if self.reading_document:
@@ -276,7 +276,7 @@
     def _activate(self, outcome, now):
         logger.info("revision {} is active", outcome.revision)
         self.metrics.count("revisions_in_force_total")
-        self.put_in_force(outcome.document, now=now)
+        self.apply_document(outcome.document, now=now)
         # Send a heartbeat immediately, so that other nodes learn the revision.
         self.core.heartbeat_deadline = now
 
--- a/hawthornspoke/node/_core.py
+++ b/hawthornspoke/node/_core.py
@@ -127,7 +127,7 @@
         update = RevisionAdvertised(revision=revision, digest=digest, source=source)
         return self.holder.step(update, now=now)
 
-    def hasten_table(self, *, now):
+    def expedite_table_read(self, *, now):
         """Schedule an early read of the table, at most as often as a poller.
 
         A node that is not a poller has no other way to learn the age of the table.
--- a/hawthornspoke/peering/_connection.py
+++ b/hawthornspoke/peering/_connection.py
@@ -22,7 +22,7 @@
 
 #: Maximum number of unsent bytes per peer. A peer with more doesn't read, and its
 #: frames would fill this host's memory.
-MOST_WAITING = 2 * 1024 * 1024
+MAX_UNSENT_BYTES = 2 * 1024 * 1024
 
 #: Size of the kernel's send buffer of a connection in bytes.
 SEND_BUFFER_BYTES = 16384
@@ -131,7 +131,10 @@
         """
         if not self.is_open:
             return False
-        if self.transport.get_write_buffer_size() + len(self._deferred) > MOST_WAITING:
+        if (
+            self.transport.get_write_buffer_size() + len(self._deferred)
+            > MAX_UNSENT_BYTES
+        ):
             self.close()
             return False
         if self._is_frame_partial:
--- a/hawthornspoke/protocol/_connection.py
+++ b/hawthornspoke/protocol/_connection.py
@@ -35,7 +35,7 @@
         self._socket = None
         self._client = None
 
-    def call(self, method, *arguments, deadline, objection=None):
+    def call(self, method, *arguments, deadline, precheck=None):
         """Call a method of the node.
 
         Parameters
@@ -45,14 +45,14 @@
         *arguments : Thrift structs or plain values
         deadline : float
             On the monotonic clock.
-        objection : callable or None, default=None
+        precheck : callable or None, default=None
             Called after the connection is open; returns a Failure if the call must
             not be sent any more, otherwise None.
 
         Returns
         -------
         Thrift struct or Failure
-            ``TOO_LATE``, ``NOT_SENT`` and a failure of ``objection`` guarantee that
+            ``TOO_LATE``, ``NOT_SENT`` and a failure of ``precheck`` guarantee that
             the node received nothing; with ``REPLY_LOST`` it may have run the call.
         """
         remaining = deadline - monotonic()
@@ -67,7 +67,7 @@
         # Connecting takes time, and the process may have been paused. The deadline is
         # checked again, since a call sent after it would run for a caller that has
         # already been given another result.
-        failure = objection() if objection is not None else None
+        failure = precheck() if precheck is not None else None
         if failure is not None:
             return failure
         remaining = deadline - monotonic()
@@ -121,7 +121,7 @@
         self._idle_by_address = {}
         self._lock = threading.Lock()
 
-    def take(self, *, address, port):
+    def acquire_connection(self, *, address, port):
         """Return a connection for exclusive use by the caller.
 
         Parameters
@@ -139,7 +139,7 @@
                 return idle.pop()
         return Connection(address=address, port=port)
 
-    def give_back(self, connection):
+    def release_connection(self, connection):
         """Return a connection whose last reply was read completely.
 
         Parameters
--- a/hawthornspoke/spread/tests/test_entry_links.py
+++ b/hawthornspoke/spread/tests/test_entry_links.py
@@ -110,7 +110,7 @@
     """
     hosts = [connection() for _ in range(3)]
     links = entry_links(hosts)
-    hosts[1].transport.waiting = peer_connection.MOST_WAITING + 1
+    hosts[1].transport.waiting = peer_connection.MAX_UNSENT_BYTES + 1
     links.report(state(1), now=10.0)
     assert hosts[1].transport.closing
     assert [reported_loads(link) for link in hosts] == [[1], [], [1]]
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -350,14 +350,14 @@
     Mutation(
         name="after a wait: engines are called unseen",
         file="agent/_engines.py",
-        old="        failure = objection() if objection is not None else None\n",
+        old="        failure = precheck() if precheck is not None else None\n",
         new="        failure = None\n",
         test="hawthornspoke/agent/tests/test_after_a_wait.py -k agent_stalled",
     ),
     Mutation(
         name="after a wait: submits are sent unseen",
         file="protocol/_connection.py",
-        old="        failure = objection() if objection is not None else None\n",
+        old="        failure = precheck() if precheck is not None else None\n",
         new="        failure = None\n",
         test="hawthornspoke/entry/tests/test_after_a_wait.py -k caller_disconnects",
     ),
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hawthornspoke.agent._engines import ENGINES, CutAnswer
+from hawthornspoke.agent._engines import ENGINES, IncompleteResponse
 from hawthornspoke.agent._runs import Run
 from hawthornspoke.base import is_failure, monotonic
 from hawthornspoke.protocol import EventKind, Submit
@@ -47,13 +47,13 @@
     An engine closes its stream between two events without the end marker, so the
     end of the body alone does not show that the response is complete.
     """
-    with pytest.raises(CutAnswer):
+    with pytest.raises(IncompleteResponse):
         run_request(stream(EVENT, EVENT))
 
 
 def test_stream_cut_inside_an_event_is_not_finished():
     """Guards against delivering a partial event to the client."""
-    with pytest.raises(CutAnswer):
+    with pytest.raises(IncompleteResponse):
         run_request(stream(EVENT, EVENT[:10]))
 
 
@@ -66,5 +66,5 @@
 
 def test_server_error_does_not_prove_not_run():
     """Guards against reporting a partially executed request as not run."""
-    with pytest.raises(CutAnswer):
+    with pytest.raises(IncompleteResponse):
         run_request(Response(status=500))
