--- a/hawthornspoke/entry/_attempt.py
+++ b/hawthornspoke/entry/_attempt.py
@@ -199,7 +199,7 @@
         control actor is queried first, because that call can block as well.
         """
         failure = self.recheck() if self.recheck is not None else None
-        if failure is None and self.context.request.caller_gone():
+        if failure is None and self.context.request.client_disconnected():
             failure = CALLER_GONE
         if failure is None and self.context.remaining() <= 0:
             failure = TOO_LATE.with_reason("no time left")
@@ -218,7 +218,7 @@
     def _stop_reason(self):
         if monotonic() >= self.context.deadline:
             return TIMED_OUT.with_reason("no whole answer before the deadline")
-        if self.context.request.caller_gone():
+        if self.context.request.client_disconnected():
             return CALLER_GONE
         return None
 
--- a/hawthornspoke/entry/_claims_runner.py
+++ b/hawthornspoke/entry/_claims_runner.py
@@ -22,7 +22,7 @@
     WriteClaim,
     WriteDone,
 )
-from hawthornspoke.store import CONFLICT, NOT_FOUND, UNSURE, Condition
+from hawthornspoke.store import CONFLICT, NOT_FOUND, WRITE_UNCONFIRMED, Condition
 
 #: Largest response body in bytes that is stored in the row; larger ones are stored
 #: in the object store.
@@ -276,4 +276,4 @@
         return "written"
     if answer == CONFLICT:
         return "conflict"
-    return "unsure" if answer == UNSURE else "unavailable"
+    return "unsure" if answer == WRITE_UNCONFIRMED else "unavailable"
--- a/hawthornspoke/operator/_apply.py
+++ b/hawthornspoke/operator/_apply.py
@@ -20,7 +20,7 @@
     diff_documents,
     read_in_force,
 )
-from hawthornspoke.store import CONFLICT, NOT_FOUND, UNSURE, Condition
+from hawthornspoke.store import CONFLICT, NOT_FOUND, WRITE_UNCONFIRMED, Condition
 
 HISTORY_PREFIX = "history#"
 
@@ -168,7 +168,7 @@
             equals={"revision": row["revision"], "token": row["token"]}
         )
     history_key = f"{HISTORY_PREFIX}{revision}"
-    outcome = clients.table.put_all(
+    outcome = clients.table.transact_put(
         [
             ({"pk": CONFIG_KEY, **new_row}, condition),
             ({"pk": history_key, **new_row}, Condition(absent=True)),
@@ -176,7 +176,7 @@
     )
     if not is_failure(outcome):
         return ApplyAccepted(revision=revision, digest=digest, changed=True)
-    if outcome == UNSURE or outcome == CONFLICT:
+    if outcome == WRITE_UNCONFIRMED or outcome == CONFLICT:
         return _read_back(clients, new_row, document)
     return outcome
 
--- a/hawthornspoke/store/__init__.py
+++ b/hawthornspoke/store/__init__.py
@@ -1,6 +1,11 @@
 """Clients for the platform: table, object store, host list, weight origin."""
 
-from hawthornspoke.store._failures import CONFLICT, NOT_FOUND, UNAVAILABLE, UNSURE
+from hawthornspoke.store._failures import (
+    CONFLICT,
+    NOT_FOUND,
+    UNAVAILABLE,
+    WRITE_UNCONFIRMED,
+)
 from hawthornspoke.store._hosts import HostEntry, HostListClient
 from hawthornspoke.store._http import HttpClient
 from hawthornspoke.store._objects import ObjectClient
@@ -11,7 +16,7 @@
     "CONFLICT",
     "NOT_FOUND",
     "UNAVAILABLE",
-    "UNSURE",
+    "WRITE_UNCONFIRMED",
     "Condition",
     "HostEntry",
     "HostListClient",
--- a/hawthornspoke/store/_failures.py
+++ b/hawthornspoke/store/_failures.py
@@ -12,4 +12,4 @@
 UNAVAILABLE = Failure(code="unavailable")
 
 #: A write was sent but not acknowledged; it may have been applied.
-UNSURE = Failure(code="unsure")
+WRITE_UNCONFIRMED = Failure(code="unsure")
--- a/hawthornspoke/store/_http.py
+++ b/hawthornspoke/store/_http.py
@@ -3,7 +3,7 @@
 import urllib3
 
 from hawthornspoke.base import PARTITION
-from hawthornspoke.store._failures import UNAVAILABLE, UNSURE
+from hawthornspoke.store._failures import UNAVAILABLE, WRITE_UNCONFIRMED
 
 READ_TIMEOUT_SECONDS = 2.0
 RETRY_AFTER_SECONDS = 1.0
@@ -46,7 +46,7 @@
         Returns
         -------
         urllib3.BaseHTTPResponse or Failure
-            ``UNAVAILABLE`` if nothing was sent, ``UNSURE`` if the request may have
+            ``UNAVAILABLE`` if nothing was sent, ``WRITE_UNCONFIRMED`` if the request may have
             been sent but no response was received.
         """
         if PARTITION.blocks(self._host):
@@ -73,6 +73,6 @@
             reason = f"{self.url}: {error}"
             return UNAVAILABLE.with_reason(reason, retry_after=RETRY_AFTER_SECONDS)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            return UNSURE.with_reason(
+            return WRITE_UNCONFIRMED.with_reason(
                 f"{self.url}: {error}", retry_after=RETRY_AFTER_SECONDS
             )
--- a/hawthornspoke/store/_table.py
+++ b/hawthornspoke/store/_table.py
@@ -9,7 +9,12 @@
 import json
 
 from hawthornspoke.base import is_failure
-from hawthornspoke.store._failures import CONFLICT, NOT_FOUND, UNAVAILABLE, UNSURE
+from hawthornspoke.store._failures import (
+    CONFLICT,
+    NOT_FOUND,
+    UNAVAILABLE,
+    WRITE_UNCONFIRMED,
+)
 
 TARGET_PREFIX = "DynamoDB_20120810."
 CONTENT_TYPE = "application/x-amz-json-1.0"
@@ -117,11 +122,11 @@
         Returns
         -------
         None or Failure
-            ``CONFLICT``, ``UNAVAILABLE`` (not written) or ``UNSURE``.
+            ``CONFLICT``, ``UNAVAILABLE`` (not written) or ``WRITE_UNCONFIRMED``.
         """
-        return self.put_all([(row, condition)], timeout=timeout)
+        return self.transact_put([(row, condition)], timeout=timeout)
 
-    def put_all(self, writes, *, timeout=None):
+    def transact_put(self, writes, *, timeout=None):
         """Write several rows in one transaction.
 
         Parameters
@@ -161,7 +166,7 @@
         if is_failure(response):
             return response
         if response.status == 200:
-            return _parse_json(response.data, UNSURE)
+            return _parse_json(response.data, WRITE_UNCONFIRMED)
         return _error_to_failure(response)
 
 
@@ -173,7 +178,7 @@
         return CONFLICT.with_reason(str(error.get("message", "")))
     if response.status >= 500 and "Unavailable" not in error_type:
         # The write may have been applied before the internal error occurred.
-        return UNSURE.with_reason(
+        return WRITE_UNCONFIRMED.with_reason(
             f"table returned HTTP {response.status}", retry_after=1.0
         )
     return UNAVAILABLE.with_reason(
--- a/hawthornspoke/web/_types.py
+++ b/hawthornspoke/web/_types.py
@@ -44,7 +44,7 @@
         except ValueError:
             return None
 
-    def caller_gone(self):
+    def client_disconnected(self):
         """Return whether the client has closed the connection.
 
         Returns
