--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -136,14 +136,14 @@
     Mutation(
         name="resumed streams",
         file="relay/_streams.py",
-        old="                attempt = await self._resume(work, head, splitter)\n",
+        old="                attempt = await self._resume(context, head, splitter)\n",
         new="                attempt = None\n",
     ),
     Mutation(
         name="late callers go second at engines",
         file="relay/_encoding.py",
-        old="own * PRIORITY_STEP + int(late)",
-        new="own * PRIORITY_STEP",
+        old="base_priority * PRIORITY_STEP + int(is_late)",
+        new="base_priority * PRIORITY_STEP",
     ),
     Mutation(
         name="spread of Retry-After",
--- a/hawthornspoke/mirror/_watch.py
+++ b/hawthornspoke/mirror/_watch.py
@@ -49,11 +49,8 @@
 BURST_GAP = 1.5
 
 #: Minimum seconds of an outage of the platform after which rows found to be new are
-#: dated from its end, since no host could learn of them earlier. Dated from the
-#: beginning of an outage of 8 s, old weights were no longer allowed to answer when it
-#: was over: the share of the credit in the six seconds after the outage, in steps of
-#: two seconds, was 0.20, 0.35 and 0.40; dated from the end it was 0.67, 0.75 and 0.44
-#: (one simulated day, run both ways).
+#: dated from its end, since no host could learn of them earlier. Dated from its
+#: beginning, older weights might have expired by its end.
 MIN_OUTAGE = 2.0
 
 #: Bounds of the random delay in seconds between attempts while the platform fails: all
--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -10,11 +10,9 @@
 from hawthornspoke.placing._subset import Subset
 from hawthornspoke.placing._validity import StartForecast
 
-#: Requests queued at an engine up to which it gets a request that is already late. With
-#: six, retrying callers took each slot as it was released: callers that could still be
-#: on time were rejected, retried, and were late as well. With demand a third above
-#: capacity, 35% of the callers were served on time; with none it was 60%, and as many
-#: were served in total.
+#: Maximum queue length of an engine that may still get a request that is already late.
+#: With a longer queue, late requests take the slots of requests that could still be on
+#: time, so that these become late as well.
 MAX_LATE_QUEUE = 0
 
 #: Seconds by which a full engine counts as slower than an empty one, so that the next
--- a/hawthornspoke/store/_http.py
+++ b/hawthornspoke/store/_http.py
@@ -46,8 +46,8 @@
         Returns
         -------
         urllib3.BaseHTTPResponse or Failure
-            ``UNAVAILABLE`` if nothing was sent, ``WRITE_UNCONFIRMED`` if the request may have
-            been sent but no response was received.
+            ``UNAVAILABLE`` if nothing was sent, ``WRITE_UNCONFIRMED`` if the request
+            may have been sent but no response was received.
         """
         if PARTITION.blocks(self._host):
             return UNAVAILABLE.with_reason(
