--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -57,7 +57,9 @@
     faults : tuple of str
         Any of ``kill``, ``stall``, ``corrupt``, ``late`` and ``cut``.
     copies : int
+        Declared as ``origin_copies``.
     scope : str
+        Declared as ``origin_scope``.
     """
 
     def __init__(self, *, strategy, hosts, chunks, window, faults, copies, scope):
--- a/hawthornspoke/__init__.py
+++ b/hawthornspoke/__init__.py
@@ -1,4 +1,4 @@
-"""Weight distribution system for bursts.
+"""Routes requests to inference engines and distributes weights to their hosts.
 
 Operators declare models, versions and adapters in a folder of TOML files; entry
 processes route callers' requests and agents bring the declared weights to hosts.
--- a/hawthornspoke/claims/_claim.py
+++ b/hawthornspoke/claims/_claim.py
@@ -195,7 +195,7 @@
         if message.outcome in ("conflict", "unsure"):
             # If the reply was lost, the row may have been written by this claim, and
             # a conflict may be caused by its own earlier write. Only reading the row
-            # back tells.
+            # back shows which.
             self.phase = "reading"
             return [ReadClaim()]
         return self._refuse_not_run("the table can't be reached")
--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -158,7 +158,7 @@
 
 @MACHINES.register("deployment")
 class Deployment(Machine):
-    """Brings one engine to the declared weights.
+    """Issues the orders by which one engine gets to serve the declared weights.
 
     Parameters
     ----------
--- a/hawthornspoke/httpio/_message.py
+++ b/hawthornspoke/httpio/_message.py
@@ -95,7 +95,7 @@
     arrived_at : float
         Time of its first byte on the monotonic clock.
     contact_arrived_at : float
-        The same on the contact clock, which includes time the host is suspended.
+        The same on the boot-time clock, which includes time in suspension.
     """
 
     __slots__ = ("method", "target", "arrived_at", "contact_arrived_at")
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -345,7 +345,7 @@
 
 
 def _current_times():
-    """Return the current time on the monotonic clock and on the contact clock."""
+    """Return the current time on the monotonic clock and on the boot-time clock."""
     return monotonic(), boottime_clock()
 
 
--- a/hawthornspoke/membership/_detector.py
+++ b/hawthornspoke/membership/_detector.py
@@ -362,7 +362,7 @@
     ----------
     member : hawthornspoke.protocol.Member
         Light record; modified in place.
-    known : hawthornspoke.protocol.Member
+    previous : hawthornspoke.protocol.Member
         Previous record. If its ``static_seq`` is older, a full record was lost. Its
         fields are then used until the next full record, and wrong values are
         corrected by refusals of the endpoint.
--- a/hawthornspoke/membership/_relay.py
+++ b/hawthornspoke/membership/_relay.py
@@ -72,9 +72,9 @@
         Failure domain of the sender.
     entries : list of MemberView
         Entry hosts that are not known to be dead.
-    place : int
+    sender_index : int
         Index of the sender among the entry hosts of its failure domain.
-    turn : int
+    round_number : int
         Number of the round. The targets advance by one per round, so that the senders
         together reach all entry hosts of a failure domain evenly.
 
--- a/hawthornspoke/operator/_plan.py
+++ b/hawthornspoke/operator/_plan.py
@@ -66,7 +66,7 @@
 
     Parameters
     ----------
-    before, after : dict
+    old_document, new_document : dict
 
     Returns
     -------
--- a/hawthornspoke/report/_types.py
+++ b/hawthornspoke/report/_types.py
@@ -49,8 +49,8 @@
         With complete weights that may answer; loading other weights; with weights past
         their bound; without complete weights; without recent events from the agent.
     taken, slots : int
-        Running requests, and slots as far as the platform's list tells, of the serving
-        engines.
+        Running requests of the serving engines, and the slots that the platform's list
+        states for them.
     """
 
     serving: int = 0
@@ -96,7 +96,7 @@
         Time of the first event; seconds are counted from it.
     requests_by_second, engines_by_second : dict of int to dict
         Counts by second and failure domain.
-    spreads : list of Spread
+    spreads : list of VersionRollout
     origin_bytes : int
         Bytes read from the origin of weights, by all hosts together.
     platform_calls_by_kind : dict of str to int
