--- a/hawthornspoke/mirror/_record.py
+++ b/hawthornspoke/mirror/_record.py
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    datings : list of Dating
+    declaration_times : list of DeclarationTime
         The oldest version first.
 
     Returns
@@ -75,7 +75,7 @@
 
     Returns
     -------
-    list of Dating or Failure
+    list of DeclarationTime or Failure
         The oldest version first.
     """
     if row.data is None:
@@ -107,13 +107,13 @@
 
     Parameters
     ----------
-    datings : list of Dating
+    declaration_times : list of DeclarationTime
         The oldest version first.
-    added : Dating
+    added : DeclarationTime
 
     Returns
     -------
-    list of Dating
+    list of DeclarationTime
     """
     older = [
         item
--- a/hawthornspoke/mirror/_watch.py
+++ b/hawthornspoke/mirror/_watch.py
@@ -196,7 +196,7 @@
 
         Parameters
         ----------
-        tables : iterable of Table
+        tables : iterable of FollowedTable
         background : iterable of coroutine functions, default=()
             Run and cancelled together with the tasks that follow the tables.
         """
--- a/hawthornspoke/placing/_validity.py
+++ b/hawthornspoke/placing/_validity.py
@@ -5,9 +5,9 @@
 has not started ``WITHDRAW_MARGIN`` before the bound is withdrawn from the engine. Until
 then older weights serve all requests that are expected to start in time. Excluding them
 earlier left whole fleets idle for a second before each bound, with no newer weights
-ready. Older weights lose precedence ``SEND_MARGIN`` before the bound only if newer ones
-can serve the request as well: a request that starts later than expected would be
-withdrawn needlessly.
+ready. Older weights lose precedence ``version_margin`` seconds before the bound only if
+newer ones can serve the request as well: a request that starts later than expected
+would be withdrawn needlessly.
 """
 
 import enum
@@ -129,7 +129,7 @@
 
         Returns
         -------
-        Prospect
+        StartForecast
         """
         if self._is_newest(endpoint, engine):
             return StartForecast.SURE
--- a/hawthornspoke/placing/tests/playing.py
+++ b/hawthornspoke/placing/tests/playing.py
@@ -40,7 +40,7 @@
 CALLER_TIMEOUT = 6.0
 
 #: Seconds between load samples of agents, between subset updates of entry hosts, and
-#: maximum report intervals for followed and other engines, all as in the programs.
+#: maximum report intervals for followed and other engines, as in production.
 SAMPLE_INTERVAL = 0.1
 SUBSET_UPDATE_INTERVAL = 0.5
 REPORT_INTERVAL = 0.25
@@ -79,8 +79,8 @@
         Requests by outcome.
     messages : int
         Load reports sent.
-    got : list of int
-        Requests by engine.
+    requests_by_engine : list of int
+        Requests received by each engine.
     """
 
     def __init__(
--- a/hawthornspoke/spread/_answers.py
+++ b/hawthornspoke/spread/_answers.py
@@ -11,7 +11,7 @@
     Parameters
     ----------
     weights_by_name : dict of str to Weights
-    uploads : Uploads
+    uploads : UploadQueue
     """
 
     __slots__ = ("_weights_by_name", "_uploads")
--- a/hawthornspoke/spread/_entry_links.py
+++ b/hawthornspoke/spread/_entry_links.py
@@ -80,7 +80,7 @@
 
     Attributes
     ----------
-    link : Link
+    link : LinkDelayEstimator
         Machine that estimates the queueing delay of the host's link.
     no_reader_since : float or None
         Time since which no entry host that reads the platform has been connected, None
--- a/hawthornspoke/spread/_fetches.py
+++ b/hawthornspoke/spread/_fetches.py
@@ -43,7 +43,7 @@
     source_of : callable
         Returns the metrics label for a peer's distance.
     origin, log, metrics, on_piece, on_digests_rejected : object
-        See ``Exchange``.
+        See ``PieceExchange``.
 
     Attributes
     ----------
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -43,7 +43,7 @@
     ----------
     origin : object
         ``await manifest(address, model, version)``.
-    exchange : Exchange
+    exchange : PieceExchange
         Provides the peers and the connections to them.
     log : EventLog
     """
--- a/hawthornspoke/swarm/_transfer.py
+++ b/hawthornspoke/swarm/_transfer.py
@@ -304,7 +304,7 @@
         ----------
         index : int
         now : float
-        brought : bool
+        injected : bool
             Whether the chunk did not come from a peer, so that possibly no other host
             holds it.
         """
--- a/hawthornspoke/swarm/tests/test_regional_news.py
+++ b/hawthornspoke/swarm/tests/test_regional_news.py
@@ -38,8 +38,8 @@
     ----------
     count : int
         Number of hosts.
-    initial_holdings : dict of str to iterable of int, default={}
-        Chunks that hosts hold at the start.
+    initial_holdings : dict of str to iterable of int or None, default=None
+        Chunks that hosts hold at the start; none if omitted.
     """
 
     def __init__(self, count, *, initial_holdings=None):
