--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -43,8 +43,8 @@
     """Reads the row when the process starts, and writes requests found by this host.
 
     Entry hosts learn of quarantined requests from agents. If all processes end at the
-    same time this information is lost, and the requests would end as many endpoints
-    again.
+    same time this information is lost, and the requests would crash as many
+    endpoints again.
 
     Parameters
     ----------
--- a/hawthornspoke/mirror/pace.py
+++ b/hawthornspoke/mirror/pace.py
@@ -2,7 +2,7 @@
 
 #: Long-poll seconds for the operators' table. Each answer confirms that no key was
 #: revoked until then, and a missing answer shows that this host is partitioned from the
-#: platform. Neighbours that rely on this host then still have time to read the store
+#: platform. Neighbours that rely on this host then still have time to read it
 #: before a change has to be in force, two seconds after it was accepted.
 OPERATORS_POLL_WAIT = 1.0
 
--- a/hawthornspoke/mirror/tests/test_record.py
+++ b/hawthornspoke/mirror/tests/test_record.py
@@ -133,7 +133,7 @@
 def run_keeper(
     store, *, declared_at, clock=None, version=2, seconds=0.1, from_platform=True
 ):
-    """Run a keeper with a version of revision 20; return its reports and events."""
+    """Run a recorder with a version of revision 20; return its reports and events."""
 
     async def run():
         dated, log = [], FakeLog()
--- a/hawthornspoke/placing/tests/playing.py
+++ b/hawthornspoke/placing/tests/playing.py
@@ -40,7 +40,7 @@
 CALLER_TIMEOUT = 6.0
 
 #: Seconds between load samples of agents, between subset updates of entry hosts, and
-#: maximum report intervals for followed and other engines, as in production.
+#: maximum report intervals for followed and other engines, with the real values.
 SAMPLE_INTERVAL = 0.1
 SUBSET_UPDATE_INTERVAL = 0.5
 REPORT_INTERVAL = 0.25
--- a/hawthornspoke/placing/tests/test_declared.py
+++ b/hawthornspoke/placing/tests/test_declared.py
@@ -205,7 +205,7 @@
     """A whole fleet was idle for 1.2 s before each bound of old weights.
 
     Requests were rejected for missing weights while engines that could still start
-    them were empty; these two seconds earned 0.13 of the credit due. Version 2 is
+    them were empty; these two seconds scored 0.13 of the maximum. Version 2 is
     declared and no engine has it yet; requests to version 1 stopped 0.95 s plus twice
     the expected time to first token before the bound. Cause: the margin for requests
     that start late was applied twice, on sending and by the withdrawal.
--- a/hawthornspoke/relay/tests/test_events.py
+++ b/hawthornspoke/relay/tests/test_events.py
@@ -6,7 +6,7 @@
 
 
 def event(number, extra=b""):
-    """Return one event."""
+    """Return the bytes of an event with an id, preceded by extra bytes."""
     return extra + b"id: %d\ndata: x%d\n\n" % (number, number)
 
 
--- a/hawthornspoke/relay/tests/test_telling_agents.py
+++ b/hawthornspoke/relay/tests/test_telling_agents.py
@@ -118,7 +118,7 @@
 
 
 def test_agents_are_sent_changes_of_load_reporting_only():
-    """Only changes are sent to agents."""
+    """An agent is told again whether it is followed only if that changed."""
     sink, links = connected_sink()
     follows = {address: [] for address in links}
     for address, link in links.items():
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -51,6 +51,8 @@
 class PieceExchange:
     """Runs the swarm machine: performs its I/O and feeds back the results.
 
+    The machine's chunks are the pieces of a version, and its digests are version names.
+
     Parameters
     ----------
     settings : SpreadSettings
--- a/hawthornspoke/swarm/_strategies.py
+++ b/hawthornspoke/swarm/_strategies.py
@@ -211,8 +211,8 @@
 
     #: Seconds for which a chunk that only other regions hold is left to the region
     #: reader. Covers a queue of a dozen chunks at a link of 450 KB/s plus the delay of
-    #: the announcement. With 0.8 s a chunk was transferred into a region 1.27 times on
-    #: average, with 1.2 s 1.16 times (simulation with 60 hosts in the tests).
+    #: the announcement. A shorter wait duplicates transfers into a region: 1.27 of each
+    #: chunk on average at 0.8 s, 1.16 at 1.2 s (simulation with 60 hosts in the tests).
     CROSS_REGION_DELAY = 1.2
 
     #: Number of hosts that read from the origin. The origin may accept no more than 48
