--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -155,14 +155,14 @@
     Mutation(
         name="engines change in groups",
         file="spread/_changeover.py",
-        old="    pause = min(CHANGE_TIME, span / (groups - 1))\n",
-        new="    pause = 0.0\n",
+        old="    interval = min(SWITCH_TIME, span / (groups - 1))\n",
+        new="    interval = 0.0\n",
     ),
     Mutation(
         name="drop of the first of two versions",
         file="spread/_upgrade.py",
-        old="DROP_SHARE = 0.5",
-        new="DROP_SHARE = 0.0",
+        old="SUPERSEDE_WINDOW_SHARE = 0.5",
+        new="SUPERSEDE_WINDOW_SHARE = 0.0",
     ),
     Mutation(
         name="origin asked again soon",
--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -4,16 +4,17 @@
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 
-#: Phases of an in-place swap, as announced to other hosts.
+#: Phases of an in-place swap, as announced to other hosts: no swap, waiting for a permit,
+#: and swap announced or in progress.
 NO_SWAP = 0
-WAITING = 1
+WAITING_FOR_PERMIT = 1
 CHANGING = 2
 
 #: Delay in seconds before a failed order is retried.
 ORDER_RETRY_DELAY = 1.0
 
-#: Progress in per mille of weights that the host has no memory for, and of live ones.
-NO_MEMORY_PROGRESS = -1
+#: Progress in per mille of weights that the host has no space for, and of live ones.
+NO_SPACE_PROGRESS = -1
 COMPLETE_PROGRESS = 1000
 
 
@@ -158,7 +159,7 @@
 
 @MACHINES.register("deployment")
 class Deployment(Machine):
-    """Issues the orders by which one engine gets to serve the declared weights.
+    """Orders one engine to load and unload weights until it serves the declared ones.
 
     Parameters
     ----------
@@ -325,7 +326,7 @@
             if self.live_by_key.get(key) == item.digest:
                 progress_by_key[key] = COMPLETE_PROGRESS
             elif item.digest in self.refused_by_digest:
-                progress_by_key[key] = NO_MEMORY_PROGRESS
+                progress_by_key[key] = NO_SPACE_PROGRESS
             else:
                 permille = transfer_progress.get(item.digest, 0)
                 if item.digest in self.size_by_digest:
@@ -425,12 +426,12 @@
 
     def _swap_in_place(self, item, *, now):
         if self.phase == NO_SWAP:
-            self.phase = WAITING
+            self.phase = WAITING_FOR_PERMIT
             self._swap_permitted = False
             return []
         if not self._swap_permitted:
             return []
-        if self.phase == WAITING:
+        if self.phase == WAITING_FOR_PERMIT:
             # Announce the swap first and check the permit again afterwards. Two hosts
             # that saw the same free slot have then seen each other's announcement.
             self.phase = CHANGING
--- a/hawthornspoke/spread/__init__.py
+++ b/hawthornspoke/spread/__init__.py
@@ -1,6 +1,6 @@
-"""Agent that distributes weights to the engine on its host, on one event loop."""
+"""Agent that transfers weights between hosts and installs them on its engine."""
 
-from hawthornspoke.spread._ports import (
+from hawthornspoke.spread._client_types import (
     ENGINE_CHANGED,
     ENGINE_UNREACHABLE,
     ORIGIN_FAILED,
--- a/hawthornspoke/spread/_changeover.py
+++ b/hawthornspoke/spread/_changeover.py
@@ -3,16 +3,16 @@
 Keeps capacity available during the switch. An engine that is ordered to load weights
 first finishes its running requests and admits no new ones. All hosts hold all pieces at
 about the same time; if all engines were ordered then, none would answer for one to two
-seconds, although the older weights are still within their bound.
+seconds, although the older weights have not expired yet.
 """
 
 #: Seconds from a load order until the engine answers with the new weights: it finishes
 #: its running requests, one to two seconds of tokens, and then loads.
-CHANGE_TIME = 2.0
+SWITCH_TIME = 2.0
 
-#: Seconds before the bound of its weights from which an engine receives no new
-#: requests: those that have not begun are withdrawn, and entry hosts allow for the time
-#: to the first token before that.
+#: Seconds before its weights expire from which an engine receives no new requests.
+#: Requests that have not begun are withdrawn then, and entry hosts allow for the time to
+#: the first token before it.
 DISPATCH_CUTOFF = 0.6
 
 #: Maximum number of groups that switch one after the other. Each further group delays
@@ -41,6 +41,6 @@
         On the clock of the two arguments, and not before ``complete_at``.
     """
     span = max(0.0, expires_at - DISPATCH_CUTOFF - complete_at)
-    groups = min(MAX_GROUPS, 2 + int(span / CHANGE_TIME))
-    pause = min(CHANGE_TIME, span / (groups - 1))
-    return complete_at + pause * (position % groups)
+    groups = min(MAX_GROUPS, 2 + int(span / SWITCH_TIME))
+    interval = min(SWITCH_TIME, span / (groups - 1))
+    return complete_at + interval * (position % groups)
--- a/hawthornspoke/spread/_ports.py
+++ b/hawthornspoke/spread/_client_types.py
@@ -1,4 +1,4 @@
-"""Types and failures that adapters of engine and origin return to an agent."""
+"""Types and failures that the clients of engine and origin return to an agent."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EngineSnapshot:
-    """State of an engine as just reported by itself.
+    """State of an engine as reported by the engine itself.
 
     Parameters
     ----------
--- a/hawthornspoke/spread/_delivery.py
+++ b/hawthornspoke/spread/_delivery.py
@@ -1,4 +1,4 @@
-"""Delivers versions to the engine: fetches, stages and installs their pieces."""
+"""Fetches the pieces of versions, stages them at the engine and installs them."""
 
 import asyncio
 import random
@@ -7,7 +7,6 @@
 from hawthornspoke.spread._exchange import PieceExchange
 from hawthornspoke.spread._installer import Installer
 from hawthornspoke.spread._manifests import Manifests
-from hawthornspoke.spread._stock import Weights, weights_name
 from hawthornspoke.spread._upgrade import (
     CancelTransfer,
     EngineRestarted,
@@ -17,6 +16,7 @@
     StartTransfer,
     Upgrade,
 )
+from hawthornspoke.spread._weights import Weights, weights_name
 
 #: Range of the random delay before a manifest is requested again, in seconds. It is
 #: short because only two hosts of each region read the origin, and no piece can be
@@ -112,12 +112,12 @@
 
     def step(self, message):
         """Step the upgrade machine and carry out its outcomes."""
-        # On the clock that includes suspension, as a version's bound runs on then too.
+        # This clock includes suspension of the host, during which weights expire too.
         for outcome in self.upgrade.step(message, now=boottime_clock()):
             if isinstance(outcome, StartTransfer):
                 self._start_task(f"get {outcome.version}", self._fetch_version(outcome))
             elif isinstance(outcome, CancelTransfer):
-                self._drop(outcome.version)
+                self._cancel_transfer(outcome.version)
             elif isinstance(outcome, Install):
                 self._start_install(outcome.version)
 
@@ -161,7 +161,7 @@
             self._log.change("task_failed", task=name, error=repr(task.exception()))
 
     async def _fetch_version(self, transfer, rejected=None):
-        """Fetch a version; held pieces with rejected digests are verified again."""
+        """Fetch a version; pieces of ``rejected`` are verified by the new digests."""
         version = transfer.version
         weights = self._weights_by_version.get(version)
         if weights is None:
@@ -197,7 +197,7 @@
             self._start_task(f"stage {index}", self.installer.stage(weights, index))
 
     def _stage_target(self):
-        """Return the version whose pieces are to be staged, None if none is.
+        """Return the version whose pieces are to be staged, or None.
 
         The engine stages one version at a time.
         """
@@ -231,11 +231,11 @@
     def _is_order_valid(self, version):
         return self.upgrade.is_order_valid(version, now=boottime_clock())
 
-    def _drop(self, version):
+    def _cancel_transfer(self, version):
         task = self._tasks.get(f"get {version}")
         if task is not None:
             task.cancel()
-        self.exchange.drop(weights_name(self.model, version))
+        self.exchange.cancel_transfer(weights_name(self.model, version))
         self._log.change("transfer_dropped", version=version)
 
     def _evict_old_versions(self):
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -22,8 +22,8 @@
 DIRECT_READ_INTERVAL = 2.0
 
 #: Seconds that an agent waits for entry hosts if all hosts start for the first time.
-#: Its neighbours know nothing either, and if all agents read the platform, each of 156
-#: would make four calls.
+#: Its neighbours have no directive either, and if all agents read the platform, each of
+#: 156 would make four calls.
 FIRST_START_DELAY = 6.0
 
 #: Maximum seconds between two bootstrap attempts. If no neighbour has a directive, an
@@ -35,10 +35,12 @@
 BOOTSTRAP_PEERS = 3
 BOOTSTRAP_TIMEOUT = 0.4
 
-#: Share of the link rate that pieces achieve beside other traffic, over a transfer.
+#: Fraction of the link rate that the transfer of a version achieves beside other
+#: traffic.
 TRANSFER_LINK_SHARE = 0.82
 
-#: Seconds beyond a version's bound for which its age is reported to entry hosts.
+#: Seconds added to the version bound. The age of a version is reported to entry hosts
+#: if it was declared within this time.
 REPORT_BEYOND_BOUND = 2.0
 
 
@@ -54,7 +56,7 @@
         See ``Agent``.
     log : EventLog
     earliest_arrival : callable
-        Returns a lower bound of the time at which data read now arrived.
+        Returns a lower bound of the time at which data that is read now arrived.
 
     Attributes
     ----------
@@ -176,8 +178,9 @@
     def declared_ages(self):
         """Return the ages of recently declared versions, for entry hosts.
 
-        An entry host that has just started needs them. Versions whose bound has passed
-        need no age.
+        An entry host that has just started doesn't know when a version was declared.
+        It needs to know only within the version bound, while the preceding version
+        may still be used.
         """
         now = boottime_clock()
         declared_after = now - self._upgrade.version_bound - REPORT_BEYOND_BOUND
@@ -250,9 +253,9 @@
             for peer in peers
             if not peer.leaving or peer.address == self._settings.engine_address
         }
-        # The own settings override an entry of the list at this address: another writer
-        # may have listed it in another failure domain, and this host would be missing
-        # from its own.
+        # This host's settings override an entry of the list at its address. Another
+        # writer of the list may have entered a different failure domain, and this host
+        # would be missing from its own.
         own = self._settings.engine_address
         peer_by_name[own] = Peer(
             failure_domain=self._settings.failure_domain,
--- a/hawthornspoke/spread/_entry_links.py
+++ b/hawthornspoke/spread/_entry_links.py
@@ -9,11 +9,11 @@
 from hawthornspoke.base import is_failure, monotonic
 from hawthornspoke.peering import PeerConnection
 from hawthornspoke.protocol import EntryHosts, Frame
-from hawthornspoke.spread._link import LinkDelayEstimator, ProbeEnded, ProbeSent
+from hawthornspoke.spread._link_delay import LinkDelayEstimator, ProbeEnded, ProbeSent
 
 #: Seconds after which an unchanged state is reported again to entry hosts that follow
 #: this engine. Remote ones send requests here only when their own failure domain is
-#: full. After a few intervals without a report they take this host to be unresponsive.
+#: full. After a few intervals without a report, they consider this host unresponsive.
 LOCAL_REPORT_INTERVAL = 0.25
 REMOTE_REPORT_INTERVAL = 2.0
 
@@ -39,9 +39,9 @@
 class _EntryHost:
     """State of one connected entry host.
 
-    ``local`` is whether it is in the own failure domain, ``follows`` whether it follows
-    this engine, ``reads_platform`` whether its directives list the peers as read from
-    the platform.
+    ``local`` is whether it is in this host's failure domain, ``follows`` whether it
+    follows this engine, ``reads_platform`` whether its directives list the peers as
+    read from the platform.
     """
 
     __slots__ = (
@@ -74,14 +74,14 @@
     Parameters
     ----------
     failure_domain : str
-        Of the agent's host.
+        Failure domain of the agent's host.
     spawn : callable
         Runs a coroutine and logs its failure.
 
     Attributes
     ----------
     link : LinkDelayEstimator
-        Machine that estimates the queueing delay of the host's link.
+        State machine that estimates the queueing delay of the host's link.
     no_reader_since : float or None
         Time since which no entry host that reads the platform has been connected, None
         while one is.
@@ -198,8 +198,12 @@
     last_report = host.last_report
     if last_report is None:
         return True
-    held = (last_report.weights_version, last_report.layer_to, last_report.loading)
-    if held != (state.weights_version, state.layer_to, state.loading):
+    reported_weights = (
+        last_report.weights_version,
+        last_report.layer_to,
+        last_report.loading,
+    )
+    if reported_weights != (state.weights_version, state.layer_to, state.loading):
         return True
     load_changed = (last_report.running, last_report.waiting) != (
         state.running,
--- a/hawthornspoke/spread/_evidence.py
+++ b/hawthornspoke/spread/_evidence.py
@@ -21,7 +21,7 @@
         self._links = set()
 
     def receive(self, link, frame):
-        """Merge the evidence of an entry host and send news to all connected ones.
+        """Merge an entry host's evidence and send what is new to all entry hosts.
 
         Parameters
         ----------
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -5,9 +5,13 @@
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.peering import CLOSED
 from hawthornspoke.protocol import Announce, Frame, HoldingsAsk
-from hawthornspoke.spread._answers import PeerResponder, pack_indices, unpack_indices
 from hawthornspoke.spread._fetches import PEER_SLOTS, PieceFetcher
 from hawthornspoke.spread._peer_links import PeerLinks
+from hawthornspoke.spread._peer_responder import (
+    PeerResponder,
+    pack_indices,
+    unpack_indices,
+)
 from hawthornspoke.spread._peers import Peers
 from hawthornspoke.spread._uploads import PIECE_TIMEOUT, UploadQueue
 from hawthornspoke.swarm import (
@@ -29,13 +33,14 @@
 #: on the narrowest link, so a batch has two or three pieces.
 ANNOUNCE_INTERVAL = 0.08
 
-#: Announcement interval per host of the own region. All hosts of a region announce to
-#: each other, so a host receives more with each of them: with 44 hosts and 0.08 s,
-#: announcements took a fifth of the narrowest link and engines behind it became
-#: unreachable. This interval limits them to 170 messages a second.
+#: Minimum announcement interval in seconds, per host of the region. All hosts of a
+#: region announce to each other, so a host receives more with each of them: with 44
+#: hosts and 0.08 s, announcements took a fifth of the narrowest link and engines behind
+#: it became unreachable. This interval limits them to 170 messages a second.
 ANNOUNCE_INTERVAL_PER_HOST = 0.006
 
-#: Seconds without progress after which a piece's next owner reads it from the origin.
+#: Seconds without progress of a piece after which the next host in its order reads it
+#: from the origin.
 STALL_TIMEOUT = 1.2
 
 #: Seconds between two requests of one host to a failing origin. The end of an outage is
@@ -57,7 +62,7 @@
     ----------
     settings : SpreadSettings
     origin : object
-        ``await piece(address, model, version, index)``.
+        Provides ``await piece(address, model, version, index)``.
     log : EventLog
     metrics : Metrics
     on_piece : callable
@@ -120,7 +125,7 @@
             step=self._step,
             weights_by_name=self.weights_by_name,
             links=self._links,
-            source_of=self._peers.source_of,
+            source_label=self._peers.source_label,
             origin=origin,
             log=log,
             metrics=metrics,
@@ -158,15 +163,15 @@
         return self._settings.engine_address
 
     def region_nodes(self):
-        """Return the hosts of the own region, including this one."""
+        """Return the hosts of this host's region, including itself."""
         return self._peers.region_nodes()
 
     async def ask(self, node, frame, *, timeout):
         """Send a request to a peer and return its response or a Failure.
 
-        A peer may be removed from the list while another one is being asked. This
-        returns a Failure: an exception would end the task that fetches a version, and
-        nothing would start it again.
+        A peer may be removed from the list while another one is being asked. The
+        result is then a Failure, since an exception would end the task that fetches a
+        version, and nothing would start it again.
         """
         peer = self._peers.peer_by_name.get(node)
         if peer is None:
@@ -215,7 +220,7 @@
             self._request_region_holdings(weights.name)
 
     def _request_region_holdings(self, name):
-        """Request the held pieces of each host of the own region.
+        """Ask each host of this host's region which pieces of a version it holds.
 
         A host that joins after its neighbours completed a version receives no
         announcements of them, and would fetch from other regions.
@@ -223,19 +228,19 @@
         for node, peer in self._peers.peer_by_name.items():
             if node == self._settings.engine_address:
                 continue
-            if self._peers.source_of(node) == "region":
+            if self._peers.source_label(node) == "region":
                 ask = QueryHoldings(
                     digest=name, node=node, address=peer.address, port=peer.port
                 )
                 self.spawn(self._request_holdings(ask))
 
-    def drop(self, name):
+    def cancel_transfer(self, name):
         """Stop fetching a version; held pieces remain available to peers."""
         self._step(TransferCancelled(digest=name))
 
     def forget(self, name):
         """Stop fetching a version and free its pieces."""
-        self.drop(name)
+        self.cancel_transfer(name)
         self.weights_by_name.pop(name, None)
 
     def on_frame(self, link, frame):
--- a/hawthornspoke/spread/_fetches.py
+++ b/hawthornspoke/spread/_fetches.py
@@ -4,7 +4,7 @@
 
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.protocol import ChunkAsk, Frame
-from hawthornspoke.spread._ports import ORIGIN_FAILED
+from hawthornspoke.spread._client_types import ORIGIN_FAILED
 from hawthornspoke.spread._uploads import PIECE_TIMEOUT
 from hawthornspoke.swarm import ChunkFailed, ChunkVerified
 
@@ -40,8 +40,8 @@
         Steps the machine with a message and carries out its outcomes.
     weights_by_name : dict of str to Weights
     links : PeerLinks
-    source_of : callable
-        Returns the metrics label for a peer's distance.
+    source_label : callable
+        Returns the value of the metrics label ``source`` for a peer.
     origin, log, metrics, on_piece, on_digests_rejected : object
         See ``PieceExchange``.
 
@@ -56,7 +56,7 @@
         "_step",
         "_weights_by_name",
         "_links",
-        "_source_of",
+        "_source_label",
         "_origin",
         "_log",
         "_metrics",
@@ -72,7 +72,7 @@
         step,
         weights_by_name,
         links,
-        source_of,
+        source_label,
         origin,
         log,
         metrics,
@@ -84,7 +84,7 @@
         self._step = step
         self._weights_by_name = weights_by_name
         self._links = links
-        self._source_of = source_of
+        self._source_label = source_label
         self._origin = origin
         self._log = log
         self._metrics = metrics
@@ -111,7 +111,7 @@
         elif answer.chunk is None or answer.chunk.data is None:
             self._fail(fetch, (answer.chunk and answer.chunk.reason) or "missing")
         else:
-            self._handle_piece(fetch, answer.chunk.data, self._source_of(fetch.node))
+            self._handle_piece(fetch, answer.chunk.data, self._source_label(fetch.node))
 
     def _adjust_peer_slots(self, seconds):
         """Adapt the number of concurrent requests to the time that a piece took.
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -7,7 +7,8 @@
 #: Maximum concurrent calls to the engine, which is on the same host.
 MAX_CONCURRENT_CALLS = 4
 
-#: Maximum rounds of staging and reading back. Staged pieces can become corrupt.
+#: Maximum rounds of staging pieces and reading them back. Staged pieces can become
+#: corrupt.
 MAX_ROUNDS = 4
 
 #: Seconds between the notice to entry hosts and the order, so that requests already on
@@ -28,7 +29,8 @@
 #: take about four seconds.
 INSTALL_TIMEOUT = 8.0
 
-#: Consecutive staged pieces of another version after which the rest is not read.
+#: Consecutive staged pieces that don't match the version after which the rest is not
+#: read, if none has matched.
 MAX_CONSECUTIVE_MISMATCHES = 3
 
 STAGE_FAILED = Failure(code="stage_failed")
@@ -45,7 +47,8 @@
     Parameters
     ----------
     engine : object
-        ``put_piece``, ``get_piece``, ``held_pieces``, ``start`` and ``snapshot``.
+        Provides ``put_piece``, ``get_piece``, ``held_pieces``, ``start`` and
+        ``snapshot``.
     log : EventLog
     on_order_pending : callable
         Called with True just before an order is sent and with False after it ended.
@@ -241,7 +244,7 @@
         return None
 
     async def _wait_until_loaded(self, weights, before, result):
-        """Wait until the engine's state, which alone is conclusive, has the weights."""
+        """Wait until the engine reports the weights; the reply is not conclusive."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + INSTALL_TIMEOUT
         start_deadline = loop.time() + ORDER_TIMEOUT
--- a/hawthornspoke/spread/_link.py
+++ b/hawthornspoke/spread/_link_delay.py
@@ -1,4 +1,4 @@
-"""Estimate of the queueing delay on this host's link: a pure state machine."""
+"""State machine, without I/O, that estimates the queueing delay of a host's link."""
 
 from dataclasses import dataclass
 
@@ -41,9 +41,10 @@
 class LinkDelayEstimator(Machine):
     """Estimates the queueing delay of this host's link from probe round-trip times.
 
-    Congestion of the link, by reduced bandwidth or by pieces, can only be measured on
-    the traffic that crosses it: requests then reach the engine up to two seconds late,
-    some after their callers have left, while the engine itself reports a low load.
+    The link becomes congested when its bandwidth is reduced or pieces fill it. Requests
+    then reach the engine up to two seconds late, some after their callers have
+    disconnected, while the engine itself reports a low load. Only traffic that crosses
+    the link shows this.
 
     Parameters
     ----------
@@ -98,7 +99,8 @@
         Returns
         -------
         float
-            Minimum over the latest probes. An unanswered probe counts with its age.
+            Minimum over the latest probes. An unanswered probe counts with the time by
+            which it exceeds the minimum round-trip time.
         """
         delay_by_number = dict(self._recent_delays)
         for number, sent_at in self._sent_at_by_number.items():
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -1,4 +1,4 @@
-"""Manifests, the digests of a version's pieces: read once for each region."""
+"""Manifests, which list the digests of a version's pieces, shared within a region."""
 
 import asyncio
 import contextlib
@@ -6,15 +6,15 @@
 
 from hawthornspoke.base import Failure, is_failure, rendezvous_order
 from hawthornspoke.protocol import Frame, Manifest, ManifestAsk
-from hawthornspoke.spread._ports import ORIGIN_FAILED
-from hawthornspoke.spread._stock import weights_name
+from hawthornspoke.spread._client_types import ORIGIN_FAILED
+from hawthornspoke.spread._weights import weights_name
 
 #: Number of hosts of a region that read a manifest from the origin. The other hosts
 #: request it from all of these at once.
 READERS_PER_REGION = 2
 
-#: Seconds for which a reader holds a request until it has the manifest, and the timeout
-#: after which the requesting host gives up on an unresponsive reader.
+#: Seconds for which a reader holds a request open while it has no manifest, and the
+#: timeout after which the requesting host gives up on an unresponsive reader.
 LONG_POLL_TIMEOUT = 0.5
 REQUEST_TIMEOUT = 0.7
 
@@ -42,7 +42,7 @@
     Parameters
     ----------
     origin : object
-        ``await manifest(address, model, version)``.
+        Provides ``await manifest(address, model, version)``.
     exchange : PieceExchange
         Provides the peers and the connections to them.
     log : EventLog
@@ -82,7 +82,7 @@
         name = weights_name(model, version)
         digests = NOT_KNOWN
         preceding = self._preceding_readers(name)
-        # Neighbours have the rejected manifest from the same source.
+        # Other hosts of the region may hold the same manifest that was rejected here.
         if name not in self._rejected:
             digests = await self._request_from_all(name, preceding)
         if is_failure(digests) and self._may_read_origin(name, preceding, digests):
@@ -121,7 +121,7 @@
         link.send(Frame(call=-frame.call, manifest=Manifest(digests=digests)))
 
     def _preceding_readers(self, name):
-        """Return the readers that precede this host in the order for a manifest."""
+        """Return the readers that rank before this host, all if it is no reader."""
         nodes = self._exchange.region_nodes()
         readers = rendezvous_order(key=name, nodes=nodes)[:READERS_PER_REGION]
         if self._exchange.node in readers:
@@ -129,7 +129,7 @@
         return readers
 
     def _may_read_origin(self, name, preceding, failure):
-        """Tell whether this host reads the origin after others had no manifest."""
+        """Tell whether this host reads the origin after readers gave no manifest."""
         if len(preceding) < READERS_PER_REGION or name in self._rejected:
             return True
         if failure == UNANSWERED:
--- a/hawthornspoke/spread/_answers.py
+++ b/hawthornspoke/spread/_peer_responder.py
@@ -33,11 +33,11 @@
         self._uploads.put(link, Frame(call=-frame.call, chunk=chunk))
 
     def holdings(self, link, frame):
-        """Queue the list of held pieces of a version for a peer."""
+        """Queue the list of the held pieces of a version for a peer."""
         weights = self._weights_by_name.get(frame.holdings_ask.digest)
         held = weights.held() if weights is not None else ()
         holdings = Holdings(bitmap=pack_indices(held), held=len(held))
-        # Goes through the queue: a piece may be partly written on this connection.
+        # Queued because a piece may be partly written on this connection.
         self._uploads.put(link, Frame(call=-frame.call, holdings=holdings))
 
 
--- a/hawthornspoke/spread/_peers.py
+++ b/hawthornspoke/spread/_peers.py
@@ -30,8 +30,11 @@
         self.peer_by_name = {}
         self._settings = settings
 
-    def source_of(self, node):
-        """Return the metrics label for a peer's distance: ``"region"`` or ``"far"``."""
+    def source_label(self, node):
+        """Return the value of the metrics label ``source`` for a peer.
+
+        It is ``"region"`` for a peer in this host's region, else ``"far"``.
+        """
         region_by_domain = self._settings.region_by_failure_domain
         peer = self.peer_by_name.get(node)
         own = region_by_domain.get(self._settings.failure_domain)
@@ -40,5 +43,7 @@
         return "far"
 
     def region_nodes(self):
-        """Return the hosts of the own region, including this one."""
-        return [node for node in self.peer_by_name if self.source_of(node) == "region"]
+        """Return the hosts of this host's region, including itself."""
+        return [
+            node for node in self.peer_by_name if self.source_label(node) == "region"
+        ]
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -18,9 +18,9 @@
 from hawthornspoke.peering import listen
 from hawthornspoke.spread._delivery import Delivery
 from hawthornspoke.spread._directives import Directives
+from hawthornspoke.spread._engine_state import engine_state
 from hawthornspoke.spread._entry_links import EntryLinks
 from hawthornspoke.spread._evidence import EvidenceLinks
-from hawthornspoke.spread._state import engine_state
 from hawthornspoke.spread._upgrade import EngineObserved
 
 #: Ticks between two log lines with the engine's state, and the number of these lines
@@ -28,9 +28,10 @@
 SUMMARY_TICKS = 20
 SUMMARIES_PER_COUNTERS = 5
 
-#: Seconds after the request for the engine's state for which that state is reported to
-#: entry hosts: one call to the engine, of a second at most, and the tick between two
-#: observations. An older state was observed before this process was suspended.
+#: Seconds for which an observed state of the engine is reported to entry hosts, counted
+#: from the request for it: one call to the engine, of a second at most, and the tick
+#: between two observations. An older state was observed before this process was
+#: suspended.
 STATE_TTL = 1.2
 
 FLUSH_TIMEOUT = 0.2
@@ -45,11 +46,12 @@
     engine : object
         The engine on this host; see ``Installer``.
     origin : object
-        ``manifest`` and ``piece``.
+        Provides ``manifest`` and ``piece``; see ``Manifests`` and ``PieceExchange``.
     read_platform : coroutine function
         Reads the platform once, given the last Directive or None, and returns a
-        Directive or a Failure; used only while no entry host is connected. Its
-        ``peers`` returns only the endpoints.
+        Directive or a Failure; used only while no entry host that reads the platform
+        is connected. Its attribute ``peers``, a coroutine function too, reads only the
+        endpoints and is used until the first directive is received.
     """
 
     __slots__ = (
@@ -173,8 +175,8 @@
             failure_domain=self.settings.failure_domain,
         )
         try:
-            # A loop ends only if an invariant is broken. The process then exits, and
-            # the platform restarts it.
+            # One of these tasks ends by itself only on an unexpected exception. The
+            # process then exits, and the platform restarts it.
             await asyncio.wait(
                 [self._stopped, *tasks], return_when=asyncio.FIRST_COMPLETED
             )
--- a/hawthornspoke/spread/_settings.py
+++ b/hawthornspoke/spread/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an agent on the event loop."""
+"""Settings of an agent."""
 
 from hawthornspoke.base import Bounds, check_params
 
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -1,16 +1,20 @@
-"""Which version an engine loads next, and when: a pure state machine."""
+"""State machine, without I/O, that plans which version an engine loads, and when.
+
+A version expires once the version bound has passed since the declaration of the next
+one: no request may begin on its weights from then on.
+"""
 
 from dataclasses import dataclass
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 from hawthornspoke.catalog import SEND_MARGIN
-from hawthornspoke.spread._changeover import CHANGE_TIME, order_time
+from hawthornspoke.spread._changeover import SWITCH_TIME, order_time
 
 #: Fraction of the transfer time within which a version that is followed by another one
 #: is dropped in favour of it. With bound B, transfer time T and a gap g between the two
 #: declarations, no weights can be served for g + T - B if the first version is dropped,
 #: and for 2T - B - g if it is finished first. Both are equal at g = T/2.
-DROP_SHARE = 0.5
+SUPERSEDE_WINDOW_SHARE = 0.5
 
 #: Maximum number of declared versions in memory. Older ones are no longer needed.
 MAX_DECLARED_VERSIONS = 4
@@ -207,7 +211,7 @@
         Returns
         -------
         bool
-            False if another version has superseded it, or its bound has passed.
+            False if another version has superseded it, or it has expired.
         """
         current = self._engine.version or 0
         is_held = version <= current and self._engine.is_complete
@@ -219,7 +223,7 @@
         return self._declared[-1].version if self._declared else None
 
     def ready_at(self, now):
-        """Return the expected time of use of the newest version.
+        """Return the time at which the newest version is expected to be in use.
 
         None if no version is declared, or if the newest one is already in use.
         """
@@ -229,8 +233,8 @@
         if self._engine.version == newest.version and self._engine.is_complete:
             return None
         if newest.version in self._complete_at_by_version:
-            return now + CHANGE_TIME
-        return max(now + CHANGE_TIME, newest.at + self.transfer_time + CHANGE_TIME)
+            return now + SWITCH_TIME
+        return max(now + SWITCH_TIME, newest.at + self.transfer_time + SWITCH_TIME)
 
     def targets(self):
         """Return the versions to fetch or keep, in order of priority.
@@ -274,9 +278,10 @@
         if message.version != newest.version or not message.is_dated:
             return
         if message.at > self._newest_received_at:
-            # Such a time is wrong: a host that reconnected to the platform later than
-            # others takes the time of reconnection for that of the declaration. The
-            # order would then be delayed beyond the bound.
+            # A declaration cannot be later than its first receipt. Such a time comes
+            # from a host that reconnected to the platform later than others and takes
+            # the time of reconnection for that of the declaration. Used here, it would
+            # delay the order until the old weights have expired.
             return
         if not newest.is_dated or message.at > newest.at:
             self._declared[-1] = message
@@ -286,9 +291,9 @@
         if declared.version in self._complete_at_by_version:
             return False
         if self._engine.version is None:
-            # The engine serves nothing, and the newest version arrives as soon.
+            # The engine serves nothing, and the newest version would arrive as soon.
             return True
-        return successor.at - declared.at < DROP_SHARE * self.transfer_time
+        return successor.at - declared.at < SUPERSEDE_WINDOW_SHARE * self.transfer_time
 
     def _plan(self, now):
         outcomes = []
@@ -335,8 +340,8 @@
         return False
 
     def _newest_arrives_in_time(self, chosen):
-        """Tell whether the newest version is usable before the engine's own expires."""
-        done = self._declared[-1].at + self.transfer_time + CHANGE_TIME
+        """Tell whether the newest version is usable before the engine's expires."""
+        done = self._declared[-1].at + self.transfer_time + SWITCH_TIME
         return self._engine.is_complete and done < chosen.at + self.version_bound
 
     def _install_time(self, chosen):
--- a/hawthornspoke/spread/_uploads.py
+++ b/hawthornspoke/spread/_uploads.py
@@ -1,4 +1,4 @@
-"""Sends pieces to peers one by one, at a rate that leaves room for requests."""
+"""Sends pieces to peers one by one, at a rate that leaves bandwidth for requests."""
 
 import asyncio
 import collections
--- a/hawthornspoke/spread/tests/test_link.py
+++ b/hawthornspoke/spread/tests/test_link.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hawthornspoke.spread._link import LinkDelayEstimator, ProbeEnded, ProbeSent
+from hawthornspoke.spread._link_delay import LinkDelayEstimator, ProbeEnded, ProbeSent
 
 
 def probe(link, number, *, sent, back):
