--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -4,8 +4,8 @@
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 
-#: Phases of an in-place swap, as announced to other hosts: no swap, waiting for a permit,
-#: and swap announced or in progress.
+#: Phases of an in-place swap, as announced to other hosts: no swap, waiting for a
+#: permit, and swap announced or in progress.
 NO_SWAP = 0
 WAITING_FOR_PERMIT = 1
 CHANGING = 2
--- a/hawthornspoke/spread/_changeover.py
+++ b/hawthornspoke/spread/_changeover.py
@@ -11,8 +11,8 @@
 SWITCH_TIME = 2.0
 
 #: Seconds before its weights expire from which an engine receives no new requests.
-#: Requests that have not begun are withdrawn then, and entry hosts allow for the time to
-#: the first token before it.
+#: Requests that have not begun are withdrawn then, and entry hosts allow for the time
+#: to the first token before it.
 DISPATCH_CUTOFF = 0.6
 
 #: Maximum number of groups that switch one after the other. Each further group delays
--- a/hawthornspoke/spread/_delivery.py
+++ b/hawthornspoke/spread/_delivery.py
@@ -7,6 +7,7 @@
 from hawthornspoke.spread._exchange import PieceExchange
 from hawthornspoke.spread._installer import Installer
 from hawthornspoke.spread._manifests import Manifests
+from hawthornspoke.spread._piece_store import Weights, weights_name
 from hawthornspoke.spread._upgrade import (
     CancelTransfer,
     EngineRestarted,
@@ -16,7 +17,6 @@
     StartTransfer,
     Upgrade,
 )
-from hawthornspoke.spread._weights import Weights, weights_name
 
 #: Range of the random delay before a manifest is requested again, in seconds. It is
 #: short because only two hosts of each region read the origin, and no piece can be
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -5,13 +5,13 @@
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.peering import CLOSED
 from hawthornspoke.protocol import Announce, Frame, HoldingsAsk
-from hawthornspoke.spread._fetches import PEER_SLOTS, PieceFetcher
-from hawthornspoke.spread._peer_links import PeerLinks
-from hawthornspoke.spread._peer_responder import (
+from hawthornspoke.spread._answers import (
     PeerResponder,
     pack_indices,
     unpack_indices,
 )
+from hawthornspoke.spread._fetches import PEER_SLOTS, PieceFetcher
+from hawthornspoke.spread._peer_links import PeerLinks
 from hawthornspoke.spread._peers import Peers
 from hawthornspoke.spread._uploads import PIECE_TIMEOUT, UploadQueue
 from hawthornspoke.swarm import (
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -7,7 +7,7 @@
 from hawthornspoke.base import Failure, is_failure, rendezvous_order
 from hawthornspoke.protocol import Frame, Manifest, ManifestAsk
 from hawthornspoke.spread._client_types import ORIGIN_FAILED
-from hawthornspoke.spread._weights import weights_name
+from hawthornspoke.spread._piece_store import weights_name
 
 #: Number of hosts of a region that read a manifest from the origin. The other hosts
 #: request it from all of these at once.
--- a/hawthornspoke/spread/tests/test_agents.py
+++ b/hawthornspoke/spread/tests/test_agents.py
@@ -16,7 +16,7 @@
     EngineSnapshot,
     SpreadSettings,
 )
-from hawthornspoke.spread._weights import Weights
+from hawthornspoke.spread._piece_store import Weights
 
 PIECES = 24
 SIZE = 2000
--- a/hawthornspoke/spread/tests/test_frames.py
+++ b/hawthornspoke/spread/tests/test_frames.py
@@ -8,7 +8,7 @@
 from hawthornspoke.protocol import Directive, Frame, PeerEndpoint
 from hawthornspoke.protocol.tests.structs import structs
 from hawthornspoke.spread import Agent, SpreadSettings
-from hawthornspoke.spread._weights import Weights
+from hawthornspoke.spread._piece_store import Weights
 
 OWN = "127.0.0.2:1"
 DOWN = Failure(code="down")
--- a/hawthornspoke/spread/tests/test_incarnations.py
+++ b/hawthornspoke/spread/tests/test_incarnations.py
@@ -11,6 +11,7 @@
 from hawthornspoke.protocol import Frame
 from hawthornspoke.spread import ENGINE_CHANGED, EngineSnapshot, Upgrade
 from hawthornspoke.spread._installer import Installer
+from hawthornspoke.spread._piece_store import Weights
 from hawthornspoke.spread._upgrade import (
     EngineObserved,
     EngineRestarted,
@@ -19,7 +20,6 @@
     PiecesComplete,
     VersionDeclared,
 )
-from hawthornspoke.spread._weights import Weights
 from hawthornspoke.spread.tests.test_agents import (
     ENGINE,
     LAYERS,
--- a/hawthornspoke/spread/tests/test_peers_that_leave.py
+++ b/hawthornspoke/spread/tests/test_peers_that_leave.py
@@ -4,7 +4,7 @@
 
 from hawthornspoke.base import rendezvous_order
 from hawthornspoke.spread._peers import Peer
-from hawthornspoke.spread._weights import weights_name
+from hawthornspoke.spread._piece_store import weights_name
 from hawthornspoke.spread.tests.test_agents import PIECES, PORT, Hosts
 
 
