--- a/hawthornspoke/spread/_delivery.py
+++ b/hawthornspoke/spread/_delivery.py
@@ -128,7 +128,7 @@
         a running install waits for. Without this the install would wait for as long as
         the slowest engine may take to load.
         """
-        self.installer.forget()
+        self.installer.forget_staged()
         install = self.install
         if install is not None:
             install.cancel()
@@ -186,7 +186,7 @@
     def _on_digests_rejected(self, weights):
         self._log.change("digests_distrusted", weights=weights.name)
         self._weights_by_version.pop(weights.version, None)
-        self.exchange.forget(weights.name)
+        self.exchange.discard_version(weights.name)
         self.manifests.reject(weights.name)
         transfer = StartTransfer(version=weights.version, priority=0)
         again = self._fetch_version(transfer, rejected=weights)
@@ -243,4 +243,4 @@
         unused = sorted(set(self._weights_by_version) - wanted)
         for version in unused[:-MAX_OLD_VERSIONS]:
             weights = self._weights_by_version.pop(version)
-            self.exchange.forget(weights.name)
+            self.exchange.discard_version(weights.name)
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -141,7 +141,7 @@
             await asyncio.sleep(interval * random.uniform(0.8, 1.2))
             interval = min(2 * interval, MAX_BOOTSTRAP_INTERVAL)
 
-    async def read_platform(self):
+    async def poll_platform(self):
         """Read the platform while no entry host that reads it is connected.
 
         Runs until cancelled.
@@ -226,7 +226,7 @@
         earliest_arrival = self._earliest_arrival()
         version = directive.weights_version
         age = None if directive.age_ms is None else directive.age_ms / 1000
-        before = self._upgrade.next_version()
+        previous_version = self._upgrade.next_version()
         self.declared.add(
             DeclaredWeights(model=directive.model, version=version),
             at=UNKNOWN_TIME
@@ -240,8 +240,10 @@
             is_dated=age is not None,
         )
         self._delivery.step(message)
-        if self._upgrade.next_version() != before:
-            self._log.change("weights", version=version, age=age, before=before)
+        if self._upgrade.next_version() != previous_version:
+            self._log.change(
+                "weights", version=version, age=age, before=previous_version
+            )
 
     def _set_peers(self, peers):
         peer_by_name = {
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -5,11 +5,7 @@
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.peering import CLOSED
 from hawthornspoke.protocol import Announce, Frame, HoldingsAsk
-from hawthornspoke.spread._answers import (
-    PeerResponder,
-    pack_indices,
-    unpack_indices,
-)
+from hawthornspoke.spread._answers import PeerResponder, pack_indices, unpack_indices
 from hawthornspoke.spread._fetches import PEER_SLOTS, PieceFetcher
 from hawthornspoke.spread._peer_links import PeerLinks
 from hawthornspoke.spread._peers import Peers
@@ -39,8 +35,8 @@
 #: it became unreachable. This interval limits them to 170 messages a second.
 ANNOUNCE_INTERVAL_PER_HOST = 0.006
 
-#: Seconds without progress of a piece after which the next host in its order reads it
-#: from the origin.
+#: Minimum seconds without an announcement after which the next host in the order of a
+#: piece reads it from the origin.
 STALL_TIMEOUT = 1.2
 
 #: Seconds between two requests of one host to a failing origin. The end of an outage is
@@ -238,7 +234,7 @@
         """Stop fetching a version; held pieces remain available to peers."""
         self._step(TransferCancelled(digest=name))
 
-    def forget(self, name):
+    def discard_version(self, name):
         """Stop fetching a version and free its pieces."""
         self.cancel_transfer(name)
         self.weights_by_name.pop(name, None)
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -73,7 +73,7 @@
         self._generation = 0
         self._pending_puts = set()
 
-    def forget(self):
+    def forget_staged(self):
         """Discard the record of staged pieces because the engine has restarted.
 
         The engine may have lost them, and if a piece is missing when a version is
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -55,7 +55,7 @@
         "_digests_by_name",
         "_rejected",
         "_misses_by_name",
-        "_received",
+        "_manifest_received",
     )
 
     def __init__(self, *, origin, exchange, log):
@@ -65,7 +65,7 @@
         self._digests_by_name = {}
         self._rejected = set()
         self._misses_by_name = {}
-        self._received = asyncio.Event()
+        self._manifest_received = asyncio.Event()
 
     async def get(self, model, version):
         """Return the digests of a version.
@@ -93,8 +93,8 @@
             return ORIGIN_FAILED.with_reason("the manifest contains a malformed digest")
         self._digests_by_name[name] = digests
         self._misses_by_name.pop(name, None)
-        self._received.set()
-        self._received = asyncio.Event()
+        self._manifest_received.set()
+        self._manifest_received = asyncio.Event()
         for old in list(self._digests_by_name)[:-MAX_MANIFESTS]:
             del self._digests_by_name[old]
         return digests
@@ -114,7 +114,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(deadline):
                 while name not in self._digests_by_name:
-                    await self._received.wait()
+                    await self._manifest_received.wait()
         digests = self._digests_by_name.get(name)
         if digests is not None:
             digests = [bytes.fromhex(digest) for digest in digests]
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -164,7 +164,7 @@
             self._log_summaries(ticks),
             self.entry_links.probe(ticks),
             self.exchange.run(ticks),
-            self.directives.read_platform(),
+            self.directives.poll_platform(),
         ]
         self.exchange.spawn(self.directives.bootstrap())
         tasks = [loop.create_task(item) for item in loops]
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -168,8 +168,8 @@
     def on_engine_observed(self, message, *, now):
         """Update the engine's state.
 
-        While the engine loads weights it holds no layers or some. The versions to fetch
-        are then still chosen by what it held before.
+        While the engine loads weights, it holds none or some of the layers. The
+        versions to fetch are then still chosen by what it held before.
         """
         if message.busy:
             message = EngineObserved(
@@ -332,17 +332,17 @@
             return None
         return chosen.version
 
-    def _is_expired(self, held, now):
+    def _is_expired(self, held_version, now):
         """Tell whether requests may no longer begin on a version's weights."""
         for declared in self._declared:
-            if declared.version > held:
+            if declared.version > held_version:
                 return now >= declared.at + self.version_bound - SEND_MARGIN
         return False
 
     def _newest_arrives_in_time(self, chosen):
         """Tell whether the newest version is usable before the engine's expires."""
-        done = self._declared[-1].at + self.transfer_time + SWITCH_TIME
-        return self._engine.is_complete and done < chosen.at + self.version_bound
+        usable_at = self._declared[-1].at + self.transfer_time + SWITCH_TIME
+        return self._engine.is_complete and usable_at < chosen.at + self.version_bound
 
     def _install_time(self, chosen):
         complete_at = self._complete_at_by_version[chosen.version]
--- a/hawthornspoke/spread/tests/test_after_a_wait.py
+++ b/hawthornspoke/spread/tests/test_after_a_wait.py
@@ -2,8 +2,8 @@
 
 Guards against an engine that loads expired weights: an install is planned, then the
 host is suspended or the engine responds slowly, and meanwhile a newer version is
-declared and the bound of this one passes. The order was sent if its conditions were
-checked only when the install was planned.
+declared and the planned one expires. If the conditions of an order are checked only
+when the install is planned, the order is sent nevertheless.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class StallingEngine(FakeEngine):
-    """Runs an action between the plan of an order and the order."""
+    """Runs an action after an order is planned and before it is sent."""
 
     def __init__(self):
         super().__init__()
@@ -86,11 +86,11 @@
         async with one_host() as (hosts, engine):
 
             async def stall():
-                await hosts.name(2, age=20.0)
+                await hosts.declare(2, age=20.0)
                 await asyncio.sleep(0.05)
 
             engine.before_order = stall
-            await hosts.name(1)
+            await hosts.declare(1)
             await hosts.wait_until_loaded(2)
             assert engine.orders == [2]
 
@@ -98,18 +98,18 @@
 
 
 def test_version_that_expired_during_a_suspension_is_not_ordered(suspension):
-    """The newer version was declared before; only its bound passes meanwhile."""
+    """The newer version is declared before; the older one expires meanwhile."""
 
     async def scenario():
         async with one_host() as (hosts, engine):
 
             async def stall():
-                await hosts.name(2)
+                await hosts.declare(2)
                 await asyncio.sleep(0.05)
                 suspension.seconds += 20.0
 
             engine.before_order = stall
-            await hosts.name(1)
+            await hosts.declare(1)
             await hosts.wait_until_loaded(2)
             assert engine.orders == [2]
 
@@ -131,7 +131,7 @@
                 time.sleep(1.6)
 
             engine.before_order = stall
-            await hosts.name(1)
+            await hosts.declare(1)
             await hosts.wait_until_loaded(1, seconds=4.0)
             assert engine.orders == [1]
 
@@ -224,7 +224,7 @@
     """Guards against entry hosts that send requests to a full engine reported as empty.
 
     The process is suspended for 1.5 s while the engine fills. The frame of an entry
-    host is read first afterwards and was answered with the state observed before.
+    host, which is read first afterwards, was answered with the state observed before.
     """
 
     async def scenario():
@@ -317,9 +317,9 @@
 
     async def scenario():
         async with one_host(SlowEngine(), SlowOrigin()) as (hosts, engine):
-            await hosts.name(1)
+            await hosts.declare(1)
             await asyncio.wait_for(engine.put_started.wait(), 3.0)
-            await hosts.name(2)
+            await hosts.declare(2)
             await hosts.wait_until_loaded(2, seconds=4.0)
             assert engine.orders == [2]
 
@@ -350,7 +350,7 @@
             agent.exchange._on_complete = lambda weights: step_and_restart(
                 PiecesComplete(version=weights.version)
             )
-            await hosts.name(1)
+            await hosts.declare(1)
             await asyncio.wait_for(start.wait(), 3.0)
             await hosts.wait_until_loaded(1, seconds=3.0)
 
--- a/hawthornspoke/spread/tests/test_agents.py
+++ b/hawthornspoke/spread/tests/test_agents.py
@@ -134,7 +134,7 @@
 
 
 class Hosts:
-    """Agents with their engines, and an entry host that sends directives to them."""
+    """Agents with their engines, and the entry host that sends them directives."""
 
     def __init__(self, count):
         self.origin = FakeOrigin()
@@ -189,7 +189,7 @@
             for ip in self.ips
         ]
 
-    async def name(self, version, *, age=0.0, bound=8.0, with_peers=True):
+    async def declare(self, version, *, age=0.0, bound=8.0, with_peers=True):
         """Send a declaration of a version from an entry host to all agents."""
         entries = self.entries()
         declaration = directive(
@@ -231,7 +231,7 @@
 
 def test_version_reaches_all_hosts_with_one_copy_from_the_origin():
     async def scenario(hosts):
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
         assert len(hosts.origin.reads) <= PIECES * 1.2
         assert all(engine.orders == [1] for engine in hosts.engines)
@@ -249,7 +249,7 @@
     async def scenario(hosts):
         hosts.origin.corrupt = {(1, 3), (1, 11)}
         hosts.engines[0].corrupt_after_put = {0, 5}
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
         assert all(engine.orders == [1] for engine in hosts.engines)
 
@@ -258,9 +258,9 @@
 
 def test_next_version_replaces_the_first():
     async def scenario(hosts):
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
-        await hosts.name(2)
+        await hosts.declare(2)
         await hosts.wait_until_loaded(2)
         assert all(engine.orders == [1, 2] for engine in hosts.engines)
 
@@ -271,7 +271,7 @@
     """Guards against a transfer for a crashed engine whose pieces are still staged."""
 
     async def scenario(hosts):
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
         hosts.engines[0].version = None
@@ -285,13 +285,13 @@
 
 def test_restarted_agent_reuses_staged_pieces():
     async def scenario(hosts):
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
         hosts.tasks[0].cancel()
         await asyncio.sleep(0.1)
         await hosts._start(hosts.ips[0], hosts.engines[0])
-        await hosts.name(1)
+        await hosts.declare(1)
         await asyncio.sleep(0.5)
         assert hosts.engines[0].orders == [1]
         assert len(hosts.origin.reads) == reads
@@ -307,7 +307,7 @@
     """
 
     async def scenario(hosts):
-        await hosts.name(1, age=2.0)
+        await hosts.declare(1, age=2.0)
         states = []
 
         def record_state(link, frame):
@@ -334,12 +334,12 @@
 
 def test_unknown_age_is_not_reported():
     async def scenario(hosts):
-        await hosts.name(1, age=None)
+        await hosts.declare(1, age=None)
         await asyncio.sleep(0.2)
         agent = hosts.agents[0]
         assert agent.upgrade.next_version() == 1
         assert agent.directives.declared_ages() == []
-        await hosts.name(1, age=3.0)
+        await hosts.declare(1, age=3.0)
         await asyncio.sleep(0.2)
         (declared,) = agent.directives.declared_ages()
         assert declared.age_ms >= 3000
@@ -350,7 +350,7 @@
 def test_transfer_continues_after_an_origin_outage():
     async def scenario(hosts):
         hosts.origin.down = True
-        await hosts.name(1)
+        await hosts.declare(1)
         await asyncio.sleep(0.6)
         hosts.origin.down = False
         await hosts.wait_until_loaded(1)
@@ -361,8 +361,8 @@
 def test_failed_host_does_not_block_the_others():
     """Guards against a transfer that waits for a failed host.
 
-    A host that has to read some of the pieces from the origin fails at once. The next
-    host in order has to read them.
+    A host that has to read some of the pieces from the origin fails before it does. The
+    next host in the order of each piece has to read it.
     """
 
     async def scenario(hosts):
@@ -372,7 +372,7 @@
         await asyncio.sleep(0.05)
         hosts.ips_alive = hosts.ips[1:]
         all_ips, hosts.ips = hosts.ips, hosts.ips[1:]
-        await hosts.name(1)
+        await hosts.declare(1)
         hosts.ips = all_ips
         await hosts.wait_until_loaded(1)
 
@@ -404,7 +404,7 @@
     """
 
     async def scenario(hosts):
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
         assert hosts.origin.manifest_reads == 1
 
@@ -420,7 +420,7 @@
 
     async def scenario(hosts):
         hosts.origin.corrupt_digests = {4: "0" * 64}
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
 
     run_scenario(scenario)
@@ -429,14 +429,14 @@
 def test_malformed_manifest_is_read_again():
     async def scenario(hosts):
         hosts.origin.corrupt_digests = {4: "\u00e9 no digest"}
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
 
     run_scenario(scenario)
 
 
 def test_version_is_accepted_from_a_directive_without_peers():
-    """Guards against links of engines that are full of endpoint lists.
+    """Guards against links of engine hosts that are filled by endpoint lists.
 
     21 endpoints were added within five seconds, and each of 34 entry hosts sent the
     full list to each agent after each addition. Most entry hosts now send only the
@@ -444,9 +444,9 @@
     """
 
     async def scenario(hosts):
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
-        await hosts.name(2, with_peers=False)
+        await hosts.declare(2, with_peers=False)
         await hosts.wait_until_loaded(2)
         assert len(hosts.origin.reads) <= 2 * PIECES * 1.2
 
@@ -461,7 +461,7 @@
     """
 
     async def scenario(hosts):
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
         known, added = list(hosts.ips), "127.0.0.9"
         engine = FakeEngine()
@@ -478,8 +478,8 @@
 
     A host is sending a piece in slices. The receiver requests a manifest on the same
     connection, and it is available at once. If the response is written between two
-    slices, it is read as bytes of the piece and the rest as the length of a frame: the
-    connection is closed or stalls, and requests on it get no response.
+    slices, it is read as bytes of the piece, and later bytes are read as the length of
+    a frame: the connection is closed or stalls, and requests on it get no response.
     """
 
     async def scenario():
--- a/hawthornspoke/spread/tests/test_changeover.py
+++ b/hawthornspoke/spread/tests/test_changeover.py
@@ -23,16 +23,21 @@
     )
 
 
-def min_serving_share(engines, *, bound=BOUND, spread=TRANSFER_TIME):
+def min_serving_share(engines, *, bound=BOUND, transfer_time=TRANSFER_TIME):
     """Return the lowest share of serving engines until the old weights expire."""
     orders = [
-        order_time(complete_at=spread, expires_at=bound, position=position)
+        order_time(complete_at=transfer_time, expires_at=bound, position=position)
         for position in range(engines)
     ]
-    assert max(orders) <= max(spread, bound - DISPATCH_CUTOFF) + 1e-9
-    moments = [spread + STEP * number for number in range(int((bound - spread) / STEP))]
-    usable = [now for now in moments if now < bound - DISPATCH_CUTOFF]
-    lowest = min(serving(orders, expires_at=bound, now=now) for now in usable)
+    assert max(orders) <= max(transfer_time, bound - DISPATCH_CUTOFF) + 1e-9
+    times = [
+        transfer_time + STEP * number
+        for number in range(int((bound - transfer_time) / STEP))
+    ]
+    times_before_cutoff = [now for now in times if now < bound - DISPATCH_CUTOFF]
+    lowest = min(
+        serving(orders, expires_at=bound, now=now) for now in times_before_cutoff
+    )
     return lowest / engines
 
 
@@ -41,10 +46,11 @@
     """Guards against a time of 0.8 s in which no engine serves, 1.2 s before the bound.
 
     All hosts hold all pieces 6.3 s after the declaration, the bound is 8 s, and an
-    engine takes one to two seconds to finish its requests and load. Orders were sent
-    at once if less than two seconds were left, to 9 of 9 engines within 0.6 s, so that
-    each would be done by the bound; half of the callers of two seconds were answered
-    late. But an engine only has to stop accepting requests by then.
+    engine takes one to two seconds to finish its requests and load. If less than two
+    seconds were left, orders were sent at once so that each engine would be done by the
+    bound: to 9 of 9 engines within 0.6 s. Half of the callers with a deadline of two
+    seconds were answered late. But an engine only has to stop accepting requests by the
+    bound.
     """
     assert min_serving_share(engines) * engines >= engines // 2
 
@@ -52,7 +58,7 @@
 @pytest.mark.parametrize("engines", [6, 25, 150])
 def test_longer_bound_keeps_more_engines_serving(engines):
     """With a bound of 13.4 s and pieces after 7.5 s, a quarter switches at a time."""
-    assert min_serving_share(engines, bound=13.4, spread=7.5) >= 0.66
+    assert min_serving_share(engines, bound=13.4, transfer_time=7.5) >= 0.66
 
 
 def test_engine_with_expired_weights_is_ordered_at_once():
--- a/hawthornspoke/spread/tests/test_digests_after_an_outage.py
+++ b/hawthornspoke/spread/tests/test_digests_after_an_outage.py
@@ -13,14 +13,14 @@
     """Guards against transfers that begin 0.5 to 1.6 s late after an origin outage.
 
     A version is declared and the origin fails. Each host requested the manifest from
-    two others in turn, for 0.6 s each, then from the origin, and waited. After the
-    recovery one host read it on its next attempt and the others got it on theirs, as
-    only a request pending at the right host at that time is answered.
+    two others in turn, for 0.6 s each, then from the origin, and waited before the next
+    attempt. After the recovery, one host read it on its next attempt and the others got
+    it only on theirs: no request was pending at that host when it had the manifest.
     """
 
     async def scenario(hosts):
         hosts.origin.down = True
-        await hosts.name(2)
+        await hosts.declare(2)
         await asyncio.sleep(2.0)
         hosts.origin.down = False
         back_at = asyncio.get_running_loop().time()
--- a/hawthornspoke/spread/tests/test_entry_links.py
+++ b/hawthornspoke/spread/tests/test_entry_links.py
@@ -6,8 +6,8 @@
 from hawthornspoke.spread import _entry_links
 from hawthornspoke.spread._entry_links import EntryLinks
 
-NEAR_HOSTS = 12
-FAR_HOSTS = 22
+LOCAL_HOSTS = 12
+REMOTE_HOSTS = 22
 
 
 class Transport:
@@ -42,7 +42,7 @@
     """Return the links of an agent that has a directive of each entry host."""
     made = EntryLinks(failure_domain="a", spawn=None)
     for number, link in enumerate(hosts):
-        domain = "a" if number < NEAR_HOSTS else "b"
+        domain = "a" if number < LOCAL_HOSTS else "b"
         made.receive(link, Directive(failure_domain=domain, weights_version=1))
     for link in hosts:
         link.transport.written.clear()
@@ -77,23 +77,23 @@
 def test_state_is_encoded_once_for_all_entry_hosts(monkeypatch):
     """Guards against CPU time that grows with the number of entry hosts.
 
-    An engine's load changes up to ten times a second, and each local entry host is due
-    for a report. Encoding the state for each of them took 113 encodings a second in one
-    agent: 34 for the first state and 12 for the next, now 1 each.
+    An engine's load changes up to ten times a second, and each local entry host is then
+    due for a report. Encoding the state for each host took 113 encodings a second in
+    one agent: 34 for the first state and 12 for the next. Now each takes one.
     """
-    hosts = [connection() for _ in range(NEAR_HOSTS + FAR_HOSTS)]
+    hosts = [connection() for _ in range(LOCAL_HOSTS + REMOTE_HOSTS)]
     links = entry_links(hosts)
     encoded = record_encoded(monkeypatch)
     links.report(state(1), now=10.0)
     first = len(encoded)
     links.report(state(2), now=10.1)
-    assert all(reported_loads(link) == [1, 2] for link in hosts[:NEAR_HOSTS])
-    assert all(reported_loads(link) == [1] for link in hosts[NEAR_HOSTS:])
+    assert all(reported_loads(link) == [1, 2] for link in hosts[:LOCAL_HOSTS])
+    assert all(reported_loads(link) == [1] for link in hosts[LOCAL_HOSTS:])
     assert (first, len(encoded) - first) == (1, 1)
 
 
 def test_nothing_is_encoded_while_no_host_is_due(monkeypatch):
-    hosts = [connection() for _ in range(NEAR_HOSTS)]
+    hosts = [connection() for _ in range(LOCAL_HOSTS)]
     links = entry_links(hosts)
     links.report(state(1), now=10.0)
     encoded = record_encoded(monkeypatch)
@@ -135,28 +135,28 @@
 def test_host_that_does_not_follow_an_engine_gets_fewer_reports_but_each_version(
     monkeypatch,
 ):
-    """Guards against 29,000 reports a second in all, at 99 entry hosts and 156 engines.
+    """Guards against 29,000 reports a second from 156 engines to 99 entry hosts.
 
     Each change of the load was reported to each local host, ten times a second, and to
-    all others every second, although a host sends a request to any one engine only
-    every other second.
+    all others every second, although an entry host sends a request to a given engine
+    only once in two seconds.
     """
     monkeypatch.setattr(_entry_links, "REMOTE_JITTER", (1.0, 1.0))
-    near, far = connection(), connection()
+    local, remote = connection(), connection()
     links = EntryLinks(failure_domain="a", spawn=None)
-    for link, domain in ((near, "a"), (far, "b")):
+    for link, domain in ((local, "a"), (remote, "b")):
         links.receive(link, Directive(failure_domain=domain, weights_version=1))
         link.transport.written.clear()
         links.set_follows(link, False)
     for tenth in range(31):
         links.report(state(tenth % 2), now=10.0 + tenth / 10)
-    assert len(reported_loads(near)) == 4
-    assert len(reported_loads(far)) == 2
+    assert len(reported_loads(local)) == 4
+    assert len(reported_loads(remote)) == 2
     changed = state(0)
     changed.weights_version = 2
     links.report(changed, now=13.15)
-    assert len(reported_loads(near)) == 5
-    assert len(reported_loads(far)) == 3
+    assert len(reported_loads(local)) == 5
+    assert len(reported_loads(remote)) == 3
 
 
 def test_host_that_starts_to_follow_an_engine_gets_its_load_at_the_next_report():
@@ -171,7 +171,7 @@
 
 
 def test_entry_hosts_without_a_configuration_receive_each_others_addresses():
-    """Guards against restarted hosts that know no neighbour to read it from."""
+    """Guards against restarted hosts that know no other to get a configuration from."""
     links = EntryLinks(failure_domain="a", spawn=None)
     hosts = [connection() for _ in range(3)]
     links.set_failure_domain(hosts[0], "a")
--- a/hawthornspoke/spread/tests/test_far_loads.py
+++ b/hawthornspoke/spread/tests/test_far_loads.py
@@ -1,4 +1,4 @@
-"""Latency for callers whose engines are all in another failure domain."""
+"""Requests answered on time if all engines are in another failure domain."""
 
 import random
 from types import SimpleNamespace
@@ -16,7 +16,7 @@
 SEEDS = (3, 4, 5)
 
 
-class FarPlay(LoadSimulation):
+class RemoteLoadSimulation(LoadSimulation):
     """A simulation in which all engines report load on the schedule of remote hosts."""
 
     def _fleet(self, place, hosts, engines):
@@ -58,14 +58,17 @@
 def share_on_time():
     """Return the share of callers answered on time, over all seeds."""
     random.seed(1)
-    plays = [
-        FarPlay(
+    simulations = [
+        RemoteLoadSimulation(
             mean_demand=0.8, uses_subset=True, hosts=13, engines=18, seed=seed
         ).run()
         for seed in SEEDS
     ]
-    asked = sum(play.on_time + play.late + play.refused for play in plays)
-    return sum(play.on_time for play in plays) / asked
+    total = sum(
+        simulation.on_time + simulation.late + simulation.refused
+        for simulation in simulations
+    )
+    return sum(simulation.on_time for simulation in simulations) / total
 
 
 def test_overflow_is_not_concentrated_on_the_engine_that_reported_last():
--- a/hawthornspoke/spread/tests/test_first_start.py
+++ b/hawthornspoke/spread/tests/test_first_start.py
@@ -29,8 +29,8 @@
     """Guards against 600 platform calls when 156 agents start for the first time.
 
     Each agent read the list of endpoints to ask its neighbours for a directive, which
-    none of them has, and 2 s later read everything itself, just before entry hosts
-    connect. Agents of a first start must wait instead.
+    none of them had. 2 s later it read everything from the platform itself, just before
+    entry hosts connected. Agents of a first start must wait instead.
     """
 
     async def scenario(first_start, seconds):
@@ -58,7 +58,7 @@
 
     async def scenario():
         async with Hosts(2) as hosts:
-            await hosts.name(1)
+            await hosts.declare(1)
             await hosts.wait_until_loaded(1, seconds=4.0)
 
     asyncio.run(scenario())
--- a/hawthornspoke/spread/tests/test_frames.py
+++ b/hawthornspoke/spread/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""An agent that receives arbitrary frames and unexpected entries in endpoint lists."""
+"""An agent that receives arbitrary frames and conflicting entries of endpoint lists."""
 
 import asyncio
 
@@ -60,9 +60,9 @@
     )
 
 
-async def agent():
+async def make_agent():
     """Return an agent that fetches a version of four pieces."""
-    made = Agent(
+    agent = Agent(
         settings=SpreadSettings(
             node="n",
             failure_domain="a",
@@ -77,43 +77,43 @@
         origin=Origin(),
         read_platform=None,
     )
-    made._on_frame(Link(), Frame(directive=directive()))
-    made.exchange.start_transfer(
+    agent._on_frame(Link(), Frame(directive=directive()))
+    agent.exchange.start_transfer(
         Weights(model="m", version=2, digests=("00" * 32,) * 4), priority=0
     )
-    return made
+    return agent
 
 
 def test_no_message_raises():
     with asyncio.Runner() as runner:
-        made = runner.run(agent())
+        agent = runner.run(make_agent())
 
         @settings(max_examples=200, deadline=None)
         @given(structs(Frame))
         def check(frame):
             if frame.call is None:
-                # A connection passes on no request without a call number.
+                # PeerConnection discards requests without a call number.
                 frame = Frame(
                     announce=frame.announce,
                     directive=frame.directive,
                     engine_state=frame.engine_state,
                     entry_hosts=frame.entry_hosts,
                 )
-            runner.run(feed(made, frame))
+            runner.run(feed(agent, frame))
 
         check()
-        runner.run(close(made))
+        runner.run(close(agent))
 
 
-async def feed(made, frame):
+async def feed(agent, frame):
     """Pass a frame to an agent."""
-    made._on_frame(Link(), frame)
+    agent._on_frame(Link(), frame)
 
 
-async def close(made):
+async def close(agent):
     """Stop the tasks of an agent."""
-    made.delivery.close()
-    made.exchange.close()
+    agent.delivery.close()
+    agent.exchange.close()
 
 
 def test_entry_of_another_writer_at_the_own_address_is_ignored():
@@ -125,11 +125,11 @@
     """
 
     async def scenario():
-        made = await agent()
-        odd = PeerEndpoint(address=OWN, failure_domain="elsewhere")
-        good = PeerEndpoint(address="127.0.0.3:1", failure_domain="a")
-        made._on_frame(Link(), Frame(directive=directive(odd, good)))
-        assert set(made.exchange.region_nodes()) == {OWN, "127.0.0.3:1"}
-        await close(made)
+        agent = await make_agent()
+        conflicting = PeerEndpoint(address=OWN, failure_domain="elsewhere")
+        other = PeerEndpoint(address="127.0.0.3:1", failure_domain="a")
+        agent._on_frame(Link(), Frame(directive=directive(conflicting, other)))
+        assert set(agent.exchange.region_nodes()) == {OWN, "127.0.0.3:1"}
+        await close(agent)
 
     asyncio.run(scenario())
--- a/hawthornspoke/spread/tests/test_incarnations.py
+++ b/hawthornspoke/spread/tests/test_incarnations.py
@@ -198,7 +198,7 @@
         await asyncio.sleep(0.01)
         answer_late, engine.answer_puts = engine.answer_puts, None
         engine.restart(SECOND)
-        installer.forget()
+        installer.forget_staged()
         await installer.stage(weights, 0)
         answer_late.set()
         await late
@@ -236,8 +236,9 @@
     """Guards against a restarted engine without weights for the time of an install.
 
     An engine restarts while its agent installs, and the agent waits for the end of an
-    order that the new incarnation does not know. Only the agent observes the restart;
-    the start time is later than the previous one, or earlier if the clock was set back.
+    order that the new incarnation does not know. Nothing else tells the agent of the
+    restart. The new start time is later than the previous one, or earlier if the clock
+    was set back.
     """
 
     async def scenario(hosts):
@@ -245,7 +246,7 @@
         hosts.engines[0] = engine
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         await asyncio.sleep(0.2)
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
         reads = len(hosts.origin.reads)
         engine.restart(next_incarnation, lose_staged=lose_staged)
@@ -257,7 +258,7 @@
 
 
 def test_agent_plans_for_an_incarnation_busy_from_the_first_snapshot():
-    """Guards against an entry host that rejects callers without a retry time.
+    """Guards against an entry host whose rejections contain no retry time.
 
     An engine with weights restarts and is busy when it is first observed. If the agent
     plans as if the engine still held them, it reports no time for the next ones.
@@ -269,7 +270,7 @@
         hosts.engines[0] = engine
         agent.engine = agent.installer._engine = engine
         await asyncio.sleep(0.2)
-        await hosts.name(1)
+        await hosts.declare(1)
         await hosts.wait_until_loaded(1)
         await asyncio.sleep(0.3)
         assert agent.upgrade.ready_at(monotonic()) is None
@@ -290,7 +291,7 @@
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         await asyncio.sleep(0.2)
         engine.load_time = 60.0
-        await hosts.name(1)
+        await hosts.declare(1)
         async with asyncio.timeout(4.0):
             while not engine.busy:
                 await asyncio.sleep(0.01)
@@ -315,7 +316,7 @@
         hosts.agents[0].engine = hosts.agents[0].installer._engine = engine
         await asyncio.sleep(0.2)
         engine.answer_puts = asyncio.Event()
-        await hosts.name(1)
+        await hosts.declare(1)
         async with asyncio.timeout(4.0):
             while hosts.agents[0].delivery.install is None or not engine.puts:
                 await asyncio.sleep(0.01)
@@ -355,7 +356,7 @@
 
         agent.__class__ = SlowObserver
         engine.before_start = lambda: engine.restart(SECOND)
-        await hosts.name(1)
+        await hosts.declare(1)
         await asyncio.wait_for(observing.wait(), 4.0)
         engine.restart(CLOCK_BACK)
         await hosts.wait_until_loaded(1, seconds=4.0)
@@ -383,7 +384,7 @@
         )
         hosts.links.append(link)
         await asyncio.sleep(0.2)
-        await hosts.name(1)
+        await hosts.declare(1)
         declaration = directive(
             engine=ENGINE, version=1, age=None, peers=None, origin=None, bound=8.0
         )
--- a/hawthornspoke/spread/tests/test_peers_that_leave.py
+++ b/hawthornspoke/spread/tests/test_peers_that_leave.py
@@ -11,11 +11,10 @@
 def test_manifest_is_read_although_a_peer_leaves_meanwhile():
     """Guards against an engine that never gets a version that all others have.
 
-    An agent requests a manifest from a host of its region, which takes up to 0.6 s.
-    Meanwhile another host of the region leaves, and it is the next one to be asked. Its
-    address was looked up after the wait, and the KeyError ended the task that fetches
-    the version. Nothing started the task again, and the engine served nothing once its
-    old weights had expired.
+    An agent chooses the hosts of its region that it requests a manifest from, and one
+    of them leaves before its address is looked up. Then a KeyError ended the task that
+    fetches the version. Nothing started the task again, and the engine served nothing
+    once its old weights had expired.
     """
 
     async def scenario():
@@ -32,7 +31,7 @@
             agent.exchange.set_peers(peers)
             version = _version_that_others_read_first(own, peers)
             asking = asyncio.create_task(agent.delivery.manifests.get("m", version))
-            # The first of the two is asked: a connection attempt begins.
+            # The two hosts have been chosen, but their addresses not yet looked up.
             await asyncio.sleep(0)
             agent.exchange.set_peers({own: peers[own]})
             digests = await asking
--- a/hawthornspoke/spread/tests/test_upgrade.py
+++ b/hawthornspoke/spread/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Which version an engine loads next: sequences of declarations and pieces."""
+"""Plans of the upgrade machine after sequences of declarations and received pieces."""
 
 from hawthornspoke.spread._changeover import DISPATCH_CUTOFF
 from hawthornspoke.spread._upgrade import (
@@ -12,13 +12,13 @@
     VersionDeclared,
 )
 
-T = 6.0
+TRANSFER_TIME = 6.0
 BOUND = 8.0
 
 
 def machine(version=1, *, is_complete=True):
     """Return a machine whose engine holds a declared version."""
-    upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
+    upgrade = Upgrade(transfer_time=TRANSFER_TIME, version_bound=BOUND)
     upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
     seen = EngineObserved(version=version, is_complete=is_complete, busy=False)
     upgrade.step(seen, now=0.0)
@@ -115,7 +115,7 @@
     later time is used although the version was received before it, half of the engines
     of a failure domain delay their orders beyond the bound, with all pieces held.
     """
-    upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
+    upgrade = Upgrade(transfer_time=TRANSFER_TIME, version_bound=BOUND)
     upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
     upgrade.step(EngineObserved(version=1, is_complete=True, busy=False), now=0.0)
     upgrade.step(PositionAssigned(position=1), now=0.0)
@@ -127,7 +127,7 @@
 
 def test_later_time_before_the_first_receipt_is_used():
     """An entry host that has just started reports an earlier time than others do."""
-    upgrade = Upgrade(transfer_time=T, version_bound=BOUND)
+    upgrade = Upgrade(transfer_time=TRANSFER_TIME, version_bound=BOUND)
     upgrade.step(VersionDeclared(version=1, at=-100.0), now=-100.0)
     upgrade.step(EngineObserved(version=1, is_complete=True, busy=False), now=0.0)
     upgrade.step(PositionAssigned(position=1), now=0.0)
