--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -20,18 +20,19 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class TargetWeights:
-    """Weights declared for a live key.
+    """Weights declared for a service or an adapter.
 
     Parameters
     ----------
     key : str
-        Service name, or ``service:adapter``.
+        Live key: service name, or ``service:adapter``.
     digest : str
     base : str
         Digest of the base weights if these are adapter weights, else empty.
     source : str
         Name of the weights at the origin.
     priority : int
+        Priority of the transfer; lower values go first.
     """
 
     key: str
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SetDeclaredWeights:
-    """The document in force declares the weights that this host is to run.
+    """The configuration in force declares the weights that this host is to run.
 
     Parameters
     ----------
@@ -77,11 +78,12 @@
     Parameters
     ----------
     instance : str
-        Identifier that changes when the engine restarts; empty if it does not answer.
+        Identifier that changes when the engine restarts; empty if it doesn't respond.
     loaded : frozenset of str
     memory : int
         Capacity for weights in bytes; 0 for no limit.
     used : int
+        Bytes of it that are in use.
     """
 
     instance: str
--- a/hawthornspoke/peering/__init__.py
+++ b/hawthornspoke/peering/__init__.py
@@ -1,4 +1,4 @@
-"""Connections between entry hosts and agents: Thrift frames over asyncio."""
+"""Connections between hosts: Thrift frames over asyncio."""
 
 from hawthornspoke.peering._connection import CLOSED, PeerConnection, connect, listen
 from hawthornspoke.peering._directive import directive, is_usable, peer_endpoints
--- a/hawthornspoke/peering/_connection.py
+++ b/hawthornspoke/peering/_connection.py
@@ -29,7 +29,7 @@
 
 CLOSED = Failure(code="peer_closed")
 
-#: Fields of a frame that request a response.
+#: Fields of a frame that hold a request for a response.
 REQUEST_FIELDS = (
     "chunk_ask",
     "directive_ask",
@@ -45,7 +45,7 @@
     Parameters
     ----------
     on_frame : callable
-        Called with the connection and each frame.
+        Called with the connection and each frame that is not a response.
     on_closed : callable
         Called with the connection after it has been closed.
     """
--- a/hawthornspoke/peering/_directive.py
+++ b/hawthornspoke/peering/_directive.py
@@ -1,4 +1,4 @@
-"""Directives, which entry hosts send to agents."""
+"""Directives, by which entry hosts tell agents the declared version and the peers."""
 
 from hawthornspoke.catalog import FIRST_VERSION
 from hawthornspoke.protocol import Directive, PeerEndpoint
@@ -19,7 +19,7 @@
     origin : str or None
         Address of the origin.
     bound : float
-        Seconds within which a declaration must be applied.
+        Seconds after the declaration from which no request may begin on older versions.
     failure_domain : str or None, default=None
         Failure domain of the sender.
 
--- a/hawthornspoke/spread/_engine_state.py
+++ b/hawthornspoke/spread/_engine_state.py
@@ -17,7 +17,7 @@
     model : str or None
     upgrade : Upgrade
     contact_now : float
-        Current time on the upgrade machine's clock.
+        Current time on the clock of the upgrade machine, ``boottime_clock``.
     order_pending : bool
         Whether an order is about to be sent.
     links : EntryLinks
--- a/hawthornspoke/spread/_entry_links.py
+++ b/hawthornspoke/spread/_entry_links.py
@@ -13,7 +13,8 @@
 
 #: Seconds after which an unchanged state is reported again to entry hosts that follow
 #: this engine. Remote ones send requests here only when their own failure domain is
-#: full. After a few intervals without a report, they consider this host unresponsive.
+#: full. An entry host considers this host unresponsive after a few intervals without a
+#: report.
 LOCAL_REPORT_INTERVAL = 0.25
 REMOTE_REPORT_INTERVAL = 2.0
 
--- a/hawthornspoke/spread/_link_delay.py
+++ b/hawthornspoke/spread/_link_delay.py
@@ -30,7 +30,7 @@
     ----------
     number : int
     answered : bool
-        False if its connection was closed.
+        False if it timed out or its connection was closed.
     """
 
     number: int
--- a/hawthornspoke/spread/_settings.py
+++ b/hawthornspoke/spread/_settings.py
@@ -13,9 +13,11 @@
     Parameters
     ----------
     node : str
+        Name of this host in logs and the state dump.
     failure_domain : str
     region_by_failure_domain : dict of str to str
     ip : str
+        IP address on which the agent listens.
     port : int, default=7700
         Port for entry hosts and other agents.
     operator_port : int, default=7701
--- a/hawthornspoke/spread/tests/test_changeover.py
+++ b/hawthornspoke/spread/tests/test_changeover.py
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("engines", [2, 6, 25, 150])
 def test_half_of_the_engines_serve_until_the_bound_of_the_older_weights(engines):
-    """Guards against a time of 0.8 s in which no engine serves, 1.2 s before the bound.
+    """Guards against 0.8 s in which no engine serves, 1.2 s before the bound.
 
     All hosts hold all pieces 6.3 s after the declaration, the bound is 8 s, and an
     engine takes one to two seconds to finish its requests and load. If less than two
