--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -4,33 +4,35 @@
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 
-#: Phases of an in-place swap, as announced to other hosts.
+#: Phases of an in-place swap, as announced to other hosts: no swap, waiting for a
+#: permit, and swap announced or in progress.
 NO_SWAP = 0
-WAITING = 1
+WAITING_FOR_PERMIT = 1
 CHANGING = 2
 
 #: Delay in seconds before a failed order is retried.
 ORDER_RETRY_DELAY = 1.0
 
-#: Progress in per mille of weights that the host has no memory for, and of live ones.
-NO_MEMORY_PROGRESS = -1
+#: Progress in per mille of weights that the host has no space for, and of live ones.
+NO_SPACE_PROGRESS = -1
 COMPLETE_PROGRESS = 1000
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class TargetWeights:
-    """Weights declared for a live key.
+    """Weights declared for a service or an adapter.
 
     Parameters
     ----------
     key : str
-        Service name, or ``service:adapter``.
+        Live key: service name, or ``service:adapter``.
     digest : str
     base : str
         Digest of the base weights if these are adapter weights, else empty.
     source : str
         Name of the weights at the origin.
     priority : int
+        Priority of the transfer; lower values go first.
     """
 
     key: str
@@ -42,7 +44,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SetDeclaredWeights:
-    """The document in force declares the weights that this host is to run.
+    """The configuration in force declares the weights that this host is to run.
 
     Parameters
     ----------
@@ -76,11 +78,12 @@
     Parameters
     ----------
     instance : str
-        Identifier that changes when the engine restarts; empty if it does not answer.
+        Identifier that changes when the engine restarts; empty if it doesn't respond.
     loaded : frozenset of str
     memory : int
         Capacity for weights in bytes; 0 for no limit.
     used : int
+        Bytes of it that are in use.
     """
 
     instance: str
@@ -158,7 +161,7 @@
 
 @MACHINES.register("deployment")
 class Deployment(Machine):
-    """Issues the orders by which one engine gets to serve the declared weights.
+    """Orders one engine to load and unload weights until it serves the declared ones.
 
     Parameters
     ----------
@@ -325,7 +328,7 @@
             if self.live_by_key.get(key) == item.digest:
                 progress_by_key[key] = COMPLETE_PROGRESS
             elif item.digest in self.refused_by_digest:
-                progress_by_key[key] = NO_MEMORY_PROGRESS
+                progress_by_key[key] = NO_SPACE_PROGRESS
             else:
                 permille = transfer_progress.get(item.digest, 0)
                 if item.digest in self.size_by_digest:
@@ -425,12 +428,12 @@
 
     def _swap_in_place(self, item, *, now):
         if self.phase == NO_SWAP:
-            self.phase = WAITING
+            self.phase = WAITING_FOR_PERMIT
             self._swap_permitted = False
             return []
         if not self._swap_permitted:
             return []
-        if self.phase == WAITING:
+        if self.phase == WAITING_FOR_PERMIT:
             # Announce the swap first and check the permit again afterwards. Two hosts
             # that saw the same free slot have then seen each other's announcement.
             self.phase = CHANGING
