--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -61,7 +61,7 @@
         self.catalog = catalog
 
     def contact_age(self):
-        """Return the age of the last platform confirmation in seconds, None if none."""
+        """Return the seconds since the last platform confirmation, if any."""
         return self._contact.age(now=self.clock())
 
     def identify(self, context):
@@ -91,26 +91,29 @@
         return None
 
     def recheck(self, context, *, ask, place):
-        """Check whether a request may still be sent to a place.
+        """Check whether a request may still be sent to its selected endpoint.
 
         The process may have stalled, or waited for a connection, since the place was
         selected. The task then resumes before the event loop has processed the
         caller's disconnect, the deadline timer or the loss of the platform, and an
         endpoint would run a request that is abandoned or no longer allowed. So this
         is called directly before the bytes are written, without an await in between,
-        and checks the most short-lived conditions last.
+        and checks the conditions that change fastest last.
 
         Parameters
         ----------
         context : RequestContext
             Its ``rejection`` is set if no endpoint may run it any more.
         ask : PlacementRequest
+            With the times left now.
         place : Placement
+            The selection to check.
 
         Returns
         -------
         Placement or Failure
-            The updated place; ``ENDPOINT_CHANGED`` if another endpoint may be used.
+            The updated placement; ``ENDPOINT_CHANGED`` if another endpoint may be
+            used.
         """
         failure = self._check_configuration(context)
         if failure is None:
@@ -136,8 +139,8 @@
 
     def _check_configuration(self, context):
         """Return a Failure if the current configuration doesn't allow a request."""
-        is_keyed = context.organisation is not None
-        if is_keyed and not self._contact.keys_trusted(now=self.clock()):
+        has_key = context.organisation is not None
+        if has_key and not self._contact.keys_trusted(now=self.clock()):
             return KEY_NOT_CONFIRMED
         if context.catalog is self.catalog:
             return None
--- a/hawthornspoke/relay/_agents.py
+++ b/hawthornspoke/relay/_agents.py
@@ -53,7 +53,7 @@
     suspects : PoisonRequestTracker
         Exchanges evidence of poison requests with agents.
     earliest_arrival : callable, default=boottime_clock
-        Returns a time after which the data being read now has arrived.
+        Returns a lower bound of the arrival time of data that is read now.
     """
 
     __slots__ = (
@@ -129,7 +129,7 @@
         Returns
         -------
         int or None
-            The maximum over all agents; one that is cut off sees too few.
+            The maximum over all agents, since an agent that is cut off sees too few.
         """
         return max(self._entry_hosts_by_agent.values(), default=None)
 
@@ -174,20 +174,23 @@
         )
 
     def _encode_directive(self, service):
-        """Return the current directive for the agents of a service, None if none.
+        """Return the current directive for the agents of a service, if there is one.
 
-        It is built once per service. Built per agent, with a part for each endpoint,
-        one change of the list blocked all requests for 1.2 s at 960 endpoints.
+        Its size grows with the number of endpoints, so it is built once per service.
+        When it was built once per agent, each change of the list of endpoints blocked
+        all requests for 1.2 s at 960 endpoints.
         """
         directive = self._directive_for(service)
         if directive is None:
             return None
-        # The list of endpoints changes with each load of weights. Links are narrow, so
-        # agents are only sent changes of the fields that they act on.
+        # The list of endpoints changes whenever an engine has loaded weights. Links
+        # have little bandwidth, so agents are only sent changes of the fields that they
+        # act on.
         relevant = _relevant_fields(directive)
         known = self._relevant_by_service.get(service)
         if known == relevant:
-            # Reuse the same object, so that it can be compared by identity per agent.
+            # Reuse the same object, so that it can be compared by identity for each
+            # agent.
             relevant = known
         self._relevant_by_service[service] = relevant
         return _EncodedDirective(directive=directive, relevant=relevant)
@@ -266,7 +269,7 @@
             weights_version=state.weights_version or None,
             layers=layers,
             loading=bool(state.loading),
-            pace=_pace(state.pace),
+            pace=_slowdown_factor(state.pace),
             next_version=state.next_version or None,
             next_ready_at=ready_at,
             model=state.model or "",
@@ -288,14 +291,14 @@
     )
 
 
-def _pace(told):
-    """Return the slowdown factor of an engine, 1 if unknown.
+def _slowdown_factor(reported):
+    """Return the slowdown factor that an engine reported, 1 if missing or invalid.
 
-    Comparisons with NaN are always false, so requests would be placed or refused
-    arbitrarily.
+    Comparisons with NaN are always false, so with a NaN requests would be placed or
+    refused arbitrarily.
     """
-    is_known = told is not None and math.isfinite(told) and told > 0
-    return told if is_known else 1.0
+    is_known = reported is not None and math.isfinite(reported) and reported > 0
+    return reported if is_known else 1.0
 
 
 def _relevant_fields(directive):
--- a/hawthornspoke/relay/_budgets.py
+++ b/hawthornspoke/relay/_budgets.py
@@ -2,7 +2,7 @@
 
 from hawthornspoke.retries import RetryBudget
 
-#: Entry hosts assumed to share the retry reserve, until an agent reports the number.
+#: Number of entry hosts assumed to share the retry reserve until an agent reports it.
 ASSUMED_ENTRY_HOSTS = 20
 
 
--- a/hawthornspoke/relay/_choosing.py
+++ b/hawthornspoke/relay/_choosing.py
@@ -5,9 +5,9 @@
 from hawthornspoke.relay._encoding import RESPONSE_RETURN_TIME
 from hawthornspoke.retries import RequestSucceeded, RetryAllowed, RetryRequest
 
-#: Connection attempts per request, beyond the attempts of its route, before it is
-#: refused. An unreachable endpoint costs time but doesn't run the request.
-MAX_CONNECTS = 3
+#: Connection attempts allowed per request in addition to the attempts of its route.
+#: An unreachable endpoint costs time but doesn't run the request.
+EXTRA_CONNECTION_ATTEMPTS = 3
 
 
 class EndpointSelector:
@@ -46,7 +46,7 @@
         """
         if context.rejection is not None:
             return None
-        if connection_attempts >= MAX_CONNECTS + context.route.attempts:
+        if connection_attempts >= EXTRA_CONNECTION_ATTEMPTS + context.route.attempts:
             context.retry_after = context.retry_after or 0.5
             return None
         if context.sent and not self.may_retry(context):
@@ -81,7 +81,7 @@
         return result
 
     def ask(self, context, *, required_version=None):
-        """Return the placement query for a request, as of now.
+        """Return the request for a placement, with the remaining times as of now.
 
         Parameters
         ----------
@@ -103,7 +103,7 @@
         )
 
     def may_retry(self, context):
-        """Return whether a request may be retried."""
+        """Return whether a request may be retried, and charge the retry budget."""
         if context.rejection is not None or context.sent >= context.route.attempts:
             return False
         remaining = context.deadline - self._clock()
@@ -112,7 +112,7 @@
             and remaining < context.deadline - context.resend_deadline
         ):
             # The caller would disconnect before the first event arrives, and the
-            # endpoint would process the prompt for no one.
+            # endpoint would have processed the prompt in vain.
             context.last_reason = (
                 f"{context.last_reason}; too little time left for a first event"
             )
--- a/hawthornspoke/relay/_contact.py
+++ b/hawthornspoke/relay/_contact.py
@@ -4,9 +4,9 @@
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
 
-#: Share of ``keys_valid_for`` after which a host without a confirmation directs its
-#: callers to other hosts. Responses arrive every two seconds, so that a single late
-#: one doesn't trigger this.
+#: Share of ``keys_valid_for`` after which a host without a confirmation reports itself
+#: not ready, so that callers use other hosts. The platform responds every two seconds,
+#: so a single late response doesn't trigger this.
 STABLE_SHARE = 0.6
 
 
@@ -55,8 +55,8 @@
     """Decides whether API keys may still be trusted.
 
     A key can be revoked while this host is cut off from the platform, and requests
-    with it would run long after the operators were told that it is revoked. So keys
-    are refused once the last confirmation is too old, whatever the cause.
+    with it would run long after the operators were told that it is revoked. So all
+    keys are refused once the last confirmation is too old, whatever the cause.
 
     Parameters
     ----------
@@ -157,7 +157,7 @@
         return self.confirmed_at is not None and now < self.confirmed_at + seconds
 
     def age(self, *, now):
-        """Return the age of the last confirmation in seconds, None if none."""
+        """Return the age of the last confirmation in seconds, None before the first."""
         return None if self.confirmed_at is None else round(now - self.confirmed_at, 3)
 
     def dump(self, *, now):
--- a/hawthornspoke/relay/_work.py
+++ b/hawthornspoke/relay/_context.py
@@ -13,12 +13,26 @@
     Attributes
     ----------
     fingerprint : str
-        Identifies repeats of the request; empty until the caller is known.
+        The same for identical requests of an organisation; empty until the caller is
+        known.
     catalog : Catalog or None
         The configuration by which the request was last allowed.
-    deadline, objective_deadline, resend_deadline : float
-        On a clock that includes the time for which the host is suspended, since
-        callers don't wait longer for a suspended host.
+    deadline : float
+        Time by which the response has to be complete. All three deadlines are on a
+        clock that includes the time for which the host is suspended, since callers
+        don't wait longer for a suspended host.
+    objective_deadline : float
+        Time by which the first byte has to be sent for the response to be on time.
+    resend_deadline : float
+        Time after which the request is not sent again, unless its stream has started.
+    returned : bool
+        Whether the caller made an earlier attempt, judged by its shorter deadline.
+    tried : list of str
+        Ids of the endpoints selected so far.
+    sent, resumed : int
+        Number of times that the request, or a resumption of its stream, was sent.
+    may_have_run : bool
+        Whether an endpoint may have run the request.
     rejection : Failure or None
         Why the request may not be sent to any endpoint any more.
     """
--- a/hawthornspoke/relay/_forward.py
+++ b/hawthornspoke/relay/_forward.py
@@ -6,8 +6,8 @@
 from hawthornspoke.relay._encoding import Encoder
 from hawthornspoke.relay._sending import Sender
 from hawthornspoke.relay._streams import (
-    MIN_RESPONSE_TIMEOUT,
-    SUCCESS,
+    STREAM_READ_TIMEOUT,
+    SUCCESS_STATUSES,
     StreamForwarder,
 )
 from hawthornspoke.relay._try import NOT_RUN
@@ -15,8 +15,8 @@
 #: Response timeout of a stream, as a multiple of the expected time to first token.
 EXPECTED_TIME_FACTOR = 3.0
 
-#: Share of a plain request's remaining time that its first attempt may take before a
-#: repeatable request is tried elsewhere.
+#: Share of the remaining time of a repeatable request without a stream that its first
+#: attempt may take before another endpoint is tried.
 PLAIN_TIMEOUT_SHARE = 0.45
 
 
@@ -91,7 +91,7 @@
             attempt = self._sender.create_attempt(context, place)
             connection_attempts += 1
             try:
-                if await self._try(context, attempt):
+                if await self._run_attempt(context, attempt):
                     return
                 self._log.change(
                     "try_failed",
@@ -106,8 +106,8 @@
                 # caller disconnected, or the deadline passed.
                 attempt.abandon()
 
-    async def _try(self, context, attempt):
-        """Return whether the request needs no further attempt."""
+    async def _run_attempt(self, context, attempt):
+        """Run an attempt; return whether the request needs no further one."""
         may_have_run_before = context.may_have_run
         failure = await self._sender.send(context, attempt)
         if failure is not None:
@@ -120,12 +120,12 @@
             context.last_reason = f"{head.code}: {head.reason}"
             context.may_have_run = may_have_run_before or head != NOT_RUN
             return False
-        if head.status in SUCCESS and head.get(self._dialect.seal) is None:
-            # Not one of our endpoints: another server listens at that address.
+        if head.status in SUCCESS_STATUSES and head.get(self._dialect.seal) is None:
+            # The response is from another server that now listens at the address.
             attempt.fail()
             context.last_reason = "the response has no seal"
             return False
-        if context.route.kind == STREAM and head.status in SUCCESS:
+        if context.route.kind == STREAM and head.status in SUCCESS_STATUSES:
             return await self._streams.forward(context, attempt, head)
         return await self._read_whole(context, attempt)
 
@@ -135,7 +135,7 @@
         if isinstance(answer, Failure):
             context.last_reason = f"{answer.code}: {answer.reason}"
             return False
-        is_success = answer.status in SUCCESS
+        is_success = answer.status in SUCCESS_STATUSES
         attempt.done(is_success=is_success)
         context.last_response = answer
         if is_success:
@@ -149,7 +149,7 @@
         if not context.route.repeatable:
             return max(0.0, remaining)
         if context.route.kind == STREAM:
-            desired = max(MIN_RESPONSE_TIMEOUT, EXPECTED_TIME_FACTOR * place.expected)
+            desired = max(STREAM_READ_TIMEOUT, EXPECTED_TIME_FACTOR * place.expected)
         else:
             desired = (
                 remaining * PLAIN_TIMEOUT_SHARE if context.sent == 1 else remaining
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -6,20 +6,20 @@
 from hawthornspoke.catalog import choose_share
 from hawthornspoke.quarantine import fingerprint_of
 from hawthornspoke.relay._admission import CALLER_LEFT, UNCONFIRMED_RETRY_AFTER
-from hawthornspoke.relay._work import RequestContext
+from hawthornspoke.relay._context import RequestContext
 
-#: Variation in milliseconds of the initial deadlines of callers on a route. A request
-#: whose deadline is shorter than the longest one by more than this has spent the
-#: difference on an earlier attempt.
+#: Assumed variation in milliseconds of the deadlines that callers of a route give their
+#: first attempts. If a deadline is shorter than the longest one by more than this, the
+#: caller has spent the difference on an earlier attempt.
 DEADLINE_JITTER_MS = 150
 
-#: Seconds assumed as the deadline of a request that gives none, also when the longest
-#: deadline of its route is determined.
+#: Deadline in seconds of a request that gives none. It also counts for the longest
+#: deadline of the route.
 ASSUMED_DEADLINE = 30.0
 
-#: Minimum seconds left, before the caller of a stream gives up, for its request to be
-#: sent again. A saturated link delays it by half a second or more, and the first event
-#: takes about 0.2 s.
+#: Minimum seconds for which the caller of a stream still waits if its request is sent
+#: again. A saturated link delays the request by half a second or more, and the first
+#: event takes about 0.2 s.
 MIN_RESEND_TIME = 0.7
 
 #: Retry-After in seconds while this host shuts down; callers then reach another one.
@@ -182,10 +182,13 @@
         context.retry_after = retry_after
         context.reply.send(status, headers)
 
-    def _is_on_time(self, context, first):
-        if context.outcome != "answered" or first is None:
+    def _is_on_time(self, context, first_byte_delay):
+        if context.outcome != "answered" or first_byte_delay is None:
             return False
-        return context.request.contact_arrived_at + first <= context.objective_deadline
+        return (
+            context.request.contact_arrived_at + first_byte_delay
+            <= context.objective_deadline
+        )
 
     def _record_request(self, context):
         now = monotonic()
@@ -194,10 +197,12 @@
         self._metrics.count("requests_total", outcome=outcome)
         elapsed = now - context.request.arrived_at
         self._metrics.observe("request_seconds", elapsed, outcome=outcome)
-        first = None
+        first_byte_delay = None
         if context.first_byte_at is not None:
-            first = round(context.first_byte_at - context.request.arrived_at, 4)
-            self._metrics.observe("first_byte_seconds", first)
+            first_byte_delay = round(
+                context.first_byte_at - context.request.arrived_at, 4
+            )
+            self._metrics.observe("first_byte_seconds", first_byte_delay)
         write = self._log.decision if outcome == "answered" else self._log.change
         write(
             "request",
@@ -210,8 +215,8 @@
             contact_age=self._admission.contact_age(),
             returned=context.returned,
             endpoints=context.tried,
-            first_byte=first,
-            on_time=self._is_on_time(context, first),
+            first_byte=first_byte_delay,
+            on_time=self._is_on_time(context, first_byte_delay),
             sent=context.sent,
             resumed=context.resumed,
             outcome=outcome,
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -217,17 +217,21 @@
     def _server(self, address, handler):
         host, _, port = address.rpartition(":")
         return HttpServer(
-            host=host, port=int(port), handler=handler, on_handler_error=self._on_broken
+            host=host,
+            port=int(port),
+            handler=handler,
+            on_handler_error=self._on_handler_error,
         )
 
-    def _on_broken(self, error):
+    def _on_handler_error(self, error):
         self.log.change("handler_failed", error=repr(error))
         self.metrics.count("handler_failures_total")
 
     async def _handle_ready(self, request, reply):
         is_ready = not self.stopping and self.handler.catalog is not None
-        # A host that is cut off from the platform must soon refuse all keys. The load
-        # balancer directs its callers to other hosts, if any, before that.
+        # A host that is cut off from the platform must soon refuse all keys. It reports
+        # itself not ready before that, so that the load balancer uses other hosts, if
+        # there are any.
         is_ready = is_ready and self.contact.is_stable(now=boottime_clock())
         reply.send(200 if is_ready else 503)
 
@@ -274,8 +278,8 @@
         asyncio.get_running_loop().create_task(self._stop())
 
     async def _stop(self):
-        # New callers arrive until the load balancer reacts; they are served, and their
-        # connections are closed afterwards.
+        # Callers still connect until the load balancer reacts. They are served, and
+        # their connections are closed after the response.
         self.front.draining = True
         await asyncio.sleep(SHUTDOWN_SERVE_TIME)
         self.handler.refusing = True
@@ -291,9 +295,9 @@
 
         If a task ended unnoticed, the host would keep serving from stale state. Ending
         the process instead would interrupt all streams, and the next process would
-        read the same rows. While the task is down, the last platform confirmation
-        ages, so that the host stops trusting keys and reports itself not ready, as
-        when the platform is unreachable.
+        read the same data and could fail in the same way. While the task that reads the
+        platform is down, the last confirmation ages, so that the host stops trusting
+        keys and reports itself not ready, as when the platform is unreachable.
         """
         while True:
             try:
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -1,4 +1,4 @@
-"""Sends requests to endpoints, rechecking them right before the write."""
+"""Sends requests to endpoints, after a last check right before the write."""
 
 from hawthornspoke.base import Failure
 from hawthornspoke.relay._try import Attempt
@@ -56,7 +56,7 @@
         self._log = log
 
     def create_attempt(self, context, place):
-        """Return a new Attempt of a request at a place."""
+        """Return a new Attempt of a request at the selected endpoint."""
         return Attempt(
             place=place,
             pool=self._pool,
@@ -85,8 +85,8 @@
         failure = await attempt.connect()
         if failure is not None:
             return failure
-        # There is no await from here to the write. Encoding takes time but decides
-        # nothing, so it precedes the recheck.
+        # There is no await from here to the write. Encoding takes time and depends on
+        # nothing that the recheck decides, so it comes first.
         data = self._encoder.encode(
             context, attempt.place, last_event=last_event, version=version
         )
--- a/hawthornspoke/relay/_settings.py
+++ b/hawthornspoke/relay/_settings.py
@@ -17,19 +17,20 @@
         Name of the host.
     failure_domain : str
     front : str
-        ``IP:PORT`` for callers.
+        ``IP:PORT`` on which callers are served.
     ready : str
         ``IP:PORT`` of the readiness endpoint for the load balancer.
     ready_path : str, default="/v1/readyz"
     operator_port : int, default=7701
-        Metrics (``/metrics``) and state dump (``/dump``), on the front's IP.
+        Port of metrics (``/metrics``) and the state dump (``/dump``), on the IP of
+        ``front``.
     agent_port : int, default=7700
         Port on which agents listen.
     grace : float, default=8.0
         Seconds from SIGTERM until the process is killed.
     version_bound : float, default=8.0
-        Seconds after a declaration during which requests may still start on older
-        weights.
+        Seconds after the declaration of new weights during which requests may still
+        start on older ones.
     keys_valid_for : float, default=4.6
         Seconds for which keys are trusted after the platform's last confirmation.
     changes_bind_after : float, default=2.0
--- a/hawthornspoke/relay/_sharing.py
+++ b/hawthornspoke/relay/_sharing.py
@@ -32,7 +32,7 @@
         self._failure_domain_at = failure_domain_at
         self._link_by_address = {}
         self._domain_by_address = {}
-        # Agents to which evidence was last assigned.
+        # Agents at the last assignment of evidence.
         self._assigned_domain_by_address = {}
 
     def add_agent(self, address, link):
@@ -66,7 +66,7 @@
             self._send(address, outgoing)
 
     def rebalance(self):
-        """Send agents the evidence assigned to them since agents changed."""
+        """Send agents the evidence that a change of the agents assigned to them."""
         if self._domain_by_address == self._assigned_domain_by_address:
             return
         items = self._quarantine.evidence(now=monotonic())
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -155,9 +155,9 @@
         ----------
         declared : DeclaredWeights
         written_at : float, default=UNKNOWN_TIME
-            Time on the contact clock before which they were not declared.
+            Time on the boot-time clock before which they were not declared.
         known_until : float, default=UNKNOWN_TIME
-            Time on the contact clock until which all declarations were known.
+            Time on the boot-time clock up to which all declarations were known.
         """
         before = self._fleet.declared.latest(declared.model)
         message = WeightsDeclared(
@@ -185,7 +185,7 @@
         ----------
         model : str
         earliest_times : tuple of (int, float)
-            Versions and the times on the contact clock before which they were not
+            Versions and the times on the boot-time clock before which they were not
             declared.
         """
         self._fleet.step(
@@ -204,7 +204,7 @@
         self.agents.send_directives()
 
     def on_confirmed(self, at):
-        """Record a response of the platform; ``at`` is on the contact clock."""
+        """Record a response of the platform; ``at`` is on the boot-time clock."""
         self._log_contact_change(
             self._contact.step(Confirmed(at=at), now=boottime_clock()), "regained"
         )
@@ -259,7 +259,7 @@
             {
                 entry.address: service_by_address[entry.address]
                 for entry in self.entries
-                # Without a configuration, any endpoint may have an agent.
+                # Without a configuration, connect to all: any may have an agent.
                 if self._handler.catalog is None or entry.service in engines
             }
         )
@@ -270,8 +270,8 @@
 
         Every entry host sends directives to every agent. If all of them contained the
         list, 34 hosts would send 110 KB to each agent whenever an endpoint is added
-        or removed, which takes its link a quarter of a second. So only hosts that
-        read the platform directly include the list.
+        or removed, which occupies the agent's link for a quarter of a second. So only
+        hosts that read the platform directly include the list.
         """
         if self._neighbours.reader() is not None:
             return None
--- a/hawthornspoke/relay/_streams.py
+++ b/hawthornspoke/relay/_streams.py
@@ -5,12 +5,13 @@
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.relay._events import EventSplitter
 
-#: Seconds without data after which a repeatable request is tried elsewhere. A
-#: healthy engine sends its first token within some hundred milliseconds and an event
-#: every 50 to 150 ms; callers abandon a stream that sends nothing for 2.4 s.
-MIN_RESPONSE_TIMEOUT = 1.2
+#: Seconds without data from an endpoint after which a repeatable stream is tried or
+#: resumed at another one. A healthy engine sends its first token within some hundred
+#: milliseconds and an event every 50 to 150 ms; callers abandon a stream that sends
+#: nothing for 2.4 s.
+STREAM_READ_TIMEOUT = 1.2
 
-SUCCESS = range(200, 300)
+SUCCESS_STATUSES = range(200, 300)
 
 
 class StreamForwarder:
@@ -72,12 +73,12 @@
         """Forward events; return whether the stream is complete."""
         while True:
             try:
-                async with asyncio.timeout(MIN_RESPONSE_TIMEOUT):
+                async with asyncio.timeout(STREAM_READ_TIMEOUT):
                     data = await attempt.exchange.read()
             except TimeoutError:
                 if not context.route.repeatable:
                     continue
-                context.last_reason = f"no event within {MIN_RESPONSE_TIMEOUT:g} s"
+                context.last_reason = f"no event within {STREAM_READ_TIMEOUT:g} s"
                 return False
             if isinstance(data, Failure):
                 context.last_reason = f"{data.code}: {data.reason}"
@@ -125,13 +126,17 @@
                 context.last_reason += f"; {failure.code}: {failure.reason}"
                 return None
             context.resumed += 1
-            head = await attempt.read_head(response_timeout=MIN_RESPONSE_TIMEOUT)
+            head = await attempt.read_head(response_timeout=STREAM_READ_TIMEOUT)
             if isinstance(head, Failure):
                 context.last_reason += f"; {head.code}: {head.reason}"
                 return None
             is_sealed = head.get(self._dialect.seal) is not None
             is_same_version = head.get(self._dialect.versions) == version
-            if head.status not in SUCCESS or not is_sealed or not is_same_version:
+            if (
+                head.status not in SUCCESS_STATUSES
+                or not is_sealed
+                or not is_same_version
+            ):
                 attempt.fail()
                 return None
             splitter.restart()
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -18,10 +18,11 @@
 
 QUARANTINED = Failure(code="quarantined")
 
-#: Seconds to find out whether an endpoint still accepts connections.
+#: Timeout in seconds of the check whether an endpoint still accepts connections.
 PROBE_TIMEOUT = 0.3
 
-#: Fingerprints kept of requests that this host had at an endpoint when it ended.
+#: Number of fingerprints kept of requests from this host that were at an endpoint when
+#: it ended.
 MAX_OBSERVED = 512
 
 
@@ -132,7 +133,7 @@
         """Wait until it is known which endpoints a suspected request has ended.
 
         Otherwise the request would be sent to another endpoint in the meantime. A
-        request whose connection broke for the first time doesn't wait.
+        request with one broken connection and no other evidence doesn't wait.
 
         Parameters
         ----------
@@ -167,7 +168,9 @@
         self._step(EvidenceReceived(items=items))
 
     async def next_unrecorded(self):
-        """Wait for requests that are in quarantine due to evidence from this host.
+        """Wait for quarantined requests whose evidence has yet to be stored.
+
+        A host stores it for requests that were its own at an endpoint that ended.
 
         Returns
         -------
@@ -226,7 +229,7 @@
             fingerprint=outcome.fingerprint,
             endpoints_ended=list(outcome.starts),
         )
-        # Still queued at an endpoint, the request would crash that one too.
+        # The request may still be queued at other endpoints and would crash them too.
         for attempt in list(self._attempts_by_fingerprint.get(outcome.fingerprint, ())):
             attempt.withdraw(QUARANTINED)
         if outcome.fingerprint in self._observed_locally:
--- a/hawthornspoke/relay/_timers.py
+++ b/hawthornspoke/relay/_timers.py
@@ -4,8 +4,8 @@
 
 from hawthornspoke.base import monotonic
 
-#: Minimum change in seconds of the offset between the clocks that is treated as a
-#: suspension. Smaller changes occur on a busy host between the readings of the two.
+#: Minimum change in seconds of the offset between the two clocks that is treated as a
+#: suspension. They are read one after the other, so a busy host shows smaller changes.
 MIN_CLOCK_SHIFT = 0.02
 
 
@@ -47,7 +47,7 @@
         return _DeadlineContext(timers=self, deadline=deadline)
 
     async def run(self, ticks):
-        """Check the clocks until cancelled; a check alone takes 0.7 us.
+        """Check the clocks on each tick until cancelled; a check takes 0.7 us.
 
         Parameters
         ----------
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -6,7 +6,7 @@
 from hawthornspoke.httpio import CONNECTION_BROKEN
 from hawthornspoke.placing import LoadObserved, RequestFinished, RequestSent
 
-#: Status of an endpoint that did not run a request meant for another endpoint.
+#: Response status if the request was meant for another endpoint and was not run.
 MISDIRECTED = 421
 
 UNREACHABLE = Failure(code="unreachable")
@@ -123,14 +123,14 @@
             Only ``NOT_RUN`` guarantees that the endpoint did not run the request.
         """
         # The response timeout uses the monotonic clock: a suspended host receives
-        # nothing, so an endpoint needs the remaining time after the host resumes.
+        # nothing, so the time in suspension doesn't count against the endpoint.
         deadline = self._timers.until(self._withdrawal_time())
         try:
             async with deadline, asyncio.timeout(response_timeout):
                 head = await self.exchange.read_head()
         except TimeoutError:
             if deadline.expired():
-                return self._withdraw()
+                return self._withdraw_unstarted()
             self._end("silent")
             self.abort()
             return SILENT.with_reason(
@@ -152,11 +152,11 @@
         # The deadline was computed on the monotonic clock just before sending.
         return self._timers.clock() + self.place.start_deadline - monotonic()
 
-    def _withdraw(self):
-        # The request was expected to start in time when it was sent. An engine that a
-        # dozen entry hosts fill at once starts it a second later, on weights that are
-        # too old by then. Closing the connection makes the engine drop a request that
-        # has not started. This doesn't count as a failure of the engine.
+    def _withdraw_unstarted(self):
+        # The request was expected to start in time when it was sent. If a dozen entry
+        # hosts send requests to an engine at once, it starts some a second later, on
+        # weights that are too old by then. Closing the connection makes the engine drop
+        # a request that has not started. This doesn't count as a failure of the engine.
         self._end("left")
         self.abort()
         version = self.place.weights_version
@@ -216,7 +216,7 @@
 
     async def _handle_refusal(self, head):
         # The body is read so that the connection can be reused: a full engine refuses
-        # many requests, and a new connection costs it more than a refusal.
+        # many requests, and a new connection costs the engine more than a refusal.
         moved = False
         if head.status == MISDIRECTED:
             reported = head.get(self._dialect.endpoint_id)
