--- a/hawthornspoke/base/__init__.py
+++ b/hawthornspoke/base/__init__.py
@@ -1,4 +1,4 @@
-"""Policy-free building blocks: failures, registries, validation, state machines."""
+"""Shared building blocks: failures, registries, validation, state machines, clocks."""
 
 from hawthornspoke.base._clock import boottime_clock, monotonic, wall_time
 from hawthornspoke.base._digest import digest_of, rendezvous_order
@@ -7,7 +7,7 @@
 from hawthornspoke.base._partition import PARTITION
 from hawthornspoke.base._registry import Registry
 from hawthornspoke.base._sockets import is_closed_by_peer
-from hawthornspoke.base._standstill import StallDetector
+from hawthornspoke.base._stall import StallDetector
 from hawthornspoke.base._ticks import Ticks
 from hawthornspoke.base._validation import Bounds, check_params
 
--- a/hawthornspoke/base/_clock.py
+++ b/hawthornspoke/base/_clock.py
@@ -24,9 +24,9 @@
     Returns
     -------
     float
-        Used for the age of received information and for deadlines set by other
-        processes, which don't extend them for a suspended host. Event loop timers
-        don't run on this clock.
+        Used for the age of received information, and for deadlines set by other
+        processes, which don't extend them while this host is suspended. Timers of the
+        event loop use the monotonic clock instead.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/hawthornspoke/base/_machine.py
+++ b/hawthornspoke/base/_machine.py
@@ -1,4 +1,4 @@
-"""Pure state machines, the common form of all decision logic."""
+"""Pure state machines, in which all decisions are made."""
 
 from hawthornspoke.base._registry import Registry
 from hawthornspoke.base._validation import check_params
@@ -11,8 +11,8 @@
 
     A machine has no socket, thread or clock. It takes messages together with the
     time and returns outcomes, so a failure can be replayed exactly from a trace of
-    messages. Subclasses list their parameters in ``PARAMS``, store them in a
-    keyword-only constructor, and build their state in ``_reset``.
+    messages. Subclasses list their parameters in ``PARAMS``; their constructor takes
+    them as keyword-only arguments, stores them and initialises the state.
 
     Notes
     -----
@@ -31,7 +31,7 @@
         message : object
             An instance of one of the machine's message classes.
         now : float
-            Seconds on the caller's monotonic clock.
+            Seconds on the caller's monotonic clock, unless the machine states another.
 
         Returns
         -------
@@ -66,7 +66,7 @@
         Parameters
         ----------
         now : float
-            Seconds on the monotonic clock; deadlines are reported relative to it.
+            Seconds on the clock of ``step``; deadlines are reported relative to it.
 
         Returns
         -------
@@ -79,7 +79,7 @@
 
 
 def _snake(name):
-    """Return a class name in snake case, cached since every step needs it."""
+    """Return a class name in snake case; cached, since every step needs it."""
     known = _SNAKE_BY_NAME.get(name)
     if known is None:
         parts = ["_" + char.lower() if char.isupper() else char for char in name]
--- a/hawthornspoke/base/_partition.py
+++ b/hawthornspoke/base/_partition.py
@@ -6,9 +6,9 @@
 
     Notes
     -----
-    Only for tests, and only where the settings allow it: the loopback network has no
-    link to take down. Each of the separated processes gets the others' addresses, so
-    that both directions are blocked.
+    Only for tests, and only where the settings allow it: tests run on the loopback
+    network, on which no link can be taken down. Each of the separated processes is
+    given the others' addresses, so that both directions are blocked.
     """
 
     __slots__ = ("prefixes",)
--- a/hawthornspoke/base/_registry.py
+++ b/hawthornspoke/base/_registry.py
@@ -1,4 +1,4 @@
-"""Registries filled by decorators."""
+"""Registries in which decorators register implementations."""
 
 
 class Registry:
--- a/hawthornspoke/base/_sockets.py
+++ b/hawthornspoke/base/_sockets.py
@@ -1,4 +1,4 @@
-"""Checks whether a connection was closed, without consuming data."""
+"""Check whether the peer closed a connection, without consuming data."""
 
 import errno
 import select
@@ -45,8 +45,9 @@
 
 
 def _peek(descriptor):
-    # Uses a temporary socket on the same descriptor: recv on a socket with a timeout
-    # waits for data despite MSG_DONTWAIT, and an event loop's socket has no recv.
+    # Uses a temporary socket object on the same descriptor: recv of a socket with a
+    # timeout waits for data despite MSG_DONTWAIT, and an event loop's TransportSocket
+    # has no recv.
     duplicate = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
     try:
         return duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/hawthornspoke/base/_standstill.py
+++ b/hawthornspoke/base/_stall.py
@@ -1,10 +1,10 @@
-"""Detection of process stalls, to bound the arrival time of received messages."""
+"""Detection of process stalls, for a lower bound of the arrival time of messages."""
 
 from hawthornspoke.base._clock import boottime_clock
 
-#: Seconds between two heartbeats of the event loop, made each tick, from which the
-#: process counts as stalled. A busy loop is up to 0.1 s late; the error that this adds
-#: to an age is within the margins of the bounds.
+#: Seconds between two heartbeats, normally one tick, from which the process counts as
+#: stalled. Heartbeats of a busy event loop are up to 0.1 s late. A shorter stall makes
+#: ages too low by less than the safety margins of the limits that they are compared to.
 STALL_THRESHOLD = 0.3
 
 #: Seconds after a stall during which received data may have been buffered: the loop
@@ -17,8 +17,9 @@
 
     Messages carry the age of the information in them, and stay in the socket buffer
     while their reader is stalled. An age that is counted from the time of reading is
-    too low by the time spent in the buffer. Without a correction, requests go to
-    outdated weights 1.0 s beyond their bound after a process was stalled for 1.0 s.
+    too low by the time spent in the buffer. Without a correction, an entry host that
+    was stalled for 1.0 s sends requests to outdated weights until 1.0 s after their
+    bound.
 
     Parameters
     ----------
--- a/hawthornspoke/base/_validation.py
+++ b/hawthornspoke/base/_validation.py
@@ -68,8 +68,8 @@
 
     def _has_kind(self, value):
         kinds = self.kind if isinstance(self.kind, tuple) else (self.kind,)
-        # bool is a subclass of int, so a mistaken "true" in place of a count would
-        # otherwise be accepted as 1.
+        # bool is a subclass of int, so "true" instead of a number would otherwise be
+        # accepted as 1.
         if isinstance(value, bool):
             return bool in kinds
         return isinstance(value, kinds)
--- a/hawthornspoke/base/tests/test_sockets.py
+++ b/hawthornspoke/base/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Detection of a close by the peer that has not been read yet."""
+"""Detection of a close by the peer before the event loop has read it."""
 
 import asyncio
 import errno
@@ -14,12 +14,12 @@
 
 @pytest.fixture
 def pair():
-    """Return both ends of a loopback connection."""
+    """Yield both ends of a loopback connection."""
     listener = socket.create_server(("127.0.0.1", 0))
-    near = socket.create_connection(listener.getsockname())
-    far, _ = listener.accept()
-    yield near, far
-    for item in (near, far, listener):
+    local = socket.create_connection(listener.getsockname())
+    peer, _ = listener.accept()
+    yield local, peer
+    for item in (local, peer, listener):
         item.close()
 
 
@@ -29,58 +29,58 @@
 
 
 def test_open_connection(pair):
-    near, _ = pair
-    assert not is_closed_by_peer(near)
+    local, _ = pair
+    assert not is_closed_by_peer(local)
 
 
 def test_closed_connection(pair):
-    near, far = pair
-    far.close()
+    local, peer = pair
+    peer.close()
     wait_for_delivery()
-    assert is_closed_by_peer(near)
+    assert is_closed_by_peer(local)
 
 
 def test_reset_connection(pair):
-    near, far = pair
-    far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    far.close()
+    local, peer = pair
+    peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    peer.close()
     wait_for_delivery()
-    assert is_closed_by_peer(near)
+    assert is_closed_by_peer(local)
 
 
 def test_connection_closed_locally(pair):
-    near, _ = pair
-    near.close()
-    assert is_closed_by_peer(near)
+    local, _ = pair
+    local.close()
+    assert is_closed_by_peer(local)
 
 
 def test_unread_data_is_not_consumed(pair):
-    near, far = pair
-    far.sendall(b"hi")
+    local, peer = pair
+    peer.sendall(b"hi")
     wait_for_delivery()
-    assert not is_closed_by_peer(near)
-    assert near.recv(10) == b"hi"
+    assert not is_closed_by_peer(local)
+    assert local.recv(10) == b"hi"
 
 
 def test_does_not_block_on_a_socket_with_a_timeout(pair):
-    near, _ = pair
-    near.settimeout(5.0)
+    local, _ = pair
+    local.settimeout(5.0)
     before = time.monotonic()
-    assert not is_closed_by_peer(near)
+    assert not is_closed_by_peer(local)
     assert time.monotonic() < before + 1.0
 
 
 def test_socket_of_an_event_loop_transport(pair):
     """A close is detected before the loop reads it; the transport stays open."""
-    near, far = pair
+    local, peer = pair
 
     async def scenario():
         transport, _ = await asyncio.get_running_loop().create_connection(
-            asyncio.Protocol, sock=near
+            asyncio.Protocol, sock=local
         )
         transport_socket = transport.get_extra_info("socket")
         assert not is_closed_by_peer(transport_socket)
-        far.close()
+        peer.close()
         wait_for_delivery()
         assert is_closed_by_peer(transport_socket)
         assert not transport.is_closing()
@@ -98,5 +98,5 @@
             raise OSError(number, "no such call")
 
     monkeypatch.setattr(select, "poll", NoPoll)
-    near, _ = pair
-    assert not is_closed_by_peer(near)
+    local, _ = pair
+    assert not is_closed_by_peer(local)
--- a/hawthornspoke/base/tests/test_standstill.py
+++ b/hawthornspoke/base/tests/test_stall.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hawthornspoke.base import StallDetector
-from hawthornspoke.base._standstill import CATCH_UP_TIME, STALL_THRESHOLD
+from hawthornspoke.base._stall import CATCH_UP_TIME, STALL_THRESHOLD
 from hawthornspoke.base._ticks import TICK_INTERVAL
 
 
@@ -29,9 +29,9 @@
 
 @pytest.fixture
 def detector(clock, stalls):
-    instance = StallDetector(on_resume=stalls.append, clock=clock)
-    instance.record_heartbeat()
-    return instance
+    stall_detector = StallDetector(on_resume=stalls.append, clock=clock)
+    stall_detector.record_heartbeat()
+    return stall_detector
 
 
 def test_running_loop_reads_data_that_has_just_arrived(detector, clock):
--- a/hawthornspoke/relay/tests/endpoint.py
+++ b/hawthornspoke/relay/tests/endpoint.py
@@ -35,9 +35,9 @@
 class ScriptedEndpoint:
     """Answers each request by the next step of a script.
 
-    A step is a coroutine function that is called with the endpoint, the raw request
-    and the stream writer, and writes the response. It returns False to abort the
-    connection.
+    A step is a coroutine function that is called with the endpoint, the raw head of
+    the request and the stream writer, and writes the response. It returns False to
+    abort the connection. After the last step, requests are answered with status 200.
     """
 
     def __init__(self, *steps):
@@ -224,11 +224,11 @@
 
 
 class StallingPool(ConnectionPool):
-    """Connection pool that runs an action when a connection has been acquired.
+    """Connection pool that runs an action after each connection was acquired.
 
     The action runs between the selection of an endpoint and the send, and the event
     loop doesn't run again before the send. So an action that sleeps, closes the
-    caller's socket or changes state simulates a process that was frozen there.
+    caller's socket or changes state simulates a process that stalled there.
 
     Parameters
     ----------
@@ -342,7 +342,7 @@
         assert self.handler_errors == []
 
     async def ask(self, prefix, *, extra=(), read_time=3.0):
-        """Make a request; return (status, head, body, whether it is complete)."""
+        """Make a request; return status, head, body and whether it is complete."""
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", self.server.bound_port
         )
@@ -447,7 +447,7 @@
 
 
 def unchunk(body):
-    """Return the data of a chunked body, as far as it was received."""
+    """Return the data of a chunked body, which may be truncated."""
     data = b""
     while body:
         size, _, rest = body.partition(b"\r\n")
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -1,10 +1,10 @@
 """The conditions for sending a request are rechecked right before the write.
 
 An entry host selected an endpoint for a request, stalled for 9 s, and sent the request
-6.6 s after the caller's deadline, when the caller had left. After a stall the event
-loop resumes the task before it processes the deadline timer, the caller's disconnect
-and updates from the platform. The conditions were only checked when the endpoint was
-selected.
+6.6 s after the caller's deadline, when the caller had disconnected. After a stall the
+event loop resumes the task before it processes the deadline timer, the caller's
+disconnect and updates from the platform. The conditions were only checked when the
+endpoint was selected.
 
 The process stalls before the first send, before a retry and before the resumption of
 a stream, each combined with every change that can happen during the stall.
@@ -51,7 +51,7 @@
         self.before = before
 
     async def stall(self, action, *, timeout=LONG_TIMEOUT):
-        """Stall there; return the response and the requests of the endpoint."""
+        """Run an action there; return the response and the requests of the endpoint."""
         target = ScriptedEndpoint(events([3]) if self.route == "stream" else answer())
         endpoints = [target]
         if self.before is not None:
@@ -91,7 +91,7 @@
 
 
 def check_not_sent(name, action, *, timeout=LONG_TIMEOUT):
-    """Stall; check that nothing is sent and that the response is accurate."""
+    """Stall at a point; check that nothing is sent and that the response says so."""
 
     async def scenario():
         (status, head, _, complete), requests = await stall_point(name).stall(
@@ -322,7 +322,7 @@
 
 
 def test_endpoint_that_closed_the_connection():
-    """Guards against a request that was never sent but reported as maybe run.
+    """Guards against counting a request that was never sent as possibly run.
 
     The endpoint closes a new connection during a stall, and the event loop processes
     the close before the task resumes. The bytes were written to the closed connection
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -79,9 +79,9 @@
 def test_lost_agent_does_not_count_entry_hosts():
     """Guards against retries that are refused although the common budget allows them.
 
-    Agents see twelve entry hosts; three of these leave, and one agent is lost for
-    good while the others report nine. The number reported by the lost agent was kept,
-    and the maximum over all agents counts.
+    The budget is divided by the maximum number of entry hosts that any agent reports.
+    Three of twelve entry hosts leave; the agents report nine, except for one whose
+    connection is lost for good. The number that it had reported was kept.
     """
     agent_links, _ = make_links()
     for address, seen in zip(ADDRESSES, (12, 9), strict=True):
--- a/hawthornspoke/relay/tests/test_contact.py
+++ b/hawthornspoke/relay/tests/test_contact.py
@@ -14,8 +14,8 @@
 def test_keys_are_not_trusted_after_a_suspension():
     """Guards against a revoked key that is accepted after a suspension of 10 s.
 
-    The monotonic clock stops during a suspension, so the state machine is given a
-    clock that includes it.
+    The monotonic clock stops during a suspension, so the state machine gets the time
+    of a clock that doesn't.
     """
     contact = Contact(keys_valid_for=4.6)
     contact.step(Confirmed(at=10.0), now=10.0)
--- a/hawthornspoke/relay/tests/test_telling_agents.py
+++ b/hawthornspoke/relay/tests/test_directives.py
@@ -1,4 +1,4 @@
-"""Sending directives to agents: cost, and which agents receive which changes."""
+"""Sending directives to agents: its cost, and which agents receive which changes."""
 
 import asyncio
 from types import SimpleNamespace
@@ -57,23 +57,24 @@
 def count_peers(monkeypatch):
     """Return a list that grows with each endpoint encoded into a directive."""
     constructed = []
-    real = PeerEndpoint.__init__
+    original_init = PeerEndpoint.__init__
 
-    def counting(self, *args, **kwargs):
+    def counting_init(self, *args, **kwargs):
         constructed.append(1)
-        real(self, *args, **kwargs)
+        original_init(self, *args, **kwargs)
 
-    monkeypatch.setattr(PeerEndpoint, "__init__", counting)
+    monkeypatch.setattr(PeerEndpoint, "__init__", counting_init)
     return constructed
 
 
 def test_cost_of_one_changed_endpoint_is_linear(monkeypatch):
     """Guards against directives that are built per agent instead of per service.
 
-    Each change of the list blocked an entry host for 1.2 s at 960 endpoints, and for
-    5.5 ms at 60, while a version was being loaded. A directive with a part for each
-    endpoint was built for each agent and then discarded, since no agent acts on a
-    loaded version. At 60 endpoints that were 3600 parts; now they are 60.
+    While engines loaded a version, each change of the list of endpoints blocked an
+    entry host for 1.2 s at 960 endpoints, and for 5.5 ms at 60. For each agent a
+    directive with one entry per endpoint was built and then discarded, since agents
+    don't act on the versions that others have loaded. At 60 endpoints these were 3600
+    entries; now they are 60.
     """
     sink, links = connected_sink()
     for link in links.values():
@@ -118,7 +119,7 @@
 
 
 def test_agents_are_sent_changes_of_load_reporting_only():
-    """An agent is told again whether it is followed only if that changed."""
+    """An agent is told only when it has to start or stop reporting each change."""
     sink, links = connected_sink()
     follows = {address: [] for address in links}
     for address, link in links.items():
@@ -135,15 +136,17 @@
 
 
 def test_agents_are_sent_the_failure_domain_before_the_configuration():
-    """Guards against a host without a configuration that can't find neighbours."""
+    """Guards against a host without a configuration that can't find its neighbours."""
 
     async def scenario():
         domains = []
 
-        def take(link, frame):
+        def record_domain(link, frame):
             domains.append(frame.entry_domain)
 
-        agent = await listen("127.0.0.1", 0, on_frame=take, on_closed=lambda link: None)
+        agent = await listen(
+            "127.0.0.1", 0, on_frame=record_domain, on_closed=lambda link: None
+        )
         port = agent.sockets[0].getsockname()[1]
         sink = make_relay().sink
         sink.agents.port = port
--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -173,7 +173,7 @@
     """Guards against a response produced by two versions of the weights.
 
     An endpoint fails in mid-stream, and one with newer weights resumes the stream. The
-    weights version was not requested.
+    request to resume didn't name the weights version.
     """
 
     async def scenario():
@@ -263,10 +263,10 @@
 
 
 def test_endpoint_connection_is_closed_when_the_caller_disconnects():
-    """Guards against an endpoint that keeps running a request of a lost caller.
+    """Guards against an endpoint that keeps running a request whose caller has left.
 
-    The caller closes its connection after sending a request. The caller's socket was
-    not read while waiting for the endpoint.
+    The caller closes its connection while its request runs. The caller's socket was not
+    read while waiting for the endpoint.
     """
 
     async def scenario():
@@ -334,11 +334,10 @@
 def test_host_with_an_outdated_configuration_refuses_temporarily():
     """Guards against permanent refusals by a host with an outdated configuration.
 
-    A key that the platform had accepted 3.96 s before was refused with 401 by hosts
-    of one failure domain, after which callers don't retry. The hosts' link was
-    saturated, so they had not read the configuration yet and were not ready, as
-    shown by the revision and confirmation age in the log of the refusals. That age
-    was checked for known keys only, not for missing keys or routes.
+    Hosts of one failure domain refused a key that the platform had accepted 3.96 s
+    before with 401, after which callers don't retry. Their link was saturated: the log
+    of the refusals showed an older revision and an old confirmation. The age of the
+    confirmation was checked for known keys only, not for unknown keys or routes.
     """
 
     async def scenario():
@@ -375,7 +374,7 @@
     ],
 )
 def test_ambiguous_requests_are_refused(head):
-    """Guards against request smuggling: parsers resolve two lengths differently."""
+    """Guards against request smuggling: parsers differ on contradicting lengths."""
 
     async def scenario():
         endpoint = ScriptedEndpoint()
--- a/hawthornspoke/relay/tests/test_incarnations.py
+++ b/hawthornspoke/relay/tests/test_incarnations.py
@@ -54,7 +54,7 @@
 
     A request runs at an endpoint that loses power. The endpoint restarts, is listed
     with its new incarnation and gets another request; then the connection of the
-    first one breaks. Its failure was counted for the endpoint whatever its
+    first one breaks. The failure was counted for the endpoint regardless of the
     incarnation: the new one was avoided, and received more requests than it has slots.
     """
 
@@ -112,7 +112,7 @@
 
 
 def test_incarnation_reported_by_an_agent_reaches_the_fleet():
-    """Guards against entry hosts that miss a restart seen only by the agent."""
+    """Guards against ignoring a restart that only the agent reports."""
     fleet = Fleet(failure_domain="a")
     entry = EndpointEntry(
         endpoint_id="e0",
--- a/hawthornspoke/relay/tests/test_old_weights.py
+++ b/hawthornspoke/relay/tests/test_old_weights.py
@@ -33,14 +33,14 @@
 def test_request_waiting_at_an_engine_is_cancelled_before_the_bound():
     """Guards against a request that starts on old weights after their bound.
 
-    Two versions were declared 4 s apart, and a request started on version 2 46 ms after
-    its bound, which ends 8 s after the declaration of version 3. An engine that had
-    just loaded version 2 received 45 requests within a second from nine entry hosts,
-    each of which considered it idle. One was sent 1.2 s before the bound and expected
-    to start within 0.1 s, but started after 1.19 s, 1 ms before its response timeout.
-    In another run two requests waited 1.11 s at such an engine and timed out 1.0 s
-    before the bound only by chance. The start time was only estimated when sending; a
-    request that waited longer was not cancelled.
+    Versions 2 and 3 were declared 4 s apart, and a request started on version 2 46 ms
+    after its bound, which ends 8 s after the declaration of version 3. An engine that
+    had just loaded version 2 received 45 requests within a second from nine entry
+    hosts, each of which considered it idle. One was sent 1.2 s before the bound and
+    expected to start within 0.1 s, but started after 1.19 s, 1 ms before its response
+    timeout. In another run, two requests waited 1.11 s at such an engine, and only by
+    chance timed out 1.0 s before the bound. The start time was estimated on sending,
+    but a request that waited longer was not cancelled.
     """
 
     async def scenario():
@@ -108,10 +108,9 @@
 
     An entry host that started 4 s after version 2 was declared sent requests to
     engines with version 1 until 11 s after the declaration, with a bound of 8 s; the
-    longest excess was 7 s. The platform's tables don't contain the time of a
-    declaration, so the bound was counted from the first read by the process: after a
-    restart of all processes, the logs showed an age of 6 ms for a version declared
-    18 s before.
+    longest excess seen was 7 s. The platform's tables don't contain the time of a
+    declaration, so each process counted the bound from its first read: after a restart
+    of all processes, the logs showed an age of 6 ms for a version declared 18 s before.
     """
 
     async def scenario():
--- a/hawthornspoke/relay/tests/test_sharing.py
+++ b/hawthornspoke/relay/tests/test_sharing.py
@@ -48,8 +48,8 @@
 
     def observe_end(self, start, fingerprint="f"):
         ended = EndpointEnded(start=start, fingerprints=(fingerprint,), in_use=9)
-        for news in self.quarantine.step(ended, now=monotonic()):
-            self.sharing.share(news.items)
+        for update in self.quarantine.step(ended, now=monotonic()):
+            self.sharing.share(update.items)
 
     def notified_addresses(self):
         return {
@@ -63,10 +63,10 @@
     hosts = [FakeHost() for _ in range(3)]
     for number, host in enumerate(hosts):
         host.observe_end(f"e{number}")
-    told = hosts[0].notified_addresses()
-    assert all(host.notified_addresses() == told for host in hosts)
+    notified = hosts[0].notified_addresses()
+    assert all(host.notified_addresses() == notified for host in hosts)
     for domain in DOMAINS:
-        assert sum(name.startswith(domain) for name in told) == AGENTS_PER_DOMAIN
+        assert sum(name.startswith(domain) for name in notified) == AGENTS_PER_DOMAIN
 
 
 def test_agent_that_replaces_a_lost_one_receives_evidence():
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -34,7 +34,7 @@
 
 
 async def next_event(endpoint, head, writer):
-    """Step that sends the event after the last one received, of a longer stream."""
+    """Step that sends the next event of a stream, and leaves the stream incomplete."""
     last = int(field(head, "Last-Event-Id") or 0)
     writer.write(stream_head(head) + stream_event(last + 1))
     await writer.drain()
@@ -136,7 +136,7 @@
 
 
 def test_request_waiting_at_an_endpoint_is_cancelled_by_its_quarantine():
-    """Guards against endpoints that crash by a request already sent to them."""
+    """Guards against an endpoint that crashes from a request sent earlier."""
 
     async def scenario():
         endpoint = ScriptedEndpoint(events([1]), silent())
--- a/hawthornspoke/relay/tests/test_suspended.py
+++ b/hawthornspoke/relay/tests/test_suspended.py
@@ -30,10 +30,10 @@
             request_task = asyncio.create_task(harness.ask("once", read_time=8.0))
             await asyncio.sleep(0.2)
             harness.boottime_clock.suspend(5.0)
-            woke_at = monotonic()
+            resumed_at = monotonic()
             status, _, _, _ = await request_task
             assert status == 504
-            assert monotonic() - woke_at < TIMEOUT_TOLERANCE
+            assert monotonic() - resumed_at < TIMEOUT_TOLERANCE
 
     asyncio.run(scenario())
 
--- a/hawthornspoke/rollout/_changeover.py
+++ b/hawthornspoke/rollout/_changeover.py
@@ -1,4 +1,4 @@
-"""Permission to go out of service while weights are replaced in place."""
+"""Permission for a host to stop serving while its weights are replaced in place."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,8 @@
     ----------
     node : str
     state : str
-        ``"old"``, ``"waiting"``, ``"changing"`` or ``"new"``.
+        ``"old"``; ``"waiting"`` for permission; ``"changing"``, out of service while it
+        replaces its weights; or ``"new"``.
     """
 
     node: str
@@ -26,18 +27,19 @@
 
 
 def may_swap_weights(*, node, digest, hosts, max_unavailable):
-    """Tell whether a host may stop serving to replace its weights in place.
+    """Return whether a host may stop serving to replace its weights in place.
 
     Parameters
     ----------
     node : str
         The host that requests permission.
     digest : str
-        Digest of the new weights.
+        Key of the order in which hosts are ranked, the same on all hosts; agents pass
+        the revision of the configuration.
     hosts : list of HostState
         The live hosts of the service in the failure domain, including ``node``.
     max_unavailable : int
-        Maximum number of hosts of the failure domain out of service at once.
+        Maximum number of hosts of the failure domain that are out of service at once.
 
     Returns
     -------
@@ -46,9 +48,9 @@
     Notes
     -----
     There is no coordinator: two hosts that both see no other host changing could both
-    go out of service, and live traffic would lose more capacity than was declared. So
-    all hosts rank the waiting ones in the same order (rendezvous hashing), and each
-    counts the hosts ranked before it.
+    go out of service, and live traffic would lose more capacity than
+    ``max_unavailable`` allows. So all hosts rank the waiting ones in the same order
+    (rendezvous hashing), and each counts the hosts ranked before it.
     """
     changing = [item.node for item in hosts if item.state == CHANGING]
     if node in changing:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -212,14 +212,14 @@
         old="if message is None or self._sent_by_address.get(address) "
         "is message.relevant:",
         new="if message is None:",
-        test="hawthornspoke/relay/tests/test_telling_agents.py -k is_linear",
+        test="hawthornspoke/relay/tests/test_directives.py -k is_linear",
     ),
     Mutation(
         name="directives are built per agent, not per service",
         file="relay/_agents.py",
         old="            if service not in directive_by_service:\n    ",
         new="",
-        test="hawthornspoke/relay/tests/test_telling_agents.py -k is_linear",
+        test="hawthornspoke/relay/tests/test_directives.py -k is_linear",
     ),
     Mutation(
         name="cached endpoint state is not refreshed",
