--- a/hawthornspoke/relay/_agents.py
+++ b/hawthornspoke/relay/_agents.py
@@ -246,6 +246,7 @@
 
     def _on_frame(self, address, link, frame):
         if frame.probe and frame.call is not None:
+            # A negative call number marks the response to that call.
             link.send(Frame(call=-frame.call, probe=True))
         if frame.entry_hosts is not None:
             self._on_entry_hosts(address, frame.entry_hosts.addresses or ())
--- a/hawthornspoke/relay/_forward.py
+++ b/hawthornspoke/relay/_forward.py
@@ -136,7 +136,7 @@
             context.last_reason = f"{answer.code}: {answer.reason}"
             return False
         is_success = answer.status in SUCCESS_STATUSES
-        attempt.done(is_success=is_success)
+        attempt.complete(is_success=is_success)
         context.last_response = answer
         if is_success:
             self._selector.record_success(context)
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -320,13 +320,15 @@
             before, reader = reader, self.neighbours.reader()
             if reader != before:
                 self.log.change("reader", peer=reader, before=before)
+                # Only a host that reads the platform itself lists the endpoints in its
+                # directives.
                 self.agents.send_directives()
-            seen = EntryHostsUpdated(
+            update = EntryHostsUpdated(
                 near=self.neighbours.readers.host_count(),
                 all=self.budgets.entry_hosts(),
                 position=self.neighbours.readers.position(),
             )
-            self.fleet.step(seen, now=monotonic())
+            self.fleet.step(update, now=monotonic())
             self.agents.set_followed(self.fleet.followed_addresses())
             self.budgets.update_reserves()
             self.suspects.sharing.rebalance()
--- a/hawthornspoke/relay/_sharing.py
+++ b/hawthornspoke/relay/_sharing.py
@@ -48,6 +48,7 @@
         self._domain_by_address[address] = self._failure_domain_at(address)
         # The agent may have restarted and lost its evidence.
         self._assigned_domain_by_address.pop(address, None)
+        # An agent answers the first evidence on a connection with all that it has.
         link.send(Frame(evidence=[]))
 
     def remove_agent(self, address):
--- a/hawthornspoke/relay/_streams.py
+++ b/hawthornspoke/relay/_streams.py
@@ -52,7 +52,7 @@
         try:
             while attempt is not None:
                 if await self._forward_events(context, attempt, head, splitter):
-                    attempt.done(is_success=True)
+                    attempt.complete(is_success=True)
                     context.reply.finish()
                     self._selector.record_success(context)
                     return True
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -179,7 +179,7 @@
             return MAY_HAVE_RUN.with_reason(f"{answer.code}: {answer.reason}")
         return answer
 
-    def done(self, *, is_success):
+    def complete(self, *, is_success):
         """End the attempt after a complete response; release the connection."""
         seconds = monotonic() - self.sent_at
         self._end(
