--- a/hawthornspoke/mirror/__init__.py
+++ b/hawthornspoke/mirror/__init__.py
@@ -1,12 +1,12 @@
-"""Mirrors the platform's tables, reading them once per failure domain."""
+"""Local copies of the platform's tables, read by one host per failure domain."""
 
 from hawthornspoke.mirror import pace
+from hawthornspoke.mirror._declaration_recorder import DeclarationRecorder
 from hawthornspoke.mirror._follow import follow_platform
-from hawthornspoke.mirror._intake import RowDispatcher
 from hawthornspoke.mirror._neighbours import Neighbours
 from hawthornspoke.mirror._quarantine_record import QuarantineRecord
 from hawthornspoke.mirror._readers import NeighbourListReceived, ReaderFailed, Readers
-from hawthornspoke.mirror._record_keeper import DeclarationRecorder
+from hawthornspoke.mirror._row_dispatcher import RowDispatcher
 from hawthornspoke.mirror._tables import Mirror
 from hawthornspoke.mirror._types import HISTORY_GONE, Row, RowWritten, TableUpdate
 from hawthornspoke.mirror._unusable import (
--- a/hawthornspoke/mirror/_record_keeper.py
+++ b/hawthornspoke/mirror/_declaration_recorder.py
@@ -5,7 +5,7 @@
 
 from hawthornspoke.base import boottime_clock, is_failure
 from hawthornspoke.catalog import UNKNOWN_TIME
-from hawthornspoke.mirror._record import (
+from hawthornspoke.mirror._declaration_times import (
     RECORD_TABLE,
     DeclarationTime,
     add_declaration_time,
@@ -15,12 +15,12 @@
 from hawthornspoke.mirror._types import RowWritten
 
 #: Seconds after a declaration was received for which a failed call is retried. Old
-#: weights may be used for 8 and 13.4 s after a declaration; later, knowing its time
-#: gains little.
+#: weights may be used for 8 or 13.4 s after a declaration. Once that time has passed,
+#: knowing the time of the declaration gains little.
 RETRY_TIME_LIMIT = 10.0
 
-#: Bounds of the random delay in seconds between attempts: all hosts that read the
-#: platform write on the same declaration.
+#: Bounds of the random delay in seconds between attempts. All hosts that read the
+#: platform write after the same declaration and would otherwise retry together.
 RETRY_PAUSE = (0.5, 1.0)
 
 #: Maximum attempts to write a row after conflicts with other hosts. There are as many
@@ -28,9 +28,9 @@
 MAX_WRITE_ATTEMPTS = 4
 
 
-#: Seconds by which a declaration time must be later to replace a stored one. Answers
-#: of two tables arrive every second, so that the times of connected hosts differ by
-#: less.
+#: Seconds by which a declaration time must be later to replace a stored one. Hosts that
+#: can reach the platform get answers for two tables every second, so that their times
+#: differ by less.
 MIN_IMPROVEMENT = 1.0
 
 
@@ -60,8 +60,8 @@
 class DeclarationRecorder:
     """Writes declaration times of versions, or reads those this process can't know.
 
-    A version becomes binding a fixed time after its declaration, and immediately if the
-    time of the declaration is unknown. If all processes were killed just after a
+    A version becomes mandatory a fixed time after its declaration, and immediately if
+    the time of the declaration is unknown. If all processes were killed just after a
     declaration, old weights would be refused until the new ones were loaded, although
     engines with the old ones were still running. Therefore a process that knows a bound
     on the time of a declaration writes it to the platform, and others read it from
@@ -74,10 +74,10 @@
         write(table, key, data, expected=)`` returns RowWritten, TableUpdate of the row
         if its revision isn't the expected one, or a Failure.
     clock : PlatformClock
-        Clock fed with the platform's answers to this process.
+        To which the platform's answers to this process are added.
     on_declaration_dates : callable
         Called with a model and a tuple of pairs of a version and a lower bound on its
-        declaration time, in seconds on the contact clock.
+        declaration time, in seconds of ``boottime_clock``.
     log : EventLog
     """
 
@@ -118,9 +118,9 @@
         self._newest_revision_by_model[declared.model] = row.revision
         not_before = self._clock.last_answer_before(row.revision)
         if row.written_at != UNKNOWN_TIME and (not_before is None or not from_platform):
-            # The neighbour that sent the time has written it. This process may know an
-            # earlier bound from a time when it read the platform itself, but if that
-            # were written as well, each of 99 entry hosts would call the platform for
+            # The neighbour that sent the write time has recorded it. This process may
+            # know an earlier bound from when it read the platform itself, but if that
+            # were recorded as well, each of 99 entry hosts would call the platform for
             # each version.
             return
         self._pending_by_model[declared.model] = _PendingDeclaration(
@@ -158,16 +158,22 @@
 
     async def _read(self, model, pending):
         asked_at = boottime_clock()
-        news = await self._store.read(RECORD_TABLE, first=model, past=model + "\0")
-        if is_failure(news):
-            return news
+        table_update = await self._store.read(
+            RECORD_TABLE, first=model, past=model + "\0"
+        )
+        if is_failure(table_update):
+            return table_update
         received_at = boottime_clock()
-        if news.made_at is not None:
+        if table_update.made_at is not None:
             self._clock.add_answer(
-                asked_at=asked_at, made_at=news.made_at, revision=news.revision
+                asked_at=asked_at,
+                made_at=table_update.made_at,
+                revision=table_update.revision,
             )
         bounds = []
-        for declaration_time in self._remember_row(model, news).declaration_times:
+        for declaration_time in self._remember_row(
+            model, table_update
+        ).declaration_times:
             bound = self._clock.answer_time_bound(
                 declaration_time.not_before, received_at=received_at
             )
@@ -211,13 +217,13 @@
             stored = self._remember_row(model, answer)
         return None
 
-    def _remember_row(self, model, news):
+    def _remember_row(self, model, table_update):
         """Store the row of a model as contained in an answer, and return it."""
         stored = _StoredRow()
-        for row in news.rows:
+        for row in table_update.rows:
             if row.key != model or row.data is None:
                 continue
-            declaration_times = decode_record(row, made_at=news.made_at)
+            declaration_times = decode_record(row, made_at=table_update.made_at)
             if is_failure(declaration_times):
                 self._log_refused_row(model, declaration_times.reason)
                 declaration_times = ()
@@ -235,8 +241,8 @@
     """Return whether the row already has this declaration, or a later one.
 
     A time that is earlier than ``own`` by more than ``MIN_IMPROVEMENT`` does not count:
-    the first writer may have been without contact for long, so that its bound is too
-    early. Of two lower bounds the later one is more precise.
+    the first writer may have been partitioned from the platform for long, so that its
+    bound is too early. Of two lower bounds the later one is more precise.
     """
     if any(item.revision > own.revision for item in declaration_times):
         return True
--- a/hawthornspoke/mirror/_record.py
+++ b/hawthornspoke/mirror/_declaration_times.py
@@ -1,4 +1,4 @@
-"""Rows that record when versions of weights were declared."""
+"""Encoding of the rows that record when versions of weights were declared."""
 
 import json
 
@@ -8,7 +8,8 @@
 #: the number of models, however many versions are declared.
 RECORD_TABLE = "declared-weights"
 
-#: Maximum number of versions in a row. Older ones do not bind longer than these.
+#: Maximum number of versions in a row. Older ones have no effect once the newest is
+#: mandatory.
 MAX_VERSIONS = 4
 
 #: Milliseconds in a second.
--- a/hawthornspoke/mirror/_follow.py
+++ b/hawthornspoke/mirror/_follow.py
@@ -1,9 +1,9 @@
 """Sets up all reading and writing of the platform by an entry host."""
 
 from hawthornspoke.mirror import pace
-from hawthornspoke.mirror._intake import RowDispatcher
+from hawthornspoke.mirror._declaration_recorder import DeclarationRecorder
 from hawthornspoke.mirror._quarantine_record import QuarantineRecord
-from hawthornspoke.mirror._record_keeper import DeclarationRecorder
+from hawthornspoke.mirror._row_dispatcher import RowDispatcher
 from hawthornspoke.mirror._watch import FollowedTable, TableWatcher
 
 
@@ -53,7 +53,7 @@
     quarantine = QuarantineRecord(
         store=store, suspects=sink.suspects, log=sink.log, first_start=first_start
     )
-    intake = RowDispatcher(
+    dispatcher = RowDispatcher(
         sink=sink,
         record=record,
         decode_entry=decode_entry,
@@ -63,14 +63,14 @@
         name=operators_table,
         wait=pace.OPERATORS_POLL_WAIT,
         pause=pace.OPERATORS_CHANGE_PAUSE,
-        update=intake.apply_operators,
+        update=dispatcher.apply_operators,
         confirms_configuration=True,
     )
     endpoints = FollowedTable(
         name=endpoints_table,
         wait=pace.ENDPOINTS_POLL_WAIT,
         pause=pace.ENDPOINTS_CHANGE_PAUSE,
-        update=intake.apply_endpoints,
+        update=dispatcher.apply_endpoints,
     )
     await neighbours.serve(watch)
     await watch.run((operators, endpoints), background=(record.run, quarantine.run))
--- a/hawthornspoke/mirror/_neighbours.py
+++ b/hawthornspoke/mirror/_neighbours.py
@@ -14,12 +14,12 @@
 #: Connect timeout in seconds; neighbours are in the same failure domain.
 CONNECT_TIMEOUT = 0.3
 
-#: Seconds for an answer beyond the time that the neighbour may wait for changes.
-#: Detects a slow or frozen neighbour; together with the wait it has to leave time for
-#: reading the platform before a change must be in force (2 s).
+#: Timeout of an answer in seconds, in addition to the time for which the neighbour may
+#: wait for changes. After both, there has to be time left to read the platform before a
+#: change must be in force (2 s).
 ANSWER_TIMEOUT = 0.5
 
-#: Seconds between two checks whether this host has begun to read the platform.
+#: Seconds between two checks whether this host has become the reader.
 POLL_INTERVAL = 0.05
 
 #: Maximum seconds between two checks of the clock while waiting for changes. Timers of
@@ -27,8 +27,9 @@
 #: half a second beyond its requested wait.
 MAX_WAIT = 0.4
 
-#: Seconds within which a host detects that the reader before it failed: its own query
-#: is answered at the same time as those of the other hosts.
+#: Seconds after a query within which this host may become the reader. It detects the
+#: failure of the previous reader at about the same time as the hosts that then query
+#: this one.
 TAKEOVER_WINDOW = 0.3
 
 #: Minimum bytes of a row to be compressed. A configuration of 100 KB becomes 10 to
@@ -38,7 +39,7 @@
 #: Fastest zlib level: 2 ms for 100 KB, with a result a tenth larger than by default.
 COMPRESSION_LEVEL = 1
 
-#: Maximum bytes of a decompressed row; the platform sends 1 MB in one answer.
+#: Maximum bytes of a decompressed row; an answer of the platform has up to 1 MB.
 MAX_ROW_BYTES = 4 * 1024 * 1024
 
 #: The answer of a neighbour is malformed.
@@ -109,12 +110,12 @@
             link.close()
 
     def update_entry_hosts(self, agent, addresses):
-        """Replace the list of entry hosts that an agent sees."""
+        """Replace the list of entry hosts that an agent has reported."""
         message = NeighbourListReceived(agent=agent, addresses=tuple(addresses))
         self.readers.step(message, now=monotonic())
 
     def reader(self):
-        """Return the neighbour to query, None if this host reads the platform."""
+        """Return the neighbour to query; None if this host has to read the platform."""
         return self.readers.reader(monotonic())
 
     def report_platform_failure(self, reason):
@@ -165,12 +166,12 @@
         if is_failure(answer):
             link.close()
             return answer
-        news = answer.table_news
-        if news is None or not news.current:
+        table_update = answer.table_news
+        if table_update is None or not table_update.current:
             return NOT_READING.with_reason(
                 "the neighbour does not read the platform now"
             )
-        return news
+        return table_update
 
     async def _connect(self, address):
         link = await connect(
@@ -207,32 +208,35 @@
         ask = frame.table_ask
         after = None if ask.after < 0 else ask.after
         asked_at = boottime_clock()
-        news = None
+        table_update = None
         while self._watch.is_current() or self._may_take_over(asked_at):
             if self._watch.is_current():
-                news = self._watch.mirror.changes_since(ask.table, after)
+                table_update = self._watch.mirror.changes_since(ask.table, after)
             waited = boottime_clock() - asked_at
-            if waited >= ask.wait_ms / 1000 or (news is not None and news.rows):
+            if waited >= ask.wait_ms / 1000 or (
+                table_update is not None and table_update.rows
+            ):
                 break
             if not link.is_open:
                 return
-            await self._wait_for_news(asked_at + ask.wait_ms / 1000)
+            await self._wait_for_changes(asked_at + ask.wait_ms / 1000)
         answer = TableNews(current=False)
-        if news is not None and self._watch.is_current():
+        if table_update is not None and self._watch.is_current():
             now = boottime_clock()
             answer = TableNews(
                 current=True,
-                whole=news.whole,
-                up_to=news.revision,
+                whole=table_update.whole,
+                up_to=table_update.revision,
                 rows=[
-                    self._encode_row_with_age(ask.table, row, now) for row in news.rows
+                    self._encode_row_with_age(ask.table, row, now)
+                    for row in table_update.rows
                 ],
                 held_ms=int((now - asked_at) * 1000),
                 age_ms=int((now - self._watch.confirmed_at) * 1000) + 1,
             )
         link.send(Frame(call=-frame.call, table_news=answer))
 
-    async def _wait_for_news(self, deadline):
+    async def _wait_for_changes(self, deadline):
         """Wait until there may be changes to answer with.
 
         Polling every 50 ms, for two tables and each neighbour, woke the reader of 20
@@ -273,7 +277,7 @@
         if row.data is not None and len(row.data) >= COMPRESSION_THRESHOLD:
             encoded.data = zlib.compress(row.data, COMPRESSION_LEVEL)
             encoded.compressed = True
-            # Cached, since ten neighbours request the same row within milliseconds.
+            # Ten neighbours request the same row within milliseconds.
             self._encoded_row_by_key[table, row.key] = encoded
         return encoded
 
--- a/hawthornspoke/mirror/_dating.py
+++ b/hawthornspoke/mirror/_platform_clock.py
@@ -12,8 +12,8 @@
     """Computes lower bounds on the write times of rows, on the clock of this host.
 
     An answer with a large configuration takes some tenths of a second over a narrow
-    link. If the time of its arrival were used as the time of the change, every process
-    would allow old weights for that much longer than permitted.
+    link. If its arrival were taken as the time of a declaration of weights, every
+    process would use the old weights for that much longer than permitted.
 
     All transactions of the platform share one revision counter, and each answer
     contains its value and the platform's time. A row with a higher revision was
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -13,12 +13,13 @@
 QUARANTINE_TABLE = "quarantine"
 KEY = "requests"
 
-#: Maximum number of requests in the row, and of endpoint starts for each request.
+#: Maximum number of requests in the row, and of endpoint incarnations (starts) for each
+#: request.
 MAX_REQUESTS = 32
 MAX_STARTS_PER_REQUEST = 5
 
-#: Bounds of the random delay in seconds between attempts: all hosts that start at the
-#: same time read the row.
+#: Bounds of the random delay in seconds between attempts. Hosts that start at the same
+#: time all read the row and would otherwise retry together.
 RETRY_PAUSE = (0.5, 1.0)
 
 #: Maximum attempts to write the row after conflicts with other hosts.
@@ -29,7 +30,10 @@
 
 
 class _Entry:
-    """A request in quarantine; ``until`` is in seconds on the platform's clock."""
+    """A request in quarantine, and the incarnations of endpoints that it crashed.
+
+    ``until`` is the end of the quarantine in seconds on the platform's clock.
+    """
 
     __slots__ = ("fingerprint", "starts", "until")
 
@@ -40,11 +44,11 @@
 
 
 class QuarantineRecord:
-    """Reads the row when the process starts, and writes requests found by this host.
+    """Reads the row when the process starts, and adds requests quarantined later.
 
-    Entry hosts learn of quarantined requests from agents. If all processes end at the
-    same time this information is lost, and the requests would crash as many
-    endpoints again.
+    Entry hosts learn of quarantined requests from agents. Without the row, this
+    information would be lost when all processes end at the same time, and the requests
+    would crash as many endpoints again.
 
     Parameters
     ----------
@@ -115,19 +119,22 @@
         return None
 
     async def _read_row(self):
-        """Return the entries, the platform's time and the row's revision.
+        """Return the entries, the time of the platform's answer and the revision.
 
         Returns
         -------
         tuple of (list of _Entry, float, int) or Failure
-            The time is in seconds; the revision is 0 if there is no row.
+            The time is in seconds on the platform's clock; the revision is that of the
+            row, or 0 if there is no row.
         """
-        news = await self._store.read(QUARANTINE_TABLE, first=KEY, past=KEY + "\0")
-        if is_failure(news):
-            return news
-        if news.made_at is None:
+        table_update = await self._store.read(
+            QUARANTINE_TABLE, first=KEY, past=KEY + "\0"
+        )
+        if is_failure(table_update):
+            return table_update
+        if table_update.made_at is None:
             return fields.UNUSABLE.with_reason("the platform's answer has no time")
-        for row in news.rows:
+        for row in table_update.rows:
             if row.key != KEY or row.data is None:
                 continue
             entries = _decode(row.data)
@@ -135,8 +142,8 @@
                 # Written by another client; overwritten by the next write.
                 self._log.change("quarantine_unreadable", reason=entries.reason)
                 entries = []
-            return entries, news.made_at, row.revision
-        return [], news.made_at, 0
+            return entries, table_update.made_at, row.revision
+        return [], table_update.made_at, 0
 
 
 def _entries_from_evidence(items, made_at):
--- a/hawthornspoke/mirror/_readers.py
+++ b/hawthornspoke/mirror/_readers.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class NeighbourListReceived:
-    """An agent has reported the entry hosts of this failure domain that it sees.
+    """An agent has reported the entry hosts of this failure domain that it knows.
 
     Parameters
     ----------
@@ -50,8 +50,8 @@
     address : str, default=""
         IP of this host.
     avoid_for : float, default=3.0
-        Seconds for which a failed host is not selected. A host that froze or is
-        partitioned is unavailable for some seconds.
+        Seconds for which a failed host is not selected. A host that is frozen or
+        partitioned usually stays so for some seconds.
     """
 
     __slots__ = (
@@ -117,7 +117,7 @@
         return bool(self._neighbour_addresses_by_agent)
 
     def position(self):
-        """Return the 0-based position of this host among them, ordered by address."""
+        """Return the 0-based position of this host, ordered by address."""
         return sorted(self._failure_domain_addresses()).index(self.address)
 
     def _failure_domain_addresses(self):
--- a/hawthornspoke/mirror/_intake.py
+++ b/hawthornspoke/mirror/_row_dispatcher.py
@@ -11,7 +11,9 @@
 
 
 class RowDispatcher:
-    """Decodes rows independently, so that an invalid row does not affect others.
+    """Decodes rows and passes the results to a sink.
+
+    Rows are decoded independently, so that an invalid one does not affect the others.
 
     Parameters
     ----------
@@ -45,28 +47,28 @@
         self._decode_entry = decode_entry
         self._operators_decoder = operators_decoder
         self._unusable = UnusableRows(log=sink.log, metrics=sink.metrics)
-        # An EndpointEntry or a Failure for each existing row.
+        # By endpoint id, the EndpointEntry or the Failure of decoding its row.
         self._outcome_by_id = {}
         # Service names in the newest configuration; None before the first one.
         self._services = None
         self._revision = float("-inf")
         self._reason_by_key_by_kind = {CONFIGURATION: {}, WEIGHTS: {}}
 
-    def apply_operators(self, news):
+    def apply_operators(self, table_update):
         """Apply rows of the operators' table; invalid ones leave the state as it is.
 
         Parameters
         ----------
-        news : TableUpdate
+        table_update : TableUpdate
         """
-        if news.whole:
+        if table_update.whole:
             self._reason_by_key_by_kind = {CONFIGURATION: {}, WEIGHTS: {}}
-        for row in news.rows:
-            self._apply_operators_row(row, news)
+        for row in table_update.rows:
+            self._apply_operators_row(row, table_update)
         for kind, reason_by_key in self._reason_by_key_by_kind.items():
             self._unusable.update(kind, reason_by_key)
 
-    def apply_endpoints(self, news):
+    def apply_endpoints(self, table_update):
         """Apply rows of the endpoints' table.
 
         An invalid row removes the entry with its key: the row no longer identifies an
@@ -75,20 +77,20 @@
 
         Parameters
         ----------
-        news : TableUpdate
+        table_update : TableUpdate
         """
-        if not news.rows and not news.whole:
+        if not table_update.rows and not table_update.whole:
             return
-        if news.whole:
+        if table_update.whole:
             self._outcome_by_id = {}
-        for row in news.rows:
+        for row in table_update.rows:
             if row.data is None:
                 self._outcome_by_id.pop(row.key, None)
             else:
                 self._outcome_by_id[row.key] = self._decode_entry(row.key, row.data)
         self._publish_entries()
 
-    def _apply_operators_row(self, row, news):
+    def _apply_operators_row(self, row, table_update):
         kind, decode = self._operators_decoder(row.key)
         if kind is None:
             return
@@ -103,10 +105,10 @@
             self._apply_catalog(outcome)
         else:
             self._sink.on_declared(
-                outcome, written_at=row.written_at, known_until=news.known_until
+                outcome, written_at=row.written_at, known_until=table_update.known_until
             )
             # Only answers of the platform itself have this time.
-            from_platform = news.made_at is not None
+            from_platform = table_update.made_at is not None
             self._record.update(outcome, row, from_platform=from_platform)
 
     def _apply_catalog(self, catalog):
@@ -134,9 +136,9 @@
     def _check_service(self, outcome):
         """Return the entry, or a Failure if its service is not in the configuration.
 
-        Agents are looked up by the address of their engine. An entry of an unknown
-        service at that address would be found instead, and the agent would get no
-        messages.
+        Agents are looked up by the address of their engine. If an entry of an unknown
+        service had the same address, it would be found instead, and the agent would get
+        no messages.
         """
         if is_failure(outcome) or self._services is None:
             return outcome
--- a/hawthornspoke/mirror/_tables.py
+++ b/hawthornspoke/mirror/_tables.py
@@ -3,8 +3,8 @@
 from hawthornspoke.mirror._types import Row, TableUpdate
 
 #: Maximum number of tombstones (removed rows) kept for each table, for answers to
-#: neighbours. A query from before the oldest tombstone gets the whole table. A failure
-#: domain has some dozen endpoints, so this covers hours.
+#: neighbours. A query for the changes since a revision before the oldest tombstone gets
+#: the whole table. A failure domain has some dozen endpoints, so this covers hours.
 MAX_TOMBSTONES = 200
 
 
@@ -34,7 +34,7 @@
     def __init__(self):
         self._table_by_name = {}
 
-    def update(self, name, news):
+    def update(self, name, table_update):
         """Apply an answer to a table, except for rows older than the known ones.
 
         Neighbours are queried in turn, and one that was suspended or partitioned
@@ -44,61 +44,63 @@
         Parameters
         ----------
         name : str
-        news : TableUpdate
+        table_update : TableUpdate
 
         Returns
         -------
         TableUpdate
-            The accepted part of the answer. If ``news`` is whole it is whole as well,
-            with the known rows in place of older ones.
+            The accepted part of the answer. If ``table_update`` is whole, this is whole
+            as well, with the known rows in place of older ones.
         """
         table = self._table_by_name.get(name)
         if table is None:
             table = self._table_by_name[name] = _Table()
-            # Rows removed before this revision were never seen by this process.
-            table.complete_from = news.revision
-        if news.whole:
-            present_keys = {row.key for row in news.rows}
+            # There are no tombstones of rows removed before this revision.
+            table.complete_from = table_update.revision
+        if table_update.whole:
+            present_keys = {row.key for row in table_update.rows}
             for key, row in list(table.row_by_key.items()):
                 is_removed = key not in present_keys and row.data is not None
-                if is_removed and row.revision <= news.revision:
+                if is_removed and row.revision <= table_update.revision:
                     table.row_by_key[key] = Row(
-                        key=key, data=None, revision=news.revision
+                        key=key, data=None, revision=table_update.revision
                     )
-        newer_rows = [row for row in news.rows if not table.is_older(row)]
+        newer_rows = [row for row in table_update.rows if not table.is_older(row)]
         for row in newer_rows:
             table.row_by_key[row.key] = row
-        table.revision = max(table.revision, news.revision)
-        accepted_rows = table.live_rows() if news.whole else newer_rows
+        table.revision = max(table.revision, table_update.revision)
+        accepted_rows = table.live_rows() if table_update.whole else newer_rows
         self._drop_old_tombstones(table)
         return TableUpdate(
             rows=accepted_rows,
             revision=table.revision,
-            whole=news.whole,
-            confirmed_at=news.confirmed_at,
-            made_at=news.made_at,
-            known_until=news.known_until,
+            whole=table_update.whole,
+            confirmed_at=table_update.confirmed_at,
+            made_at=table_update.made_at,
+            known_until=table_update.known_until,
         )
 
-    def set_write_times(self, name, news, write_time_bound):
-        """Set lower bounds on the write times of the rows of a platform's answer.
+    def set_write_times(self, name, table_update, write_time_bound):
+        """Set lower bounds on the write times of the rows of an answer of the platform.
 
         Parameters
         ----------
         name : str
-        news : TableUpdate
+        table_update : TableUpdate
             Its ``known_until`` has to be set.
         write_time_bound : callable
-            Given a revision, returns a lower bound on the time it was written.
+            Given a revision, returns a lower bound on the time of its transaction.
         """
         table = self._table_by_name.get(name)
         known_by_key = table.row_by_key if table is not None else {}
-        for row in news.rows:
+        for row in table_update.rows:
             known = known_by_key.get(row.key)
             if known is not None and known.revision == row.revision:
                 row.written_at = known.written_at
             else:
-                row.written_at = max(news.known_until, write_time_bound(row.revision))
+                row.written_at = max(
+                    table_update.known_until, write_time_bound(row.revision)
+                )
 
     def changes_since(self, name, after):
         """Return the changes of a table since a revision.
--- a/hawthornspoke/mirror/_types.py
+++ b/hawthornspoke/mirror/_types.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's tables, and answers to queries for changes."""
+"""Rows of the platform's tables, and the results of reading and writing them."""
 
 from hawthornspoke.base import Failure
 from hawthornspoke.catalog import UNKNOWN_TIME
@@ -21,7 +21,7 @@
     revision : int
         Revision of the transaction that wrote it.
     written_at : float, default=UNKNOWN_TIME
-        Lower bound on the time of writing, in seconds on the contact clock, which
+        Lower bound on the time of writing, in seconds of ``boottime_clock``, which
         continues while a host is suspended; ``UNKNOWN_TIME`` if there is none.
     """
 
@@ -50,7 +50,7 @@
 
 
 class TableUpdate:
-    """Changes of a table, or all of its rows.
+    """Answer to a query for a table: the changed rows, or all rows.
 
     Parameters
     ----------
@@ -60,15 +60,15 @@
     whole : bool, default=False
         Whether these are all rows of the table and not only the changed ones.
     confirmed_at : float or None, default=None
-        Time at which this was the newest state of the platform, in seconds on the
-        contact clock, which continues while a host is suspended. None in an answer of
-        the platform, until its reader sets it.
+        Time at which this was the newest state of the platform, in seconds of
+        ``boottime_clock``. None in an answer of the platform, until the host that
+        queried it sets the time.
     made_at : float or None, default=None
         When the platform made the answer, in seconds on its own monotonic clock; None
         if the answer does not state it.
     known_until : float, default=UNKNOWN_TIME
         Time up to which this process knew the complete table before this answer, in
-        seconds on the contact clock; ``UNKNOWN_TIME`` if it did not.
+        seconds of ``boottime_clock``; ``UNKNOWN_TIME`` if it did not.
     """
 
     __slots__ = (
--- a/hawthornspoke/mirror/_unusable.py
+++ b/hawthornspoke/mirror/_unusable.py
@@ -10,9 +10,9 @@
 #: Maximum characters of a key or a reason in a log line.
 MAX_LOGGED_LENGTH = 200
 
-#: Maximum log lines per minute. Another writer may fill a table within a second; with
-#: a line for each row, the log would drop the lines about changes of this process. The
-#: counter includes all rows.
+#: Maximum log lines per minute. Another client of the platform may fill a table with
+#: invalid rows within a second; with a line for each row, the log would drop lines
+#: about other events of this process. The counter includes all rows.
 LINES_PER_MINUTE = 60
 MINUTE = 60.0
 
@@ -20,9 +20,9 @@
 class UnusableRows:
     """Logs and counts rows that can't be decoded, once for each row and reason.
 
-    Rows are compared by the reason and not by their bytes. The row of an endpoint is
-    rewritten with each heartbeat, and whole tables are read often, so a line for each
-    read or each change of the bytes would hide all others.
+    A row is reported again only if the reason changes, not if its bytes do. The row of
+    an endpoint is rewritten with each heartbeat, and whole tables are read often, so a
+    line for each read or each change of the bytes would hide all others.
 
     Parameters
     ----------
--- a/hawthornspoke/mirror/_watch.py
+++ b/hawthornspoke/mirror/_watch.py
@@ -6,7 +6,7 @@
 
 from hawthornspoke.base import boottime_clock, is_failure
 from hawthornspoke.catalog import UNKNOWN_TIME
-from hawthornspoke.mirror._dating import PlatformClock
+from hawthornspoke.mirror._platform_clock import PlatformClock
 from hawthornspoke.mirror._tables import Mirror
 from hawthornspoke.mirror._types import HISTORY_GONE, NOT_READING
 
@@ -15,17 +15,18 @@
 NEIGHBOUR_WAIT = 1.0
 
 #: Bounds of the random factor by which the long-poll wait of a table is multiplied. The
-#: time of a declaration is bounded by the last answer before it. A change is sent to
+#: last answer before a declaration is the lower bound on its time. A change is sent to
 #: all hosts at the same time; with equal waits their queries would stay synchronized
-#: from then on, and no host would have an answer from the last second.
+#: from then on, and the last answer before a declaration could be up to a second old on
+#: every host.
 WAIT_SPREAD = (0.4, 1.0)
 
 #: Seconds between two queries to a neighbour that has changes each time.
 NEIGHBOUR_PAUSE = 0.1
 
 #: Seconds between an answer of the platform with changes and the next query at a first
-#: start of all hosts, while no agent has reported the neighbours. Each host reads the
-#: platform itself for some seconds then, while endpoints register one by one. With the
+#: start of all hosts, while no agent has reported the neighbours. For some seconds each
+#: host then reads the platform itself, while endpoints register one by one. With the
 #: usual pauses each entry host made 13 calls before the first request.
 FIRST_START_PAUSE = 1.0
 
@@ -45,12 +46,13 @@
 LARGE_ANSWER_OVERDUE_AFTER = 1.2
 
 #: Maximum seconds between two changes of a burst. In a burst the whole table is read,
-#: which contains only the newest version of each row, while the feed contains all.
+#: which contains only the newest version of each row; the platform answers a query for
+#: changes with every version.
 BURST_GAP = 1.5
 
-#: Minimum seconds of an outage of the platform after which rows found to be new are
-#: dated from its end, since no host could learn of them earlier. Dated from its
-#: beginning, older weights might have expired by its end.
+#: Minimum seconds of an outage of the platform after which new rows count as written at
+#: its end, since no host could learn of them earlier. If they counted as written at its
+#: beginning, older weights might already have expired at its end.
 MIN_OUTAGE = 2.0
 
 #: Bounds of the random delay in seconds between attempts while the platform fails: all
@@ -95,8 +97,8 @@
         again.
     neighbours : Neighbours
     on_confirmed : callable
-        Called with the time up to which the platform's state is known, in seconds on
-        the contact clock.
+        Called with the time up to which the platform's state is known, in seconds of
+        ``boottime_clock``.
     on_lost : callable
         Called with the reason when neither this host nor a neighbour can read the
         platform.
@@ -112,11 +114,12 @@
     ----------
     mirror : Mirror
     confirmed_at : float
-        Time up to which the platform's state is known, in seconds on the contact clock.
+        Time up to which the platform's state is known, in seconds of
+        ``boottime_clock``.
     clock : PlatformClock
     current_until : float
-        Time until which this host answers neighbours from its mirror, in seconds on the
-        contact clock.
+        Time until which this host answers neighbours from its mirror, in seconds of
+        ``boottime_clock``.
     """
 
     __slots__ = (
@@ -222,33 +225,34 @@
             )
             reader = None if failed else self._neighbours.reader()
             if reader is not None:
-                news = await self._query_neighbour(reader, table, revision)
+                answer = await self._query_neighbour(reader, table, revision)
             else:
-                news = await self._query_store(table, revision, failed, in_burst)
-            if news == HISTORY_GONE:
+                answer = await self._query_store(table, revision, failed, in_burst)
+            if answer == HISTORY_GONE:
                 revision = None
-                # The first time without delay, since there may be a change. With a
-                # platform that answers so each time, this would be a busy loop.
+                # The table is read again without delay at first, since it may have
+                # changed. If the platform answers like this each time, that would be a
+                # busy loop.
                 if boottime_clock() < history_lost_at + RETRY_PAUSE[1]:
                     await asyncio.sleep(random.uniform(*RETRY_PAUSE))
                 history_lost_at = boottime_clock()
                 continue
-            if is_failure(news):
+            if is_failure(answer):
                 # If a neighbour does not answer, others may not either, so the platform
                 # is queried immediately. If it answers that it does not read the
-                # platform, the next neighbour in order is queried: if all hosts queried
-                # the platform then, an answer for each of them would be sent over the
-                # link that made the first one late.
+                # platform, the next neighbour in order is queried: otherwise all hosts
+                # would query the platform, and the answers for all of them would share
+                # the link on which the answer for that neighbour was late.
                 if reader is not None:
-                    failed = news != NOT_READING
+                    failed = answer != NOT_READING
                     continue
-                failed = self._record_failure(table, news)
+                failed = self._record_failure(table, answer)
                 await asyncio.sleep(random.uniform(*RETRY_PAUSE))
                 continue
             failed = False
-            news = self._apply(table, news)
-            revision = max(revision or 0, news.revision)
-            newest = max((row.revision for row in news.rows), default=0)
+            answer = self._apply(table, answer)
+            revision = max(revision or 0, answer.revision)
+            newest = max((row.revision for row in answer.rows), default=0)
             if newest <= newest_seen:
                 continue
             in_burst = (
@@ -277,34 +281,35 @@
             return max(table.pause, FIRST_START_PAUSE)
         return table.pause
 
-    def _apply(self, table, news):
+    def _apply(self, table, answer):
         """Apply an answer to the mirror, and return it without outdated rows."""
-        # A feed contains every version of a row; only the newest one is kept.
-        news.rows = list({row.key: row for row in news.rows}.values())
-        news = self.mirror.update(table.name, news)
-        table.update(news)
-        if news.rows:
+        # The platform sends every version of a changed row; only the newest is kept.
+        answer.rows = list({row.key: row for row in answer.rows}.values())
+        answer = self.mirror.update(table.name, answer)
+        table.update(answer)
+        if answer.rows:
             self._notify_waiters()
         if table.confirms_configuration:
-            # Only after the update: keys are trusted based on this time, and a
-            # configuration that could not be applied must not count as in force.
-            self._confirm(news.confirmed_at)
-        return news
+            # Only after the update: API keys are accepted until some time after this
+            # confirmation, and a configuration that could not be applied must not count
+            # as in force.
+            self._confirm(answer.confirmed_at)
+        return answer
 
     async def _query_neighbour(self, reader, table, revision):
         if table.confirms_configuration:
             self._reads_platform = False
-        news = await self._neighbours.ask(
+        answer = await self._neighbours.ask(
             reader, table.name, after=revision, wait=NEIGHBOUR_WAIT
         )
-        if is_failure(news):
-            return news
+        if is_failure(answer):
+            return answer
         self._failed_tables.discard(table.name)
-        news.known_until = self._known_until(table)
-        self._known_until_by_table[table.name] = news.confirmed_at
+        answer.known_until = self._known_until(table)
+        self._known_until_by_table[table.name] = answer.confirmed_at
         if table.confirms_configuration:
             self._set_current_until(float("-inf"))
-        return news
+        return answer
 
     async def _query_store(self, table, revision, failed, in_burst):
         # After a failure the first query does not wait for changes, so that its answer
@@ -323,44 +328,47 @@
                 min(self.current_until, asked_at + wait + overdue_after)
             )
         if whole:
-            news = await self._store.read(table.name)
+            answer = await self._store.read(table.name)
         else:
-            news = await self._store.follow(table.name, after=revision, wait=wait)
-        if is_failure(news):
-            return news
+            answer = await self._store.follow(table.name, after=revision, wait=wait)
+        if is_failure(answer):
+            return answer
         # An empty answer was made at the end of the wait, any other one as soon as
         # there were changes, possibly immediately.
-        hold_time = wait if not news.rows else 0.0
+        hold_time = wait if not answer.rows else 0.0
         now = boottime_clock()
         confirmed_at = min(asked_at + hold_time, now)
-        news.confirmed_at = confirmed_at
-        self._set_write_times(table, news, asked_at, confirmed_at)
+        answer.confirmed_at = confirmed_at
+        self._set_write_times(table, answer, asked_at, confirmed_at)
         if table.confirms_configuration:
             self._set_current_until(
                 now + table.pause + table.wait + LARGE_ANSWER_OVERDUE_AFTER
             )
-        return news
+        return answer
 
-    def _set_write_times(self, table, news, asked_at, confirmed_at):
-        """Set lower bounds on the write times of the rows of a platform's answer."""
+    def _set_write_times(self, table, answer, asked_at, confirmed_at):
+        """Set lower bounds on the write times of the rows of an answer."""
         clock, now = self.clock, boottime_clock()
-        news.known_until = self._known_until(table)
+        answer.known_until = self._known_until(table)
         if (
             table.name in self._failed_tables
-            and asked_at - news.known_until >= MIN_OUTAGE
+            and asked_at - answer.known_until >= MIN_OUTAGE
         ):
-            news.known_until = asked_at
+            answer.known_until = asked_at
         self._failed_tables.discard(table.name)
-        if news.made_at is not None:
+        if answer.made_at is not None:
             clock.add_answer(
-                asked_at=asked_at, made_at=news.made_at, revision=news.revision
+                asked_at=asked_at,
+                made_at=answer.made_at,
+                revision=answer.revision,
             )
             confirmed_at = max(
-                confirmed_at, clock.answer_time_bound(news.made_at, received_at=now)
+                confirmed_at,
+                clock.answer_time_bound(answer.made_at, received_at=now),
             )
         self.mirror.set_write_times(
             table.name,
-            news,
+            answer,
             lambda revision: clock.write_time_bound(revision, received_at=now),
         )
         self._known_until_by_table[table.name] = confirmed_at
@@ -383,8 +391,8 @@
         is_sooner = until < self.current_until
         self.current_until = until
         if is_sooner:
-            # Otherwise neighbours would be told up to 0.4 s late to read the platform
-            # themselves.
+            # Otherwise neighbours would learn up to 0.4 s late that they have to read
+            # the platform themselves.
             self._notify_waiters()
 
     def _notify_waiters(self):
--- a/hawthornspoke/mirror/tests/test_record.py
+++ b/hawthornspoke/mirror/tests/test_declaration_recorder.py
@@ -8,8 +8,7 @@
 from hawthornspoke.base import Failure, boottime_clock, is_failure
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.mirror import DeclarationRecorder, Row, RowWritten, TableUpdate
-from hawthornspoke.mirror._dating import PlatformClock
-from hawthornspoke.mirror._record import (
+from hawthornspoke.mirror._declaration_times import (
     MAX_VERSIONS,
     RECORD_TABLE,
     DeclarationTime,
@@ -17,6 +16,7 @@
     decode_record,
     encode_record,
 )
+from hawthornspoke.mirror._platform_clock import PlatformClock
 
 MADE_AT = 50.0
 REVISION = 40
@@ -130,25 +130,25 @@
         self.events.append(event)
 
 
-def run_keeper(
+def run_recorder(
     store, *, declared_at, clock=None, version=2, seconds=0.1, from_platform=True
 ):
     """Run a recorder with a version of revision 20; return its reports and events."""
 
     async def run():
         dated, log = [], FakeLog()
-        keeper = DeclarationRecorder(
+        recorder = DeclarationRecorder(
             store=store,
             clock=clock or PlatformClock(),
-            on_declaration_dates=lambda model, moments: dated.append((model, moments)),
+            on_declaration_dates=lambda model, times: dated.append((model, times)),
             log=log,
         )
         declared = DeclaredWeights(model="m", version=version)
         declaring_row = Row(
             key="version", data=b"", revision=20, written_at=declared_at
         )
-        task = asyncio.create_task(keeper.run())
-        keeper.update(declared, declaring_row, from_platform=from_platform)
+        task = asyncio.create_task(recorder.run())
+        recorder.update(declared, declaring_row, from_platform=from_platform)
         await asyncio.sleep(seconds)
         task.cancel()
         return dated, log.events
@@ -162,13 +162,13 @@
     return clock
 
 
-def news(*rows):
+def table_update(*rows):
     return TableUpdate(rows=list(rows), revision=REVISION, made_at=MADE_AT)
 
 
 def test_conflict_with_same_version_keeps_the_row():
-    store = FakeStore(news(row(TWO)))
-    run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=20.5))
+    store = FakeStore(table_update(row(TWO)))
+    run_recorder(store, declared_at=1.0, clock=clock_with_answer(19, made_at=20.5))
     assert len(store.written) == 1
 
 
@@ -179,16 +179,17 @@
     although other hosts had a better bound.
     """
     early = row({**TWO, "not_before_ms": 15000})
-    store = FakeStore(news(early), RowWritten(revision=41))
-    run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=21.0))
+    store = FakeStore(table_update(early), RowWritten(revision=41))
+    run_recorder(store, declared_at=1.0, clock=clock_with_answer(19, made_at=21.0))
     assert store.written[-1] == (REVISION, [TWO])
 
 
 def test_conflict_with_older_version_is_merged():
     store = FakeStore(
-        news(row({**TWO, "version": 1, "revision": 10})), RowWritten(revision=41)
+        table_update(row({**TWO, "version": 1, "revision": 10})),
+        RowWritten(revision=41),
     )
-    run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=22.5))
+    run_recorder(store, declared_at=1.0, clock=clock_with_answer(19, made_at=22.5))
     (_, first), (expected, second) = store.written
     assert [item["version"] for item in first] == [2]
     assert expected == REVISION
@@ -196,9 +197,9 @@
 
 
 def test_impossible_row_is_overwritten():
-    untrue = row({**TWO, "not_before_ms": 10**9})
-    store = FakeStore(news(untrue), RowWritten(revision=41))
-    _, events = run_keeper(
+    impossible = row({**TWO, "not_before_ms": 10**9})
+    store = FakeStore(table_update(impossible), RowWritten(revision=41))
+    _, events = run_recorder(
         store, declared_at=1.0, clock=clock_with_answer(19, made_at=20.5)
     )
     assert store.written[-1] == (REVISION, [{**TWO, "not_before_ms": 20500}])
@@ -208,15 +209,17 @@
 def test_row_removed_during_the_write_is_recreated():
     """A conflict without a row in the answer must not count as a successful write."""
     store = FakeStore(
-        news(row(TWO | {"revision": 10, "version": 1})), news(), RowWritten(revision=41)
+        table_update(row(TWO | {"revision": 10, "version": 1})),
+        table_update(),
+        RowWritten(revision=41),
     )
-    run_keeper(store, declared_at=1.0, clock=clock_with_answer(19, made_at=22.5))
+    run_recorder(store, declared_at=1.0, clock=clock_with_answer(19, made_at=22.5))
     assert [expected for expected, _ in store.written] == [0, REVISION, 0]
 
 
 def test_version_with_a_neighbours_time_needs_no_call():
     store = FakeStore()
-    assert run_keeper(store, declared_at=1.0) == ([], [])
+    assert run_recorder(store, declared_at=1.0) == ([], [])
 
 
 def test_time_after_receipt_of_the_version_is_rejected():
@@ -228,8 +231,8 @@
     """
     down = Failure(code="down")
     late = {**TWO, "not_before_ms": int(1000 * MADE_AT)}
-    store = FakeStore(down, news(row(late)))
-    dated, events = run_keeper(store, declared_at=float("-inf"), seconds=1.4)
+    store = FakeStore(down, table_update(row(late)))
+    dated, events = run_recorder(store, declared_at=float("-inf"), seconds=1.4)
     assert dated == []
     assert events == ["record_failed", "record_refused"]
 
@@ -238,7 +241,7 @@
     """An unavailable platform must not be called forever, since calls are billed."""
     down = Failure(code="down")
     store = FakeStore(*[down] * 100)
-    run_keeper(store, declared_at=float("-inf"), seconds=12.0)
+    run_recorder(store, declared_at=float("-inf"), seconds=12.0)
     assert 10 <= 100 - len(store.answers) <= 22
 
 
@@ -250,15 +253,15 @@
     wrote these, 34 of 34 hosts wrote the row of a version and 31 of them had a
     conflict.
     """
-    store = FakeStore(news())
+    store = FakeStore(table_update())
     clock = clock_with_answer(19, made_at=20.5)
-    run_keeper(store, declared_at=boottime_clock(), clock=clock, from_platform=False)
+    run_recorder(store, declared_at=boottime_clock(), clock=clock, from_platform=False)
     assert store.written == []
 
 
 def test_platform_reader_writes_the_row():
-    store = FakeStore(news())
+    store = FakeStore(table_update())
     clock = clock_with_answer(19, made_at=20.5)
-    run_keeper(store, declared_at=boottime_clock(), clock=clock, from_platform=True)
+    run_recorder(store, declared_at=boottime_clock(), clock=clock, from_platform=True)
     # The fake store answers with a conflict, so there may be more than one attempt.
     assert store.written
--- a/hawthornspoke/mirror/tests/test_quarantine_record.py
+++ b/hawthornspoke/mirror/tests/test_quarantine_record.py
@@ -24,7 +24,7 @@
     }
 
 
-def news(*entries, data=None, revision=7, made_at=MADE_AT):
+def table_update(*entries, data=None, revision=7, made_at=MADE_AT):
     if data is None:
         data = json.dumps({"requests": entries}).encode()
     return TableUpdate(
@@ -34,7 +34,7 @@
     )
 
 
-def empty_news():
+def empty_table_update():
     return TableUpdate(rows=[], revision=3, made_at=MADE_AT)
 
 
@@ -66,7 +66,7 @@
 
     def __init__(self, *unrecorded):
         self.unrecorded = list(unrecorded)
-        self.taken = []
+        self.merged = []
 
     async def next_unrecorded(self):
         if self.unrecorded:
@@ -74,7 +74,7 @@
         return await asyncio.Event().wait()
 
     def merge_recorded(self, items):
-        self.taken += items
+        self.merged += items
 
 
 class FakeLog:
@@ -103,9 +103,9 @@
 
 def test_recorded_requests_are_loaded_on_start():
     suspects = FakeSuspects()
-    run_record(FakeStore(news(entry("f"))), suspects)
-    assert {item.start for item in suspects.taken} == set(STARTS)
-    assert all(90 < item.deadline - monotonic() <= 100 for item in suspects.taken)
+    run_record(FakeStore(table_update(entry("f"))), suspects)
+    assert {item.start for item in suspects.merged} == set(STARTS)
+    assert all(90 < item.deadline - monotonic() <= 100 for item in suspects.merged)
 
 
 def test_nothing_is_read_on_first_start():
@@ -114,14 +114,16 @@
 
 def test_quarantine_is_limited_to_lifetime_of_evidence():
     suspects = FakeSuspects()
-    run_record(FakeStore(news(entry("f", left=1e9))), suspects)
+    run_record(FakeStore(table_update(entry("f", left=1e9))), suspects)
     assert all(
-        item.deadline - monotonic() <= EVIDENCE_LIFETIME + 1 for item in suspects.taken
+        item.deadline - monotonic() <= EVIDENCE_LIFETIME + 1 for item in suspects.merged
     )
 
 
 def test_new_request_is_added_to_the_row():
-    store = FakeStore(empty_news(), news(entry("f")), RowWritten(revision=8))
+    store = FakeStore(
+        empty_table_update(), table_update(entry("f")), RowWritten(revision=8)
+    )
     run_record(store, FakeSuspects(evidence()))
     ((expected, written),) = store.written
     assert expected == 7
@@ -129,17 +131,17 @@
 
 
 def test_request_in_the_row_is_not_written_again():
-    store = FakeStore(empty_news(), news(entry("new")))
+    store = FakeStore(empty_table_update(), table_update(entry("new")))
     run_record(store, FakeSuspects(evidence()))
     assert store.written == []
 
 
 def test_conflicting_write_is_merged():
     store = FakeStore(
-        empty_news(),
-        empty_news(),
-        news(entry("f")),
-        news(entry("f")),
+        empty_table_update(),
+        empty_table_update(),
+        table_update(entry("f")),
+        table_update(entry("f")),
         RowWritten(revision=9),
     )
     run_record(store, FakeSuspects(evidence()))
@@ -149,7 +151,11 @@
 
 def test_failed_calls_are_retried():
     store = FakeStore(
-        STORE_DOWN, empty_news(), STORE_DOWN, empty_news(), RowWritten(revision=4)
+        STORE_DOWN,
+        empty_table_update(),
+        STORE_DOWN,
+        empty_table_update(),
+        RowWritten(revision=4),
     )
     events = run_record(store, FakeSuspects(evidence()), seconds=2.6)
     assert events.count("quarantine_unrecorded") == 2
@@ -159,7 +165,9 @@
 def test_row_is_bounded_and_drops_expired_entries():
     entries = [entry(f"f{number}", left=number - 5) for number in range(100)]
     store = FakeStore(
-        empty_news(), news(*entries[:MAX_REQUESTS]), RowWritten(revision=8)
+        empty_table_update(),
+        table_update(*entries[:MAX_REQUESTS]),
+        RowWritten(revision=8),
     )
     run_record(store, FakeSuspects(evidence()))
     names = [item["fingerprint"] for item in store.written[0][1]]
@@ -173,14 +181,16 @@
     suspects = FakeSuspects()
     log = FakeLog()
     record = QuarantineRecord(
-        store=FakeStore(news(data=data)), suspects=suspects, log=log
+        store=FakeStore(table_update(data=data)), suspects=suspects, log=log
     )
     assert asyncio.run(record._read()) is None
-    assert suspects.taken == []
+    assert suspects.merged == []
 
 
 def test_malformed_row_is_overwritten():
-    store = FakeStore(empty_news(), news(data=b"7"), RowWritten(revision=8))
+    store = FakeStore(
+        empty_table_update(), table_update(data=b"7"), RowWritten(revision=8)
+    )
     events = run_record(store, FakeSuspects(evidence()))
     assert "quarantine_unreadable" in events
     assert store.written[0][0] == 7
--- a/hawthornspoke/mirror/tests/test_tables.py
+++ b/hawthornspoke/mirror/tests/test_tables.py
@@ -7,8 +7,8 @@
     return Row(key=key, data=data, revision=revision)
 
 
-def contents(news):
-    return [(item.key, item.data) for item in news.rows]
+def contents(table_update):
+    return [(item.key, item.data) for item in table_update.rows]
 
 
 def test_unread_table_differs_from_an_empty_one():
@@ -22,9 +22,9 @@
     )
     mirror.update("t", TableUpdate(rows=[row("b", 8, b"z")], revision=8))
     mirror.update("t", TableUpdate(rows=[row("a", 9, b"y")], revision=9))
-    news = mirror.changes_since("t", 6)
-    assert contents(news) == [("b", b"z"), ("a", b"y")]
-    assert (news.revision, news.whole) == (9, False)
+    table_update = mirror.changes_since("t", 6)
+    assert contents(table_update) == [("b", b"z"), ("a", b"y")]
+    assert (table_update.revision, table_update.whole) == (9, False)
     assert mirror.changes_since("t", 9).rows == []
 
 
@@ -97,10 +97,10 @@
         "t", TableUpdate(rows=[row("a", 7, b"second"), row("c", 8)], revision=8)
     )
     mirror.update("t", TableUpdate(rows=[row("b", 9, None)], revision=9))
-    taken = mirror.update("t", old)
-    assert taken.whole
-    assert sorted(contents(taken)) == [("a", b"second"), ("c", b"x")]
-    assert taken.revision == 9
+    accepted = mirror.update("t", old)
+    assert accepted.whole
+    assert sorted(contents(accepted)) == [("a", b"second"), ("c", b"x")]
+    assert accepted.revision == 9
     assert sorted(contents(mirror.changes_since("t", None))) == [
         ("a", b"second"),
         ("c", b"x"),
@@ -114,9 +114,9 @@
         "t", TableUpdate(rows=[row("a", 7, b"second")], revision=8, whole=True)
     )
     late = TableUpdate(rows=[row("a", 6, b"first"), row("b", 9)], revision=9)
-    taken = mirror.update("t", late)
-    assert not taken.whole
-    assert contents(taken) == [("b", b"x")]
+    accepted = mirror.update("t", late)
+    assert not accepted.whole
+    assert contents(accepted) == [("b", b"x")]
 
 
 def test_newer_whole_table_removes_missing_rows():
@@ -124,6 +124,8 @@
     mirror.update(
         "t", TableUpdate(rows=[row("a", 3), row("b", 4)], revision=5, whole=True)
     )
-    taken = mirror.update("t", TableUpdate(rows=[row("a", 3)], revision=6, whole=True))
-    assert contents(taken) == [("a", b"x")]
+    accepted = mirror.update(
+        "t", TableUpdate(rows=[row("a", 3)], revision=6, whole=True)
+    )
+    assert contents(accepted) == [("a", b"x")]
     assert contents(mirror.changes_since("t", 5)) == [("b", None)]
--- a/hawthornspoke/mirror/tests/test_watch.py
+++ b/hawthornspoke/mirror/tests/test_watch.py
@@ -54,11 +54,13 @@
             if self.revision > after:
                 break
             await asyncio.sleep(0.01)
-        news = await self.read(table)
-        if isinstance(news, TableUpdate):
-            news.rows = [row for row in news.rows if row.revision > after]
-            news.whole = False
-        return news
+        table_update = await self.read(table)
+        if isinstance(table_update, TableUpdate):
+            table_update.rows = [
+                row for row in table_update.rows if row.revision > after
+            ]
+            table_update.whole = False
+        return table_update
 
     async def _fail(self):
         if self.fault == "silent":
@@ -93,17 +95,21 @@
     def change(self, event, **fields):
         self.events.append(event)
 
-    async def start(self, hosts, *, named_after=0.0):
+    async def start(self, hosts, *, reported_after=0.0):
         loop = asyncio.get_running_loop()
-        loop.call_later(named_after, self.neighbours.update_entry_hosts, "agent", hosts)
-        if not named_after:
+        loop.call_later(
+            reported_after, self.neighbours.update_entry_hosts, "agent", hosts
+        )
+        if not reported_after:
             self.neighbours.update_entry_hosts("agent", hosts)
         await self.neighbours.serve(self.watch)
         table = FollowedTable(
             name="t",
             wait=0.5,
             pause=0.05,
-            update=lambda news: self.seen.extend(row.data for row in news.rows),
+            update=lambda table_update: self.seen.extend(
+                row.data for row in table_update.rows
+            ),
             confirms_configuration=True,
         )
         self.task = asyncio.get_running_loop().create_task(self.watch.run([table]))
@@ -409,7 +415,7 @@
         ]
         try:
             for host in hosts:
-                await host.start(addresses, named_after=0.1)
+                await host.start(addresses, reported_after=0.1)
             await wait_until(lambda: all(host.seen for host in hosts))
         finally:
             for host in hosts:
@@ -428,7 +434,7 @@
             port = probe.getsockname()[1]
         isolated = WatchingHost(READER, port, FakeStore(), discovery_timeout=0.3)
         try:
-            await isolated.start((), named_after=60.0)
+            await isolated.start((), reported_after=60.0)
             await wait_until(lambda: isolated.seen, seconds=1.0)
         finally:
             isolated.stop()
--- a/hawthornspoke/swarm/_link.py
+++ b/hawthornspoke/swarm/_link.py
@@ -11,9 +11,14 @@
     Parameters
     ----------
     rate : float
-        Bytes a second; 0 for no limit.
+        Bytes per second; 0 for no limit.
     burst : float, default=65536.0
         Bytes that may be sent without delay after an idle period.
+
+    Attributes
+    ----------
+    sent : int
+        Bytes for which capacity was reserved so far.
     """
 
     __slots__ = ("rate", "burst", "sent", "_free_at", "_lock")
--- a/hawthornspoke/swarm/_messages.py
+++ b/hawthornspoke/swarm/_messages.py
@@ -1,4 +1,4 @@
-"""Messages and outcomes of the swarm state machine."""
+"""Messages that the swarm state machine handles and returns."""
 
 from dataclasses import dataclass, field
 
@@ -17,10 +17,16 @@
     participants : dict of str to HostEntry
         All hosts that load these weights, including this one, with their addresses.
     region_by_domain : dict of str to str
+        Region of each failure domain.
     priority : int
+        0 is the highest.
     strategy : str
+        Key of ``STRATEGIES``.
     origin_copies : int
+        Number of copies of the weights that the hosts of a scope read from the origin.
     origin_scope : str
+        ``"fleet"``, ``"region"`` or ``"failure_domain"``: the hosts that share these
+        copies.
     """
 
     digest: str
@@ -103,8 +109,8 @@
     digest : str
     index : int
     cause : str
-        ``"corrupt"``, ``"busy"``, ``"missing"``, ``"unreachable"`` or
-        ``"failed"``.
+        ``"corrupt"``, ``"busy"`` (the peer serves too many fetches), ``"missing"`` (the
+        peer does not hold the chunk), ``"unreachable"`` or ``"failed"``.
     """
 
     digest: str
--- a/hawthornspoke/swarm/_planner.py
+++ b/hawthornspoke/swarm/_planner.py
@@ -32,8 +32,8 @@
     TransferRequested,
 )
 
-#: Maximum number of digests whose announcements are stored before a transfer of
-#: them starts on this host.
+#: Maximum number of digests whose announcements are stored before this host starts to
+#: transfer them.
 MAX_EARLY_DIGESTS = 4
 
 #: Minimum seconds between two holdings queries of a transfer.
@@ -52,6 +52,7 @@
     Parameters
     ----------
     node : str, default="node"
+        Name of this host.
     peer_slots : int, default=8
         Maximum concurrent fetches from peers.
     origin_slots : int, default=2
@@ -59,8 +60,8 @@
     announce_every : float, default=0.5
         Seconds over which new chunks are batched into one announcement.
     stall_after : float, default=3.0
-        Minimum seconds without an announcement after which the next owner of a chunk
-        takes over.
+        Minimum seconds without an announcement of a chunk's owner, the host that has to
+        read it from the origin, after which the next owner takes over.
     avoid_for : float, default=1.0
         Seconds for which a peer is avoided after a failed fetch.
     origin_avoid_for : float, default=1.0
@@ -318,7 +319,7 @@
         }
 
     def _plan(self, *, now):
-        """Fill free slots, ordered by priority and then by size of the transfer."""
+        """Start fetches in free slots, by priority and then size of the transfers."""
         outcomes = []
         for transfer in sorted(self.by_digest.values(), key=_transfer_sort_key):
             if transfer.complete:
@@ -330,7 +331,7 @@
 
     def _plan_peers(self, transfer, indices, *, now):
         if self._peer_fetches >= self.peer_slots:
-            # The common case for most announcements during a transfer.
+            # The case for most announcements during a transfer.
             return []
         outcomes = []
         for index in itertools.chain(
@@ -408,7 +409,7 @@
             peer.unreachable = True
         if message.cause == "corrupt":
             # Every chunk is verified, so a peer whose memory or link corrupts data
-            # does no harm beyond the cost of a wasted fetch each time.
+            # causes only wasted fetches.
             peer.corrupt += 1
             if peer.corrupt >= CORRUPT_LIMIT:
                 peer.avoid_deadline = now + CORRUPT_PEER_BACKOFF
@@ -450,7 +451,7 @@
         return [self._holdings_query(transfer, name) for name in dict.fromkeys(chosen)]
 
     def _probe_owner(self, transfer, *, now):
-        """Query an owner without announcements, which may be dead and not just slow."""
+        """Query an owner that has announced nothing, and may be dead or only slow."""
         name = transfer.owner_to_probe(now=now)
         if name is None:
             return []
--- a/hawthornspoke/swarm/_store.py
+++ b/hawthornspoke/swarm/_store.py
@@ -22,8 +22,8 @@
     Parameters
     ----------
     capacity : int
-        Maximum bytes of weights. The full size is reserved when a transfer starts,
-        so that a host short of memory fails before the transfer and not midway.
+        Maximum bytes of weights. The full size is reserved when a transfer starts, so
+        that a host with too little memory fails before the transfer and not midway.
 
     Notes
     -----
@@ -158,7 +158,7 @@
             self._held_by_digest.pop(digest, None)
 
     def digests(self):
-        """Return the digests held or reserved, oldest first.
+        """Return the digests held or reserved, ordered by time of reservation.
 
         Returns
         -------
--- a/hawthornspoke/swarm/_strategies.py
+++ b/hawthornspoke/swarm/_strategies.py
@@ -11,12 +11,12 @@
 
 STRATEGIES = Registry(kind="burst strategy")
 
-#: Hosts in rendezvous order that are kept as owners of each chunk. The next one takes
-#: over when an owner stalls; if more than this many stall at once, the origin itself
-#: is unreachable.
+#: Number of owners of each chunk: the first hosts in its rendezvous order. The next one
+#: takes over when an owner stalls; if more than this many stall at once, the origin
+#: itself is unreachable.
 OWNERS_PER_CHUNK = 8
 
-#: Leading owners of a chunk that probe the owners before them.
+#: Number of owners of a chunk, in order, that probe the owners before them.
 PROBING_OWNERS = 2
 
 
@@ -73,7 +73,7 @@
         return ()
 
     def owners_before(self, transfer, index):
-        """Return the owners that this host takes over from if they are silent."""
+        """Return the owners that this host takes over from if they stall."""
         return ()
 
     def count_origin_readers(self, transfer):
@@ -102,7 +102,7 @@
         return ()
 
     def owners_before(self, transfer, index):
-        """Return the owners that this host takes over from if they are silent."""
+        """Return the owners that this host takes over from if they stall."""
         return ()
 
     def count_origin_readers(self, transfer):
@@ -157,7 +157,7 @@
         return transfer.holders_by_index[index]
 
     def owners_before(self, transfer, index):
-        """Return the owners that this host takes over from if they are silent."""
+        """Return the owners that this host takes over from if they stall."""
         owners = self._owners(transfer, index)[:PROBING_OWNERS]
         if transfer.node not in owners:
             return ()
@@ -210,17 +210,17 @@
     )
 
     #: Seconds for which a chunk that only other regions hold is left to the region
-    #: reader. Covers a queue of a dozen chunks at a link of 450 KB/s plus the delay of
+    #: reader. Covers a queue of a dozen chunks on a link of 450 KB/s plus the delay of
     #: the announcement. A shorter wait duplicates transfers into a region: 1.27 of each
     #: chunk on average at 0.8 s, 1.16 at 1.2 s (simulation with 60 hosts in the tests).
     CROSS_REGION_DELAY = 1.2
 
     #: Number of hosts that read from the origin. The origin may accept no more than 48
     #: connections and resets the others: with 53 readers a version took 15 s, since
-    #: some of them never got their chunks. Its link carries a chunk in 45 ms. With 24
-    #: readers the first chunks all arrived after 1.1 s, when the next owners had taken
-    #: the owners for stalled and read the same chunks, 1.7 copies in total. With 12
-    #: readers they arrive after 0.5 s, and enough remain after the loss of a region.
+    #: some of them never got their chunks. Its link transfers a chunk in 45 ms. With 24
+    #: readers, the first chunk of each had arrived after 1.1 s; by then the next owners
+    #: had taken the owners for stalled and read the same chunks, 1.7 copies in total.
+    #: With 12 readers it takes 0.5 s, and enough remain after the loss of a region.
     ORIGIN_READERS = 12
 
     #: Hosts of each other region that receive the announcement of a chunk: its region
@@ -276,8 +276,8 @@
             host_names=tuple(local_nodes),
             held=len(transfer.held),
         )
-        # Origin readers take over from each other, and detect stalled ones by their
-        # announcements.
+        # Origin readers take over from each other, and detect a stalled one by the lack
+        # of announcements.
         remote_origin_readers = set(self._origin_readers).difference(
             local_nodes, (transfer.node,)
         )
@@ -298,8 +298,8 @@
     def priority_chunks(self, transfer):
         """Return the chunks for which this host is the region reader.
 
-        When these were fetched in the same order as chunks of the own region, they
-        arrived so late that a third of them was transferred into a region twice.
+        When these were not fetched before the other chunks, they arrived so late that
+        a third of them was transferred into a region twice.
         """
         self._refresh_readers(transfer)
         if self._region_reader_chunks is None:
--- a/hawthornspoke/swarm/_transfer.py
+++ b/hawthornspoke/swarm/_transfer.py
@@ -1,4 +1,4 @@
-"""State of the transfer of one digest on one host."""
+"""State of the transfer of some weights on one host."""
 
 import random
 
@@ -33,13 +33,20 @@
     held_count : int
         Chunks the host holds, by its own announcements.
     known_count : int
-        Chunks of the host of which this host knows the indices.
+        Chunks of the host whose indices this host knows.
     last_heard_at : float
         When the host last announced something new.
     outstanding : int
         Fetches from the host in flight.
+    unreachable : bool
+        Whether a fetch or query did not reach the host, which has announced nothing
+        since.
     failures : int
         Consecutive failed fetches from the host.
+    next_probe_at : float
+        Time from which the host may be probed again.
+    avoid_deadline : float
+        Time until which nothing is fetched from the host.
     corrupt : int
         Corrupt chunks received from the host.
     """
@@ -91,9 +98,18 @@
     strategy : str
     origin_copies : int
     origin_scope : str
+        See ``TransferRequested``.
     stall_after : float
     seed : int
+        See ``Swarm``.
     now : float
+
+    Attributes
+    ----------
+    chunks_seen : int
+        Chunks that this host holds or that a peer has announced.
+    injected : set of int
+        Chunks held but not announced yet that did not come from a peer.
     """
 
     __slots__ = (
@@ -238,9 +254,9 @@
             At least ``stall_after``, and ``STALL_FACTOR`` times the time an owner
             needs per chunk at the observed rate of new chunks. Owners queue at a slow
             origin link, and replacing a queued one would fetch its chunk twice. Only
-            hosts that read from the origin are counted: with all of 51 hosts counted
-            where 12 read, the timeout exceeded the elapsed time however many of 96
-            chunks had been seen, and 5 owners that the origin refused were never
+            hosts that read from the origin are counted: when all 51 hosts were counted
+            although 12 read from it, the timeout exceeded the elapsed time however many
+            of 96 chunks had been seen, and 5 owners that the origin refused were never
             replaced.
         """
         elapsed = max(self.now - self.started_at, 0.001)
@@ -344,10 +360,10 @@
             peer = self.participants.get(node)
             if peer is None or peer.outstanding >= limit or now < peer.avoid_deadline:
                 continue
-            far = peer.failure_domain != own
+            in_other_domain = peer.failure_domain != own
             rank = (
                 peer.outstanding,
-                far,
+                in_other_domain,
                 xxhash.xxh32_intdigest(f"{node}{index}".encode()),
             )
             if best_rank is None or rank < best_rank:
--- a/hawthornspoke/swarm/tests/test_exchange.py
+++ b/hawthornspoke/swarm/tests/test_exchange.py
@@ -60,14 +60,14 @@
         self.count = 0
         self.origin_free_at = 0.0
         for name in self.names:
-            want = TransferRequested(
+            request = TransferRequested(
                 digest="d",
                 chunks=chunks,
                 size=chunks,
                 participants=self.entries,
                 strategy=strategy,
             )
-            self.schedule(0.0, name, want)
+            self.schedule(0.0, name, request)
             self.schedule(TICK, name, Tick())
 
     def schedule(self, delay, name, message):
@@ -116,12 +116,12 @@
             return ChunkFailed(digest="d", index=fetch.index, cause="missing")
         return ChunkVerified(digest="d", index=fetch.index)
 
-    def query_holdings(self, ask):
-        if ask.node in self.dead:
-            return PeerUnreachable(digest="d", node=ask.node)
-        held = self.held[ask.node]
+    def query_holdings(self, query):
+        if query.node in self.dead:
+            return PeerUnreachable(digest="d", node=query.node)
+        held = self.held[query.node]
         return PeerAnnounced(
-            digest="d", node=ask.node, indices=tuple(held), held=len(held)
+            digest="d", node=query.node, indices=tuple(held), held=len(held)
         )
 
     def announce(self, name, outcome):
@@ -200,7 +200,7 @@
     readers_by_region = {"north": set(), "south": set()}
     for name, entry in hosts.items():
         swarm = Swarm(node=name, origin_slots=96)
-        want = TransferRequested(
+        request = TransferRequested(
             digest="d",
             chunks=96,
             size=96,
@@ -208,7 +208,7 @@
             region_by_domain=regions,
             strategy="regional",
         )
-        outcomes = swarm.step(want, now=0.0)
+        outcomes = swarm.step(request, now=0.0)
         if any(isinstance(item, FetchFromOrigin) for item in outcomes):
             readers_by_region[regions[entry.failure_domain]].add(name)
     assert {region: len(names) for region, names in readers_by_region.items()} == {
--- a/hawthornspoke/swarm/tests/test_origin_is_back.py
+++ b/hawthornspoke/swarm/tests/test_origin_backoff.py
@@ -23,10 +23,10 @@
 def refused_swarm():
     """Return a machine whose fetch from the origin failed at 1.0, and the chunk."""
     swarm = Swarm(node=NAMES[0], origin_slots=1, origin_avoid_for=AVOID_FOR)
-    want = TransferRequested(
+    request = TransferRequested(
         digest="d", chunks=CHUNKS, size=1, participants={n: host(n) for n in NAMES}
     )
-    (first,) = origin_reads(swarm.step(want, now=0.0))
+    (first,) = origin_reads(swarm.step(request, now=0.0))
     failed = ChunkFailed(digest="d", index=first, cause="failed")
     assert origin_reads(swarm.step(failed, now=1.0)) == []
     assert origin_reads(swarm.step(Tick(), now=1.5)) == []
@@ -42,8 +42,8 @@
     """
     swarm, first = refused_swarm()
     other = (first + 1) % CHUNKS
-    news = PeerAnnounced(digest="d", node=NAMES[1], indices=(other,), held=1)
-    assert len(origin_reads(swarm.step(news, now=1.6))) == 1
+    announcement = PeerAnnounced(digest="d", node=NAMES[1], indices=(other,), held=1)
+    assert len(origin_reads(swarm.step(announcement, now=1.6))) == 1
 
 
 def test_known_chunk_does_not_end_origin_backoff():
--- a/hawthornspoke/swarm/tests/test_regional_news.py
+++ b/hawthornspoke/swarm/tests/test_regional.py
@@ -75,7 +75,7 @@
             peer_slots=6,
             origin_slots=1,
         )
-        want = TransferRequested(
+        request = TransferRequested(
             digest="d",
             chunks=CHUNKS,
             size=CHUNKS,
@@ -87,7 +87,7 @@
                 for position in range(REGIONS)
             },
         )
-        self.schedule(0.0, name, want)
+        self.schedule(0.0, name, request)
 
     def restart(self, name):
         """Restart a host without any chunks."""
@@ -213,8 +213,8 @@
 def test_simulation_answers_holdings_queries():
     """The tests above are meaningful only if simulated hosts answer these queries."""
     network = LinkNetwork(5, initial_holdings={"host-001": (3,)})
-    ask = QueryHoldings(digest="d", node="host-001", address="x", port=1)
-    answer = network.query_holdings(ask)
+    query = QueryHoldings(digest="d", node="host-001", address="x", port=1)
+    answer = network.query_holdings(query)
     assert answer == PeerAnnounced(digest="d", node="host-001", indices=(3,), held=1)
 
 
@@ -231,7 +231,7 @@
     }
     shared = {"digest": "d", "region_by_domain": regions}
     swarm = Swarm(node="host-000", announce_every=0.0, origin_slots=CHUNKS)
-    want = TransferRequested(
+    request = TransferRequested(
         chunks=CHUNKS,
         size=CHUNKS,
         participants=hosts,
@@ -239,7 +239,7 @@
         origin_copies=2,
         **shared,
     )
-    swarm.step(want, now=0.0)
+    swarm.step(request, now=0.0)
     group = swarm.by_digest["d"].group_nodes()
     for index in range(CHUNKS):
         swarm.step(ChunkVerified(digest="d", index=index), now=0.1)
--- a/hawthornspoke/swarm/tests/test_restarted_peer.py
+++ b/hawthornspoke/swarm/tests/test_restarted_peer.py
@@ -41,12 +41,14 @@
     """
     swarm = Swarm(node="host-0", announce_every=0.1)
     hosts = {name: host(name) for name in NAMES}
-    want = TransferRequested(digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts)
-    swarm.step(want, now=0.0)
-    news = PeerAnnounced(
+    request = TransferRequested(
+        digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts
+    )
+    swarm.step(request, now=0.0)
+    announcement = PeerAnnounced(
         digest="d", node="host-1", indices=tuple(range(CHUNKS)), held=CHUNKS
     )
-    fetches = outcomes_of_type(swarm.step(news, now=0.1), FetchFromPeer)
+    fetches = outcomes_of_type(swarm.step(announcement, now=0.1), FetchFromPeer)
     assert {fetch.node for fetch in fetches} == {"host-1"}
     missing = ChunkFailed(digest="d", index=fetches[0].index, cause="missing")
     swarm.step(missing, now=0.2)
@@ -64,12 +66,16 @@
     """
     swarm = Swarm(node="host-0", announce_every=0.1)
     hosts = {name: host(name) for name in NAMES}
-    want = TransferRequested(digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts)
-    swarm.step(want, now=0.0)
-    news = PeerAnnounced(
+    request = TransferRequested(
+        digest="d", chunks=CHUNKS, size=CHUNKS, participants=hosts
+    )
+    swarm.step(request, now=0.0)
+    announcement = PeerAnnounced(
         digest="d", node="host-1", indices=tuple(range(CHUNKS)), held=CHUNKS
     )
-    fetches_in_flight = outcomes_of_type(swarm.step(news, now=0.1), FetchFromPeer)
+    fetches_in_flight = outcomes_of_type(
+        swarm.step(announcement, now=0.1), FetchFromPeer
+    )
     lost = []
     while fetches_in_flight:
         fetch = fetches_in_flight.pop()
