--- a/hawthornspoke/mirror/_watch.py
+++ b/hawthornspoke/mirror/_watch.py
@@ -6,7 +6,7 @@
 
 from hawthornspoke.base import boottime_clock, is_failure
 from hawthornspoke.catalog import UNKNOWN_TIME
-from hawthornspoke.mirror._platform_clock import PlatformClock
+from hawthornspoke.mirror._clock import PlatformClock
 from hawthornspoke.mirror._tables import Mirror
 from hawthornspoke.mirror._types import HISTORY_GONE, NOT_READING
 
--- a/hawthornspoke/mirror/tests/test_declaration_recorder.py
+++ b/hawthornspoke/mirror/tests/test_declaration_recorder.py
@@ -8,6 +8,7 @@
 from hawthornspoke.base import Failure, boottime_clock, is_failure
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.mirror import DeclarationRecorder, Row, RowWritten, TableUpdate
+from hawthornspoke.mirror._clock import PlatformClock
 from hawthornspoke.mirror._declaration_times import (
     MAX_VERSIONS,
     RECORD_TABLE,
@@ -16,7 +17,6 @@
     decode_record,
     encode_record,
 )
-from hawthornspoke.mirror._platform_clock import PlatformClock
 
 MADE_AT = 50.0
 REVISION = 40
--- a/hawthornspoke/mirror/tests/test_write_times.py
+++ b/hawthornspoke/mirror/tests/test_write_times.py
@@ -5,7 +5,7 @@
 from hawthornspoke.base import boottime_clock
 from hawthornspoke.catalog import UNKNOWN_TIME
 from hawthornspoke.mirror import Mirror, Row, TableUpdate
-from hawthornspoke.mirror._platform_clock import PlatformClock
+from hawthornspoke.mirror._clock import PlatformClock
 from hawthornspoke.mirror._watch import MIN_OUTAGE, NEIGHBOUR_WAIT
 from hawthornspoke.mirror.tests.test_watch import run_scenario, wait_until
 
