--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -30,7 +30,7 @@
 
 
 class _Entry:
-    """A request in quarantine, and the incarnations of endpoints that it crashed.
+    """A request in quarantine, with the endpoint incarnations that ended running it.
 
     ``until`` is the end of the quarantine in seconds on the platform's clock.
     """
@@ -44,7 +44,7 @@
 
 
 class QuarantineRecord:
-    """Reads the row when the process starts, and adds requests quarantined later.
+    """Reads the row when the process starts, and adds requests that this host finds.
 
     Entry hosts learn of quarantined requests from agents. Without the row, this
     information would be lost when all processes end at the same time, and the requests
--- a/hawthornspoke/mirror/tests/test_declaration_recorder.py
+++ b/hawthornspoke/mirror/tests/test_declaration_recorder.py
@@ -248,10 +248,10 @@
 def test_host_informed_by_a_neighbour_writes_nothing():
     """A host that received a version with its time from a neighbour does not write.
 
-    At its start each host reads the platform itself for some seconds. The answers from
-    then also give it a bound for later versions, though a much earlier one. When hosts
-    wrote these, 34 of 34 hosts wrote the row of a version and 31 of them had a
-    conflict.
+    At its start each host reads the platform itself for some seconds. With the answers
+    from then it can also compute bounds for later versions, though much too early ones.
+    When hosts wrote these, 34 of 34 hosts wrote the row of a version and 31 of them had
+    a conflict.
     """
     store = FakeStore(table_update())
     clock = clock_with_answer(19, made_at=20.5)
--- a/hawthornspoke/mirror/tests/test_tables.py
+++ b/hawthornspoke/mirror/tests/test_tables.py
@@ -86,9 +86,9 @@
     """An outdated whole table of a neighbour does not replace newer rows.
 
     A host has read that one endpoint has restarted, another is gone and a third one is
-    new. It then loses its position in the feed and queries a neighbour that was
+    new. It then has to read the whole table again and queries a neighbour that was
     suspended, which answers with its old table. Rows have to be compared by revision;
-    otherwise the earlier start of the endpoint would be in the list again.
+    otherwise the earlier incarnation of the endpoint would be in the table again.
     """
     mirror = Mirror()
     old = TableUpdate(rows=[row("a", 3, b"first"), row("b", 4)], revision=5, whole=True)
--- a/hawthornspoke/mirror/tests/test_watch.py
+++ b/hawthornspoke/mirror/tests/test_watch.py
@@ -187,7 +187,7 @@
 def test_asker_confirms_no_later_than_its_reader():
     """An answer is confirmed as of the reader's own answer of the platform.
 
-    When it was confirmed as of its arrival, a revoked key was trusted for too long.
+    When it was confirmed as of its arrival, a revoked key was accepted for too long.
     """
 
     async def scenario(reader, asker):
@@ -380,8 +380,8 @@
 
     A change is answered to all hosts at the same time. With equal waits all later
     answers were simultaneous as well, so that a version declared just before the next
-    answers was dated 0.6 s too early by every host, and old weights were given up half
-    a second before they had to be.
+    answers was dated 0.6 s too early by every host, and old weights were refused half
+    a second earlier than necessary.
     """
 
     async def scenario(reader, asker):
--- a/hawthornspoke/swarm/_messages.py
+++ b/hawthornspoke/swarm/_messages.py
@@ -110,7 +110,7 @@
     index : int
     cause : str
         ``"corrupt"``, ``"busy"`` (the peer serves too many fetches), ``"missing"`` (the
-        peer does not hold the chunk), ``"unreachable"`` or ``"failed"``.
+        source does not have the chunk), ``"unreachable"`` or ``"failed"``.
     """
 
     digest: str
--- a/hawthornspoke/swarm/_planner.py
+++ b/hawthornspoke/swarm/_planner.py
@@ -331,7 +331,7 @@
 
     def _plan_peers(self, transfer, indices, *, now):
         if self._peer_fetches >= self.peer_slots:
-            # The case for most announcements during a transfer.
+            # True for most announcements during a transfer.
             return []
         outcomes = []
         for index in itertools.chain(
--- a/hawthornspoke/swarm/_strategies.py
+++ b/hawthornspoke/swarm/_strategies.py
@@ -16,7 +16,7 @@
 #: itself is unreachable.
 OWNERS_PER_CHUNK = 8
 
-#: Number of owners of a chunk, in order, that probe the owners before them.
+#: Number of leading owners of a chunk that probe the owners before them.
 PROBING_OWNERS = 2
 
 
