--- a/hawthornspoke/config/__init__.py
+++ b/hawthornspoke/config/__init__.py
@@ -1,4 +1,4 @@
-"""Declarations in a folder of TOML files, and the document built from them."""
+"""Declarations from a folder of TOML files, and their configuration document."""
 
 from hawthornspoke.config._document import (
     ServiceView,
--- a/hawthornspoke/config/_document.py
+++ b/hawthornspoke/config/_document.py
@@ -1,4 +1,4 @@
-"""Documents: accepted declarations with every version pinned to a digest."""
+"""Configuration documents: declarations with every version pinned to a digest."""
 
 import fnmatch
 import json
@@ -37,7 +37,7 @@
         self.sources = dict(table.get("sources", {}))
 
     def runs_on(self, host):
-        """Return whether the service is declared for a host.
+        """Return whether a host matches one of the service's host patterns.
 
         Parameters
         ----------
@@ -65,7 +65,7 @@
         return organisation in allowed or "*" in allowed
 
     def required_digests(self):
-        """Return the digests of the weights that a host of the service has to hold.
+        """Return the digests of the weights that each host of the service must hold.
 
         Returns
         -------
@@ -89,11 +89,11 @@
         -------
         bool
             True for the declared digest and for previous ones, which hosts serve
-            until they have changed over.
+            until they have loaded the declared weights.
         """
         if adapter:
-            before = self.table.get("previous_adapters", {}).get(adapter, ())
-            return digest == self.adapters.get(adapter) or digest in before
+            previous_digests = self.table.get("previous_adapters", {}).get(adapter, ())
+            return digest == self.adapters.get(adapter) or digest in previous_digests
         return digest == self.digest or digest in self.previous
 
     def live_key(self, adapter=""):
@@ -119,9 +119,9 @@
     tree : dict
         Valid declarations.
     digest_by_source : dict of str to str
-        Digest of the manifest of each source at the time of acceptance.
+        Digest of each source's manifest, as read when the declarations are accepted.
     previous : dict or None, default=None
-        The previously active document.
+        The document that the new one replaces, if any.
 
     Returns
     -------
@@ -156,19 +156,22 @@
     return table
 
 
-def _add_previous(table, before):
-    if before is None or table["kind"] != "model":
+def _add_previous(table, previous_table):
+    if previous_table is None or table["kind"] != "model":
         return
-    earlier_digests = [before.get("digest"), *before.get("previous", ())]
-    # Two previous versions are kept: if the configuration changes during a
-    # changeover, hosts that still serve the oldest version remain valid.
+    earlier_digests = [
+        previous_table.get("digest"),
+        *previous_table.get("previous", ()),
+    ]
+    # Two previous digests are kept: if the version changes again before all hosts
+    # have loaded it, responses from hosts that still serve the oldest one are valid.
     outdated_digests = [
         digest for digest in earlier_digests if digest and digest != table["digest"]
     ]
     table["previous"] = list(dict.fromkeys(outdated_digests))[:2]
     table["previous_adapters"] = {}
     for adapter, digest in table["adapter_digests"].items():
-        previous_digest = before.get("adapter_digests", {}).get(adapter)
+        previous_digest = previous_table.get("adapter_digests", {}).get(adapter)
         if previous_digest and previous_digest != digest:
             table["previous_adapters"][adapter] = [previous_digest]
 
@@ -209,7 +212,7 @@
     ----------
     data : bytes
     digest : str
-        Requested digest. The bytes may come from any node, since a wrong or
+        Expected digest. It makes data from any node safe to use, since a wrong or
         truncated copy has another digest.
 
     Returns
@@ -217,7 +220,7 @@
     dict or Failure
     """
     if digest_of(data) != digest:
-        return BAD_DOCUMENT.with_reason(f"bytes are not those of {digest[:12]}")
+        return BAD_DOCUMENT.with_reason(f"data does not have digest {digest[:12]}")
     try:
         return json.loads(zlib.decompress(data))
     except (ValueError, zlib.error) as error:
--- a/hawthornspoke/config/_loader.py
+++ b/hawthornspoke/config/_loader.py
@@ -21,7 +21,7 @@
     overridden_by_key : dict of tuple of str to list of str
         Files whose value of a key was overridden, in order.
     failures : list of Failure
-        Files that could not be read.
+        Files that could not be read or parsed.
     """
 
     __slots__ = ("tree", "file_by_key", "overridden_by_key", "failures")
@@ -33,7 +33,7 @@
         self.failures = failures
 
     def file_of(self, path):
-        """Return the file that sets a key, a key below it, or its nearest table.
+        """Return the file that sets a key, or its nearest table if the key is missing.
 
         Parameters
         ----------
@@ -44,7 +44,7 @@
         str
         """
         for length in range(len(path), 0, -1):
-            # A missing key is in no file, but its table is.
+            # No file sets a missing key, but one may set other keys of its table.
             prefix = path[:length]
             files = [
                 file for key, file in self.file_by_key.items() if key[:length] == prefix
@@ -64,7 +64,7 @@
     Returns
     -------
     Declarations
-        With one failure for each file that can't be read.
+        With a failure for each file that can't be read or parsed.
     """
     merged = Declarations(tree={}, file_by_key={}, overridden_by_key={}, failures=[])
     if not folder.is_dir():
--- a/hawthornspoke/config/_manifest.py
+++ b/hawthornspoke/config/_manifest.py
@@ -1,4 +1,4 @@
-"""Manifests, whose digest over the ordered chunk digests identifies a version."""
+"""Manifests of weights; the digest of its manifest identifies a version."""
 
 import json
 
--- a/hawthornspoke/config/_schema.py
+++ b/hawthornspoke/config/_schema.py
@@ -8,7 +8,7 @@
 TEXT_LIST = Bounds(kind=list)
 TABLE = Bounds(kind=dict)
 
-PRIORITY_LOWEST = 7
+LOWEST_PRIORITY = 7
 
 ROLLOUT = {
     "strategy": Bounds(kind=str, choices=("scatter", "chain", "origin")),
@@ -29,13 +29,13 @@
     "max_unavailable": Bounds(kind=int, low=1),
     "reports_load": Bounds(kind=bool),
     "checks_fencing": Bounds(kind=bool),
-    "burst_priority": Bounds(kind=int, low=0, high=PRIORITY_LOWEST),
+    "burst_priority": Bounds(kind=int, low=0, high=LOWEST_PRIORITY),
 }
 ORGANISATION = {
     "key_sha256": TEXT,
     "requests_per_second": Bounds(kind=(int, float), low=0),
     "burst": Bounds(kind=(int, float), low=1),
-    "lowest_urgency": Bounds(kind=int, low=0, high=PRIORITY_LOWEST),
+    "lowest_urgency": Bounds(kind=int, low=0, high=LOWEST_PRIORITY),
 }
 REQUIRED = {
     "failure_domains": ("region",),
@@ -63,8 +63,8 @@
     Returns
     -------
     list of Failure
-        Empty if the folder may be applied. Each reason names the file and the key,
-        and the found and accepted values.
+        Empty if the declarations are valid. Each reason names the file and the key,
+        and for an invalid value what is accepted.
     """
     validator = _Validator(declarations=declarations)
     validator.run()
@@ -126,9 +126,11 @@
                 self._add_failure((*path, key), f"unknown key; accepted: {accepted}")
 
     def _check_model(self, path, model):
-        for part, schema in (("versions", VERSION), ("adapters", ADAPTER)):
-            for name, table in self._iter_subtables(path, model, part):
-                self._check_table((*path, part, name), table, schema, REQUIRED[part])
+        for subsection, schema in (("versions", VERSION), ("adapters", ADAPTER)):
+            for name, table in self._iter_subtables(path, model, subsection):
+                self._check_table(
+                    (*path, subsection, name), table, schema, REQUIRED[subsection]
+                )
         versions = model.get("versions", {})
         for name, adapter in self._iter_subtables(path, model, "adapters"):
             base = adapter.get("base")
@@ -136,8 +138,8 @@
                 key_path = (*path, "adapters", name, "base")
                 self._add_failure(key_path, f"no version {base!r} of this model")
 
-    def _iter_subtables(self, path, table, part):
-        tables = table.get(part, {})
+    def _iter_subtables(self, path, table, subsection):
+        tables = table.get(subsection, {})
         if not isinstance(tables, dict):
             return
         for name, item in tables.items():
@@ -145,7 +147,7 @@
                 yield name, item
             else:
                 self._add_failure(
-                    (*path, part, name), f"expected a table, got {item!r}"
+                    (*path, subsection, name), f"expected a table, got {item!r}"
                 )
 
     def _check_service(self, path, service):
