--- a/hawthornspoke/config/tests/test_config.py
+++ b/hawthornspoke/config/tests/test_config.py
@@ -103,11 +103,11 @@
 
 def test_document_pins_digests_and_keeps_previous_ones(tmp_path):
     declarations = write(tmp_path, a10=BASE)
-    digest_by_source = {"m-v1": "d1", "m-v2": "d2", "m-a": "da"}
-    first = build_document(tree=declarations.tree, digest_by_source=digest_by_source)
+    digests = {"m-v1": "d1", "m-v2": "d2", "m-a": "da"}
+    first = build_document(tree=declarations.tree, digest_by_source=digests)
     second = build_document(
         tree=declarations.tree,
-        digest_by_source={**digest_by_source, "m-v1": "d1b"},
+        digest_by_source={**digests, "m-v1": "d1b"},
         previous=first,
     )
     view = ServiceView(name="s", table=second["services"]["s"])
--- a/hawthornspoke/protocol/_codec.py
+++ b/hawthornspoke/protocol/_codec.py
@@ -8,7 +8,7 @@
 
 #: Maximum number of items of a list or map. Real lists of members and endpoints have
 #: some thousands. The decoder allocates as many items as a message claims before it
-#: reads the first, so eight bytes of an untrusted sender could request 16 GB.
+#: reads the first, so eight bytes from an untrusted sender could allocate 16 GB.
 MAX_CONTAINER_ITEMS = 100_000
 
 
@@ -59,7 +59,7 @@
     try:
         message.read(PROTOCOL_FACTORY.getProtocol(TMemoryBuffer(data)))
     except Exception:
-        # A datagram may come from any sender, and the decoder raises many kinds of
-        # exceptions. Invalid data is dropped, never used partly decoded.
+        # A datagram may come from any sender, and the decoder raises exceptions of
+        # many types. Invalid data is discarded, so no partly decoded struct is used.
         return None
     return message
--- a/hawthornspoke/protocol/_connection.py
+++ b/hawthornspoke/protocol/_connection.py
@@ -1,4 +1,4 @@
-"""Outgoing Thrift connections with one call at a time."""
+"""Thrift client connections, each with one call at a time."""
 
 import threading
 
@@ -11,7 +11,7 @@
 from hawthornspoke.protocol._failures import NOT_SENT, REPLY_LOST, TOO_LATE
 from hawthornspoke.protocol._gen.Node import Client
 
-#: Seconds within which a connection must open. Packets to an unreachable failure
+#: Maximum time to open a connection, in seconds. Packets to an unreachable failure
 #: domain are dropped, so without a limit each request to it would hang for minutes.
 CONNECT_TIMEOUT = 0.5
 
@@ -19,7 +19,7 @@
 
 
 class Connection:
-    """One TCP connection to a node, used by one thread.
+    """One TCP connection to a node, opened by the first call; not thread-safe.
 
     Parameters
     ----------
@@ -46,8 +46,8 @@
         deadline : float
             On the monotonic clock.
         precheck : callable or None, default=None
-            Called after the connection is open; returns a Failure if the call must
-            not be sent any more, otherwise None.
+            Called once the connection is open; returns a Failure if the call must no
+            longer be sent, otherwise None.
 
         Returns
         -------
@@ -61,12 +61,12 @@
         if PARTITION.blocks(self.address):
             self.close()
             return NOT_SENT.with_reason(f"{self.address} is cut off")
-        opened = self._open(remaining)
-        if is_failure(opened):
-            return opened
+        open_failure = self._open(remaining)
+        if is_failure(open_failure):
+            return open_failure
         # Connecting takes time, and the process may have been paused. The deadline is
-        # checked again, since a call sent after it would run for a caller that has
-        # already been given another result.
+        # checked again, since a call sent after it would run although its caller has
+        # already received another result.
         failure = precheck() if precheck is not None else None
         if failure is not None:
             return failure
@@ -106,7 +106,7 @@
 class ConnectionPool:
     """Pool of idle connections by node address.
 
-    A connection has one user at a time.
+    Each connection is used by one caller at a time.
 
     Parameters
     ----------
@@ -140,7 +140,7 @@
         return Connection(address=address, port=port)
 
     def release_connection(self, connection):
-        """Return a connection whose last reply was read completely.
+        """Put a connection back whose last reply was read completely.
 
         Parameters
         ----------
@@ -148,9 +148,9 @@
 
         Notes
         -----
-        On a connection with an unread reply the next request would receive that late
-        reply. :meth:`Connection.call` closes the connection on every failure, so a
-        returned connection has no unread data.
+        On a connection with an unread reply, the next call would receive that reply
+        as its own. :meth:`Connection.call` closes the connection when a reply is lost,
+        so a connection that is put back has no unread data.
         """
         key = (connection.address, connection.port)
         with self._lock:
--- a/hawthornspoke/protocol/_datagrams.py
+++ b/hawthornspoke/protocol/_datagrams.py
@@ -71,7 +71,8 @@
         Returns
         -------
         tuple of (Datagram or None, (str, int)) or None
-            None after :meth:`close`. The datagram is None if it can't be decoded.
+            None if the socket is closed or can't be read. The datagram is None if it
+            can't be decoded.
         """
         try:
             data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1024)
@@ -83,12 +84,12 @@
         return decode(Datagram, data), source
 
     def close(self):
-        """Close the socket and wake a waiting :meth:`receive`."""
+        """Close the socket and unblock a waiting :meth:`receive`."""
         if self._socket is None:
             return
         try:
             # Closing a socket does not interrupt a blocked recvfrom; an empty
-            # datagram to the own address does.
+            # datagram to the socket's own address does.
             self._socket.sendto(b"", (self.address, self.port))
         except OSError:
             pass
--- a/hawthornspoke/protocol/_failures.py
+++ b/hawthornspoke/protocol/_failures.py
@@ -1,4 +1,4 @@
-"""Failures of calls to other processes, by what the caller can conclude."""
+"""Failures of calls to other processes, by whether the call may have run."""
 
 from hawthornspoke.base import Failure
 
@@ -11,5 +11,6 @@
 #: The deadline passed before the call; nothing was sent.
 TOO_LATE = Failure(code="too_late")
 
-#: The engine's process exited during the request; the reason identifies the exit.
+#: The engine's process exited during the request; the reason is an identifier of that
+#: exit.
 ENGINE_ENDED = Failure(code="engine_ended")
--- a/hawthornspoke/protocol/_server.py
+++ b/hawthornspoke/protocol/_server.py
@@ -28,7 +28,7 @@
 
     Notes
     -----
-    The threaded server of the Thrift library can neither be stopped nor close its
+    The Thrift library's threaded server can neither be stopped nor close its
     connections; a draining process has to do both.
     """
 
@@ -43,7 +43,7 @@
         self._lock = threading.Lock()
 
     def open(self):
-        """Bind and start accepting.
+        """Bind the address and start accepting connections.
 
         Raises
         ------
@@ -79,7 +79,7 @@
     def is_caller_disconnected():
         """Return whether the caller has closed its connection.
 
-        To be called within a handler.
+        Must be called on the handler's thread.
 
         Returns
         -------
@@ -90,9 +90,9 @@
 
     @staticmethod
     def caller_check():
-        """Return a function that checks the caller from other threads.
+        """Return a function that checks for a disconnect, callable from any thread.
 
-        To be called within a handler.
+        Must itself be called on the handler's thread.
 
         Returns
         -------
@@ -120,9 +120,9 @@
         with self._lock:
             self._sockets.add(connection)
         _thread_state.connection = connection
-        handle = TSocket()
-        handle.setHandle(connection)
-        transport = TFramedTransport(handle)
+        thrift_socket = TSocket()
+        thrift_socket.setHandle(connection)
+        transport = TFramedTransport(thrift_socket)
         protocol = PROTOCOL_FACTORY.getProtocol(transport)
         processor = Processor(self.handler)
         try:
--- a/hawthornspoke/protocol/tests/structs.py
+++ b/hawthornspoke/protocol/tests/structs.py
@@ -12,7 +12,7 @@
 
 
 def structs(kind):
-    """Return a strategy for structs of a class; any field may be None."""
+    """Return a strategy for instances of a struct class; any field may be None."""
     fields = {
         spec[2]: st.one_of(st.none(), _values(spec[1], spec[3]))
         for spec in kind.thrift_spec
@@ -21,12 +21,12 @@
     return st.builds(kind, **fields)
 
 
-def _values(code, detail):
-    if code in SCALARS:
-        return SCALARS[code]
-    if code == TType.STRING:
-        binary = detail == "BINARY"
+def _values(type_code, type_args):
+    if type_code in SCALARS:
+        return SCALARS[type_code]
+    if type_code == TType.STRING:
+        binary = type_args == "BINARY"
         return st.binary(max_size=6) if binary else st.text(max_size=6)
-    if code == TType.LIST:
-        return st.lists(_values(detail[0], detail[1]), max_size=2)
-    return structs(detail[0])
+    if type_code == TType.LIST:
+        return st.lists(_values(type_args[0], type_args[1]), max_size=2)
+    return structs(type_args[0])
