--- a/hawthornspoke/store/_hosts.py
+++ b/hawthornspoke/store/_hosts.py
@@ -40,7 +40,7 @@
 class HostListClient:
     """Reads the host list with conditional requests (ETag).
 
-    An unchanged list is answered with 304 and without a body.
+    The response for an unchanged list is 304 without a body.
 
     Parameters
     ----------
--- a/hawthornspoke/store/_http.py
+++ b/hawthornspoke/store/_http.py
@@ -19,7 +19,7 @@
     timeout : float, default=2.0
         Read timeout in seconds.
     connections : int, default=4
-        Connections kept per host.
+        Maximum number of idle connections kept open.
     """
 
     __slots__ = ("url", "timeout", "connections", "_host", "_pool")
--- a/hawthornspoke/store/_origin.py
+++ b/hawthornspoke/store/_origin.py
@@ -1,4 +1,4 @@
-"""Client for the weight origin: HTTP with byte ranges."""
+"""Client for the weight origin, from which weights are read by HTTP byte ranges."""
 
 from hawthornspoke.base import is_failure
 from hawthornspoke.store._failures import NOT_FOUND, UNAVAILABLE
--- a/hawthornspoke/store/_table.py
+++ b/hawthornspoke/store/_table.py
@@ -29,8 +29,8 @@
     absent : bool, default=False
         The row must not exist.
     equals : dict or None, default=None
-        Required attribute values. Combined with ``absent``, either condition
-        suffices.
+        Required value by attribute name. With ``absent`` too, one of the two
+        conditions suffices.
     """
 
     __slots__ = ("absent", "equals")
@@ -40,7 +40,7 @@
         self.equals = equals
 
     def to_request(self):
-        """Return the condition as request parameters.
+        """Return the condition as parameters of a ``Put`` request.
 
         Returns
         -------
@@ -171,7 +171,7 @@
 
 
 def _error_to_failure(response):
-    """Convert an error response of the table to a failure."""
+    """Convert an error response from the table to a failure."""
     error = _parse_json(response.data, None) or {}
     error_type = str(error.get("__type", ""))
     if any(name in error_type for name in CONFLICT_ERRORS):
--- a/hawthornspoke/web/_server.py
+++ b/hawthornspoke/web/_server.py
@@ -1,4 +1,4 @@
-"""A cheroot server that passes typed requests to one handler."""
+"""HTTP server that passes each request to one handler, based on cheroot."""
 
 import threading
 from http import HTTPStatus
@@ -12,16 +12,16 @@
 CONNECTION_KEY = "hawthornspoke.connection"
 SHUTDOWN_TIMEOUT_SECONDS = 1.0
 
-#: Interval in seconds at which the number of idle workers is checked.
+#: Interval in seconds at which the number of idle worker threads is checked.
 POOL_CHECK_SECONDS = 0.2
 
-#: When fewer than MIN_IDLE_WORKERS workers are idle, POOL_GROWTH more are started.
+#: If fewer than MIN_IDLE_WORKERS threads are idle, POOL_GROWTH more are started.
 MIN_IDLE_WORKERS = 8
 POOL_GROWTH = 16
 
 
 class _Gateway(Gateway_10):
-    """Adds the client socket to the environ, so that disconnects can be detected."""
+    """Adds the client socket to the WSGI environ, to detect disconnects."""
 
     def get_environ(self):
         environ = super().get_environ()
@@ -83,18 +83,18 @@
             ).start()
 
     def close(self):
-        """Stop serving; responses in progress are aborted."""
+        """Stop serving; abort responses that outlast the shutdown timeout."""
         if self._server is not None:
             self._server.stop()
 
     def _grow_pool(self):
         """Grow the thread pool on demand; cheroot does not do so by itself."""
         pool = self._server.requests
-        stop = threading.Event()
+        timer = threading.Event()
         while self._server.ready:
             if pool.idle < MIN_IDLE_WORKERS and len(pool._threads) < self.threads:
                 pool.grow(POOL_GROWTH)
-            stop.wait(POOL_CHECK_SECONDS)
+            timer.wait(POOL_CHECK_SECONDS)
 
     def _wsgi_app(self, environ, start_response):
         request, error_response = self._read_request(environ)
--- a/hawthornspoke/web/_types.py
+++ b/hawthornspoke/web/_types.py
@@ -62,9 +62,9 @@
     status : int, default=200
     headers : dict of str to str or None, default=None
     body : bytes or iterator of bytes, default=b""
-        An iterator is streamed with chunked encoding. If it raises, the
-        connection is closed without the final chunk, so that the client
-        detects the truncation.
+        An iterator is streamed with chunked transfer encoding. If it raises, the
+        connection is closed without the final chunk, so that the client detects the
+        truncation.
     """
 
     __slots__ = ("status", "headers", "body")
