--- a/hawthornspoke/operator/_apply.py
+++ b/hawthornspoke/operator/_apply.py
@@ -1,4 +1,4 @@
-"""Accept a folder of declarations as the next revision."""
+"""Acceptance of a folder of declarations as the next revision."""
 
 import time
 import uuid
@@ -24,22 +24,25 @@
 
 HISTORY_PREFIX = "history#"
 
-#: Attempts to read back a write whose response was lost, and seconds between polls.
+#: Number of attempts to read back a write whose response was lost.
 READ_BACK_TRIES = 5
+
+#: Seconds between these attempts, and between reads of the fleet's status.
 POLL_INTERVAL = 0.2
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ApplyAccepted:
-    """The folder is the accepted configuration.
+    """The folder was accepted, or is the current configuration already.
 
     Parameters
     ----------
     revision : int
+        The accepted or current revision.
     digest : str
         Digest of the configuration document.
     changed : bool
-        False if the same configuration was already in force.
+        False if the folder is the current configuration already.
     """
 
     revision: int
@@ -70,7 +73,7 @@
     Parameters
     ----------
     token : str
-        Identifies the write in the history if it succeeded.
+        Random identifier of the write; in the history if the write succeeded.
     """
 
     token: str
@@ -86,7 +89,8 @@
     author : str
         Stored with the revision and shown to operators whose write conflicts with it.
     base : int or None, default=None
-        Revision on which the folder is based; None uses the current revision.
+        Revision on which the folder is based; if another one is current, the result
+        is ``ApplyConflict``. None for whichever is current.
 
     Returns
     -------
@@ -116,7 +120,7 @@
 
 
 def wait_until_in_force(*, clients, revision, deadline, report):
-    """Wait until a revision is in force on every listed host.
+    """Wait until a revision is in force on every host of the host list.
 
     Parameters
     ----------
@@ -130,7 +134,7 @@
     Returns
     -------
     list of str or Failure
-        Hosts on which it is not in force, with the reason; empty if it is on all.
+        Hosts on which it isn't in force at the deadline, each with the reason.
     """
     while True:
         fleet = read_fleet(clients)
@@ -141,7 +145,9 @@
             for item in fleet
             if item.status is None or (item.status.in_force or 0) < revision
         ]
-        report(f"{len(fleet) - len(behind)} of {len(fleet)} hosts at {revision}")
+        report(
+            f"{len(fleet) - len(behind)} of {len(fleet)} hosts at revision {revision}"
+        )
         if not behind or monotonic() >= deadline:
             return behind
         _sleep()
@@ -182,13 +188,13 @@
 
 
 def _read_back(clients, new_row, document):
-    """Determine by its token whether a write with unknown outcome succeeded."""
+    """Determine by its token whether an unconfirmed or rejected write succeeded."""
     history_key = f"{HISTORY_PREFIX}{new_row['revision']}"
     for _ in range(READ_BACK_TRIES):
         written = clients.table.get(history_key)
         if written == NOT_FOUND:
-            # Not written yet. The request may still be in transit, so a missing row
-            # doesn't prove that the write failed.
+            # The request may still be in transit, so a missing row doesn't prove that
+            # the write failed.
             _sleep()
             continue
         if is_failure(written):
@@ -225,7 +231,7 @@
 def _behind_reason(item):
     if item.status is None:
         return item.problem
-    return f"at {item.status.in_force or 0}"
+    return f"at revision {item.status.in_force or 0}"
 
 
 def _sleep():
--- a/hawthornspoke/operator/_fleet.py
+++ b/hawthornspoke/operator/_fleet.py
@@ -1,4 +1,4 @@
-"""Calls to the hosts of the platform's host list."""
+"""Calls to the hosts in the platform's host list."""
 
 from concurrent.futures import ThreadPoolExecutor
 
--- a/hawthornspoke/operator/_pin.py
+++ b/hawthornspoke/operator/_pin.py
@@ -1,4 +1,4 @@
-"""Pinning of declared sources to their current manifests."""
+"""Pinning of declared weight sources to their current manifests."""
 
 from hawthornspoke.base import Failure, is_failure
 from hawthornspoke.config import parse_manifest
@@ -21,7 +21,8 @@
     -------
     dict of str to str, list of Failure, or Failure
         Manifest digest by source. Later changes at the origin have no effect, as hosts
-        accept only chunks of this manifest. A list of failures if sources are invalid.
+        accept only chunks of this manifest. A list of failures if sources are invalid,
+        one failure if a request to the platform fails.
     """
     digests, failures = {}, []
     for source in sorted(_sources(tree)):
--- a/hawthornspoke/operator/_plan.py
+++ b/hawthornspoke/operator/_plan.py
@@ -1,4 +1,4 @@
-"""Changes that accepting a folder would make, and the source file of each key."""
+"""Changes that accepting a folder would make, and the file that sets each key."""
 
 from hawthornspoke.base import is_failure
 from hawthornspoke.config import (
@@ -15,7 +15,7 @@
 
 
 def read_in_force(clients):
-    """Return the row of the accepted revision and its document.
+    """Return the table row of the accepted revision and its document.
 
     Parameters
     ----------
@@ -39,7 +39,7 @@
 
 
 def flatten_tree(tree, path=()):
-    """Return the leaves of a nested table by key path.
+    """Return the leaf values of nested tables by key path.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
 
 
 def diff_documents(old_document, new_document):
-    """Return the differences between two documents.
+    """Return the differences between two configuration documents.
 
     Parameters
     ----------
--- a/hawthornspoke/operator/_status.py
+++ b/hawthornspoke/operator/_status.py
@@ -1,6 +1,8 @@
-"""Status page: live replicas, progress of weights, and unreachable hosts."""
+"""Fleet status as text: live replicas, weight progress, unreachable hosts."""
 
 BAR_WIDTH = 20
+
+#: Hosts report the progress of their weights in permille.
 FULL_PROGRESS = 1000
 MAX_SLOWEST_HOSTS = 3
 
