--- a/hawthornspoke/cli/_app.py
+++ b/hawthornspoke/cli/_app.py
@@ -13,7 +13,7 @@
 
 app = App(
     name="hawthornspoke",
-    help="Weight distribution system for bursts.",
+    help="Distribute model weights to many hosts and route requests to them.",
     version=__version__,
 )
 standin = App(
@@ -21,7 +21,7 @@
 )
 app.command(standin)
 
-#: ``--set key=value``; may be repeated.
+#: Settings given as ``--set key=value``; the flag may be repeated.
 Overrides = Annotated[
     list[str],
     Parameter(name="--set", help="key=value; overrides file and environment."),
@@ -67,7 +67,7 @@
 
 @app.command
 def explain(request: str, logs: list[Path]):
-    """Show the log lines of one request from all hosts in order of time.
+    """Show the log lines of one request from all hosts in chronological order.
 
     Parameters
     ----------
@@ -82,7 +82,9 @@
     for line in lines:
         print(line)
     if not lines:
-        print(f"no log line of request {request} in {len(logs)} paths", file=sys.stderr)
+        print(
+            f"no log lines of request {request} in {len(logs)} paths", file=sys.stderr
+        )
         return codes.FAILED
     return codes.OK
 
@@ -94,15 +96,15 @@
     json: bool = False,
     plot: Path | None = None,
 ):
-    """Show the activity of a fleet per second, from the collected logs of all hosts.
+    """Show a fleet's activity in each second, from the collected logs of all hosts.
 
     Parameters
     ----------
     logs
         Files, or folders of files, of structured log lines.
     version_bound
-        Seconds after a declaration within which its weights must be in place; taken
-        from the logs by default.
+        Seconds after a version's declaration from which no older version may answer
+        requests; taken from the logs by default.
     json
         Print a JSON object instead of a table.
     plot
@@ -161,7 +163,7 @@
         return _print_failures(lines.failures)
     if is_failure(lines):
         return _print_platform_failure(lines)
-    print("in force now and after:" if lines else "nothing would change")
+    print("changes to the revision in force:" if lines else "nothing would change")
     for line in lines:
         print(line)
     return codes.OK
@@ -271,7 +273,7 @@
     overrides: Overrides | None = None,
     reason: str = "drain by an operator",
 ):
-    """Stop new work on a host; requests in progress are completed."""
+    """Stop sending new work to a host; requests in progress are completed."""
     return _call_host(host, platform, overrides, "drain", reason)
 
 
@@ -299,7 +301,7 @@
     chunk_size: int = 16384,
     origin_rate: float = 0.0,
 ):
-    """Simulate the platform: table, object store, host list, origin of weights."""
+    """Simulate the platform: table, object store, host list and weight origin."""
     from hawthornspoke.standins import Platform
 
     return _serve(
@@ -344,7 +346,7 @@
     """Simulate several model engines in one process, one at each address."""
     from hawthornspoke.standins import Engine
 
-    engines = [Engine(address=item, port=port, slots=slots) for item in addresses]
+    engines = [Engine(address=address, port=port, slots=slots) for address in addresses]
     for engine in engines[1:]:
         engine.open()
     return _serve(engines[0])
--- a/hawthornspoke/cli/_apply.py
+++ b/hawthornspoke/cli/_apply.py
@@ -1,4 +1,4 @@
-"""``hawthornspoke apply``: messages and exit codes for its outcomes."""
+"""Messages and exit codes of ``hawthornspoke apply``."""
 
 import sys
 
@@ -23,7 +23,8 @@
     author : str
     base : int or None
     wait : float
-        Seconds to wait until the revision is in force on all hosts; 0 for none.
+        Maximum time in seconds to wait until the revision is in force on all hosts;
+        0 doesn't wait.
 
     Returns
     -------
@@ -64,7 +65,7 @@
 
 def _print_accepted(outcome, clients, wait):
     assert isinstance(outcome, ApplyAccepted)
-    state = "accepted" if outcome.changed else "in force already"
+    state = "accepted" if outcome.changed else "is already in force"
     print(f"revision {outcome.revision} {state}, document {outcome.digest[:12]}")
     if not wait:
         return codes.OK
@@ -78,7 +79,7 @@
         print(f"hawthornspoke: platform: {behind.reason}", file=sys.stderr)
         return codes.PLATFORM_UNAVAILABLE
     if behind:
-        print("not there yet: " + ", ".join(behind), file=sys.stderr)
+        print("not yet in force on: " + ", ".join(behind), file=sys.stderr)
         return codes.NOT_IN_FORCE
     print("in force on every listed host")
     return codes.OK
--- a/hawthornspoke/cli/_exit_codes.py
+++ b/hawthornspoke/cli/_exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes, documented for operators."""
+"""Exit codes of the commands, as documented for operators."""
 
 OK = 0
 FAILED = 1
--- a/hawthornspoke/cli/_logs.py
+++ b/hawthornspoke/cli/_logs.py
@@ -1,4 +1,4 @@
-"""Logging to standard error; only state changes are logged."""
+"""Logging to standard error: state changes and unexpected errors, not each request."""
 
 import logging
 import sys
@@ -9,7 +9,7 @@
 
 
 def configure_logging(level):
-    """Send log lines of a level and above to standard error.
+    """Log to standard error at a level and above.
 
     Parameters
     ----------
--- a/hawthornspoke/cli/_platform.py
+++ b/hawthornspoke/cli/_platform.py
@@ -19,8 +19,8 @@
     Returns
     -------
     tuple of (PlatformClients or None, int)
-        Clients and exit code; None if the settings are invalid, after printing the
-        errors.
+        Clients and exit code. If the settings are invalid, the errors are printed and
+        the clients are None.
     """
     settings, failures = load_settings(
         role="operator", file=file, environment=os.environ, flags=overrides or []
--- a/hawthornspoke/cli/tests/test_cli.py
+++ b/hawthornspoke/cli/tests/test_cli.py
@@ -74,9 +74,10 @@
 
 
 def test_demo_with_port_in_use_exits_instead_of_hanging():
-    """Guards against a process that fails to start but hangs instead of exiting.
+    """Guards against a demo that hangs after a failed start instead of exiting.
 
-    One of its ports is in use after some tasks were started, and they were not closed.
+    The port was found in use after some servers and agents had been started. These
+    were not stopped, and their threads kept the process running.
     """
     import socket
 
