--- a/hawthornspoke/cli/_app.py
+++ b/hawthornspoke/cli/_app.py
@@ -346,7 +346,7 @@
     """Simulate several model engines in one process, one at each address."""
     from hawthornspoke.standins import Engine
 
-    engines = [Engine(address=address, port=port, slots=slots) for address in addresses]
+    engines = [Engine(address=item, port=port, slots=slots) for item in addresses]
     for engine in engines[1:]:
         engine.open()
     return _serve(engines[0])
--- a/hawthornspoke/settings/_reference.py
+++ b/hawthornspoke/settings/_reference.py
@@ -1,4 +1,4 @@
-"""Generate the settings reference page from the schema."""
+"""Generation of the settings reference page from the schema."""
 
 from hawthornspoke.settings._schema import AGENT, ENTRY, PLATFORM, REQUIRED
 
@@ -30,9 +30,11 @@
     for title, schema in sections:
         lines += [f"## {title}\n", "| key | accepted | default | meaning |"]
         lines.append("|---|---|---|---|")
-        for name, key in schema.items():
-            default = "required" if key.default is REQUIRED else f"`{key.default!r}`"
-            accepted = key.bounds.describe()
-            lines.append(f"| `{name}` | {accepted} | {default} | {key.meaning} |")
+        for name, setting in schema.items():
+            default = (
+                "required" if setting.default is REQUIRED else f"`{setting.default!r}`"
+            )
+            accepted = setting.bounds.describe()
+            lines.append(f"| `{name}` | {accepted} | {default} | {setting.meaning} |")
         lines.append("")
     return "\n".join(lines)
--- a/hawthornspoke/settings/_schema.py
+++ b/hawthornspoke/settings/_schema.py
@@ -4,14 +4,17 @@
 from hawthornspoke.routing import POLICIES
 
 NUMERIC_TYPES = (int, float)
+
+#: Default of a setting that must be given.
 REQUIRED = object()
+
 PORT = Bounds(kind=int, low=1, high=65535)
 SECONDS = Bounds(kind=NUMERIC_TYPES, low=0.01)
 TEXT = Bounds(kind=str)
 
 
 class Setting:
-    """One setting.
+    """Accepted values, default and description of one setting.
 
     Parameters
     ----------
@@ -19,7 +22,7 @@
     default : object
         ``REQUIRED`` if the setting has none.
     meaning : str
-        Description for the reference page, one sentence.
+        One-sentence description for the reference page.
     """
 
     __slots__ = ("bounds", "default", "meaning")
--- a/hawthornspoke/settings/_settings.py
+++ b/hawthornspoke/settings/_settings.py
@@ -1,4 +1,4 @@
-"""Load and validate settings."""
+"""Loading and validation of settings."""
 
 import tomllib
 
@@ -51,7 +51,7 @@
     Returns
     -------
     tuple of (Settings or None, list of Failure)
-        Settings, or None and all errors. Each error names the source and the key;
+        Settings, or None and all errors. Each error names the source and the key, and
         for an invalid value also the value and what is accepted.
     """
     loader = _Loader(role=role)
@@ -105,33 +105,35 @@
             self._set(key, _parse_value(text), "--set")
 
     def build_settings(self):
-        role = self._collect(SCHEMAS[self.role], "")
-        platform = self._collect(PLATFORM, "platform.")
+        role_values = self._collect(SCHEMAS[self.role], "")
+        platform_values = self._collect(PLATFORM, "platform.")
         for key in self.values:
             known_keys = ", ".join(sorted(SCHEMAS[self.role]))
             reason = f"unknown key; accepted: {known_keys}, platform.*"
             self._add_failure(self.source_by_key[key], key, reason)
         if self.failures:
             return None, self.failures
-        return Settings(role=self.role, value_by_key=role, platform=platform), []
+        return Settings(
+            role=self.role, value_by_key=role_values, platform=platform_values
+        ), []
 
     def _collect(self, schema, prefix):
         collected = {}
-        for name, key in schema.items():
+        for name, setting in schema.items():
             full_key = prefix + name
             if full_key in self.values:
                 value = self.values.pop(full_key)
-                error_message = key.bounds.error_message(value)
+                error_message = setting.bounds.error_message(value)
                 if error_message:
                     self._add_failure(
                         self.source_by_key[full_key], full_key, error_message
                     )
                 collected[name] = value
-            elif key.default is REQUIRED:
-                accepted = key.bounds.describe()
+            elif setting.default is REQUIRED:
+                accepted = setting.bounds.describe()
                 self._add_failure("settings", full_key, f"missing; expected {accepted}")
             else:
-                collected[name] = key.default
+                collected[name] = setting.default
         return collected
 
     def _set(self, key, value, source):
@@ -143,7 +145,7 @@
 
 
 def _parse_value(text):
-    """Parse a TOML value; anything else is a string."""
+    """Parse a TOML value; text that is not one is taken as a string."""
     try:
         return tomllib.loads(f"value = {text}")["value"]
     except tomllib.TOMLDecodeError:
