--- a/hawthornspoke/fields/_fields.py
+++ b/hawthornspoke/fields/_fields.py
@@ -1,8 +1,8 @@
 """Validating accessors for fields of untrusted JSON.
 
-A value of the wrong type may raise only far from where it was read, in a task that
-can't handle the error. Each accessor therefore validates a field when it is read and
-returns its value or raises ``FieldError``.
+A value of the wrong type may cause an exception only long after it was read, in a
+task that can't handle it. Each accessor therefore validates a field when it is read,
+and returns its value or raises ``FieldError``.
 """
 
 import functools
@@ -16,17 +16,19 @@
 #: Result for data that fails validation; its reason names the field.
 UNUSABLE = Failure(code="unusable")
 
-#: Maximum length of a text in characters. Names, addresses and keys have a few dozen,
+#: Maximum length of a string in characters. Names, addresses and keys have a few dozen,
 #: and some of them are sent to every agent.
 MAX_TEXT_LENGTH = 1000
 
-#: The largest count that fits an i32 field of the messages between processes, and the
-#: largest integer up to which a 64-bit float is exact.
+#: The largest count that fits an i32 field of the messages between processes.
 MAX_COUNT = 2**31 - 1
+
+#: A 64-bit float represents every integer up to this one exactly.
 MAX_EXACT_INT = 2**53
 
 MAX_PORT = 65535
 
+#: Default of a field that must be given.
 REQUIRED = object()
 
 
@@ -40,6 +42,7 @@
     Parameters
     ----------
     decode : callable
+        Takes positional arguments only.
 
     Returns
     -------
@@ -83,7 +86,7 @@
 
 
 def text(obj, name, default=REQUIRED):
-    """Return a text of at most ``MAX_TEXT_LENGTH`` characters.
+    """Return a string of at most ``MAX_TEXT_LENGTH`` characters.
 
     Parameters
     ----------
@@ -100,7 +103,7 @@
     if value is None:
         return _default_or_raise(name, default)
     if not is_text(value) or len(value) > MAX_TEXT_LENGTH:
-        raise _field_error(name, "a text", value)
+        raise _field_error(name, "a string", value)
     return value
 
 
@@ -128,13 +131,14 @@
 
 
 def one_of(obj, name, value_by_key):
-    """Return the value that a field's key maps to.
+    """Return the value to which a mapping maps the string in a field.
 
     Parameters
     ----------
     obj : dict
     name : str
     value_by_key : dict of str to object
+        Its keys are the accepted strings.
 
     Returns
     -------
@@ -197,7 +201,7 @@
 
 
 def flag(obj, name, default=False):
-    """Return a boolean."""
+    """Return a boolean, the default if the field is missing or null."""
     value = obj.get(name)
     if value is None:
         return default
@@ -217,7 +221,7 @@
 
 
 def items(obj, name, default=REQUIRED):
-    """Return a list with items of any type."""
+    """Return a list; its items may be of any type."""
     value = obj.get(name)
     if value is None:
         return _default_or_raise(name, default)
@@ -238,7 +242,7 @@
 
 
 def texts(obj, name, default=REQUIRED):
-    """Return a list of texts."""
+    """Return a list of strings, each as accepted by :func:`text`."""
     values = items(obj, name, default)
     if values is default:
         return values
@@ -256,7 +260,7 @@
 
 
 def _abbreviate(value):
-    # Limits the length of the message, as a value may have hundreds of KB.
+    # A value may have hundreds of KB, too much for an error message.
     return reprlib.repr(value)
 
 
