--- a/hawthornspoke/claims/_claim.py
+++ b/hawthornspoke/claims/_claim.py
@@ -1,4 +1,4 @@
-"""State machine by which a request claims its idempotency key."""
+"""State machine by which a request claims its idempotency key in the table."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,13 +8,13 @@
 #: The platform is unavailable; the request was not run.
 PLATFORM_DOWN = Failure(code="platform_down")
 
-#: The key is claimed and the outcome of its request is not, or never, known.
+#: The key is claimed, and the outcome of its request is not known and may never be.
 OUTCOME_UNKNOWN = Failure(code="outcome_unknown")
 
 #: The key has been used for a different request.
 KEY_REUSED = Failure(code="key_reused")
 
-#: Seconds after which the caller may ask again for the outcome of a request.
+#: Seconds after which a refused caller may send its request again.
 RETRY_AFTER = 1.0
 
 #: Maximum number of times that a claim is written before giving up.
@@ -41,7 +41,8 @@
     Parameters
     ----------
     outcome : str
-        ``"written"``, ``"conflict"``, ``"unavailable"`` or ``"unsure"``.
+        ``"written"``, ``"conflict"`` (the condition failed), ``"unavailable"`` (not
+        written) or ``"unsure"`` (sent, but not acknowledged).
     """
 
     outcome: str
@@ -138,7 +139,10 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReleaseClaim:
-    """Write the row as ``not_run`` if this token holds it; retry until known."""
+    """Write the row in state ``not_run`` unless another token holds it.
+
+    The write is retried until its outcome is known.
+    """
 
 
 @MACHINES.register("claim")
@@ -148,7 +152,7 @@
     Parameters
     ----------
     token : str
-        Unique to this claim; distinguishes its row from rows of other claims.
+        Unique to this claim; distinguishes its row from that of another claim.
     fingerprint : str
         Digest of the request, so that a reused key does not return the answer to a
         different request.
@@ -273,7 +277,7 @@
         return [RunRequest()]
 
     def _refuse_not_run(self, reason):
-        """Refuse and release the key, since the write may still have succeeded."""
+        """Refuse and release the key, since an earlier write may have succeeded."""
         self.phase = "not_run"
         failure = PLATFORM_DOWN.with_reason(reason, retry_after=RETRY_AFTER)
         refusal = RefuseRequest(failure=failure, was_run=False)
--- a/hawthornspoke/claims/tests/test_interleavings.py
+++ b/hawthornspoke/claims/tests/test_interleavings.py
@@ -1,4 +1,4 @@
-"""Property-based tests of concurrent claims on a table that loses replies."""
+"""Property-based tests of concurrent claims in a table that loses replies."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -22,7 +22,7 @@
 
 
 class TableSimulation:
-    """Simulated table row with delayed writes, and several claims on one key."""
+    """Simulated table row with delayed writes, and several claims of one key."""
 
     def __init__(self):
         self.row = None
--- a/hawthornspoke/gate/_gate.py
+++ b/hawthornspoke/gate/_gate.py
@@ -103,7 +103,9 @@
     """The gate is draining and no request is running or queued."""
 
 
-class _GateEntry:
+class _TrackedRequest:
+    """A queued or running request, and the time at which it was queued or started."""
+
     __slots__ = ("admit", "since")
 
     def __init__(self, *, admit, since):
@@ -122,7 +124,7 @@
     queue_limit : int, default=32
         Maximum number of queued requests.
     aging : float, default=2.0
-        Seconds of waiting that raise the urgency by one step, so that requests of
+        Seconds of waiting that reduce the urgency value by one, so that requests of
         low urgency do not starve.
 
     Notes
@@ -130,7 +132,7 @@
     Only the gate decides whether a request is started. Switching weights is a single
     assignment in ``live_by_service``: requests queued for the previous weights are
     refused as not run, and running requests keep the digest that they were started
-    with, so that no answer mixes two versions.
+    with, so that no answer is produced by two versions.
     """
 
     __slots__ = (
@@ -182,7 +184,9 @@
         failure = self._admission_failure(message, now=now)
         if failure is not None:
             return [self._refuse(message.request_id, failure)]
-        self.waiting_by_id[message.request_id] = _GateEntry(admit=message, since=now)
+        self.waiting_by_id[message.request_id] = _TrackedRequest(
+            admit=message, since=now
+        )
         outcomes = self._start_queued(now=now)
         outcomes += self._shed_overflow(now=now)
         return outcomes
@@ -207,7 +211,7 @@
         return self._start_queued(now=now) + self._report_drained()
 
     def on_cancel(self, message, *, now):
-        """Remove a queued request; a running one ends with ``Finish``.
+        """Remove a queued request; a running one keeps its slot until ``Finish``.
 
         Parameters
         ----------
@@ -239,11 +243,11 @@
         else:
             self.live_by_service[message.service] = message.digest
         outcomes = []
-        for request_id, entry in list(self.waiting_by_id.items()):
-            if self._has_wrong_digest(entry.admit):
+        for request_id, tracked in list(self.waiting_by_id.items()):
+            if self._has_wrong_digest(tracked.admit):
                 del self.waiting_by_id[request_id]
                 outcomes.append(
-                    self._refuse(request_id, self._wrong_digest_failure(entry.admit))
+                    self._refuse(request_id, self._wrong_digest_failure(tracked.admit))
                 )
         return outcomes + self._start_queued(now=now)
 
@@ -280,14 +284,14 @@
         list of Refuse
         """
         outcomes = []
-        for request_id, entry in list(self.waiting_by_id.items()):
-            if now >= entry.admit.deadline:
+        for request_id, tracked in list(self.waiting_by_id.items()):
+            if now >= tracked.admit.deadline:
                 del self.waiting_by_id[request_id]
                 outcomes.append(self._refuse(request_id, self._deadline_failure()))
         return outcomes
 
     def count_running(self, digest):
-        """Return the number of requests that run on the given weights.
+        """Return the number of running requests that use the given weights.
 
         Parameters
         ----------
@@ -371,25 +375,27 @@
         wait = self.expected_wait()
         return DEADLINE_PASSED.with_reason("not started in time", retry_after=wait)
 
-    def _sort_key(self, entry, now):
-        """Return the sort key: urgency reduced by waiting time, then arrival time."""
-        waited = now - entry.since
-        return entry.admit.urgency - waited / self.aging, entry.since
+    def _sort_key(self, tracked, now):
+        """Return the sort key: urgency value less waiting time, then arrival time."""
+        waited = now - tracked.since
+        return tracked.admit.urgency - waited / self.aging, tracked.since
 
     def _start_queued(self, *, now):
         outcomes = []
         while self.waiting_by_id and len(self.running_by_id) < self.slots:
-            next_entry = min(
+            next_request = min(
                 self.waiting_by_id.values(), key=lambda item: self._sort_key(item, now)
             )
-            admit = next_entry.admit
+            admit = next_request.admit
             del self.waiting_by_id[admit.request_id]
             if now >= admit.deadline:
                 outcomes.append(
                     self._refuse(admit.request_id, self._deadline_failure())
                 )
                 continue
-            self.running_by_id[admit.request_id] = _GateEntry(admit=admit, since=now)
+            self.running_by_id[admit.request_id] = _TrackedRequest(
+                admit=admit, since=now
+            )
             self.started += 1
             outcomes.append(Start(request_id=admit.request_id, digest=admit.digest))
         return outcomes
@@ -398,13 +404,13 @@
         """Refuse the least urgent requests at once if the queue is over its limit."""
         outcomes = []
         while len(self.waiting_by_id) > self.queue_limit:
-            last_entry = max(
+            last_request = max(
                 self.waiting_by_id.values(), key=lambda item: self._sort_key(item, now)
             )
-            request_id = last_entry.admit.request_id
+            request_id = last_request.admit.request_id
             del self.waiting_by_id[request_id]
             wait = self.expected_wait()
-            is_newest = last_entry.since == now
+            is_newest = last_request.since == now
             kind = BUSY if is_newest else OUTRANKED
             failure = kind.with_reason("queue is full", retry_after=wait)
             outcomes.append(self._refuse(request_id, failure))
--- a/hawthornspoke/gate/tests/test_invariants.py
+++ b/hawthornspoke/gate/tests/test_invariants.py
@@ -40,7 +40,7 @@
 def test_requests_start_once_before_drain_on_live_weights(messages):
     """Guards against requests that run twice, after a drain or on wrong weights.
 
-    Messages arrive in any order: admissions, finishes, cancels, switches, drain.
+    Admissions, finishes, cancels, switches of weights and drains occur in any order.
     """
     gate = Gate(slots=2, queue_limit=3)
     started = []
--- a/hawthornspoke/membership/_detector.py
+++ b/hawthornspoke/membership/_detector.py
@@ -1,4 +1,4 @@
-"""Failure detector that compensates for pauses of its own process."""
+"""Heartbeat failure detector that compensates for pauses of its own process."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,8 @@
 DEAD = "dead"
 LEAVING = "leaving"
 
-#: Fields of a member's state that a light record omits.
+#: Fields of a member's state that a light record omits. While they are unchanged,
+#: light records are relayed instead of full ones.
 STATIC_FIELDS = (
     "role",
     "failure_domain",
@@ -33,7 +34,8 @@
     ----------
     member : hawthornspoke.protocol.Member
     age : float
-        Seconds since the node sent it, as measured by the relays.
+        Seconds since the node sent it, as measured by the relay; 0 if received
+        from the node itself.
     """
 
     member: object
@@ -206,8 +208,8 @@
             view = self._add(member.node, _role_name(member.role), member)
         state_version = (member.incarnation or 0, member.seq or 0)
         if state_version <= (view.incarnation, view.seq):
-            # An outdated or duplicate state, delayed by a relay. Accepting it would
-            # mark a dead node as alive for a full timeout.
+            # A duplicate or outdated state, for example delayed by a relay. Accepting
+            # it would mark a dead node as alive for a full timeout.
             return []
         view.incarnation, view.seq = state_version
         if member.light:
@@ -222,7 +224,7 @@
         return self._update_status(view, now=now)
 
     def on_host_list_updated(self, message, *, now):
-        """Apply the host list, which seeds the nodes and also marks leaving ones.
+        """Apply the host list: add unknown nodes and mark leaving ones.
 
         Parameters
         ----------
@@ -251,7 +253,7 @@
         return changes
 
     def on_tick(self, message, *, now):
-        """Update statuses after deadlines and remove nodes that are gone.
+        """Update statuses after deadlines and remove nodes that are to be forgotten.
 
         Parameters
         ----------
--- a/hawthornspoke/membership/_relay.py
+++ b/hawthornspoke/membership/_relay.py
@@ -51,9 +51,10 @@
     Returns
     -------
     bool
-        True for the first relay in the agent's order, and for the second one while it
-        receives no copy. Two copies of every record would be half of the inbound
-        bytes of an entry host, and a dead first relay must not hide its endpoints.
+        True for the first relay in the agent's rendezvous order, and for the second
+        one while it receives no copy: a dead first relay must not hide its agents.
+        If both always relayed, the second copies would be half of the bytes that
+        an entry host receives.
     """
     if now >= copy_deadline:
         return True
--- a/hawthornspoke/membership/tests/test_relay.py
+++ b/hawthornspoke/membership/tests/test_relay.py
@@ -32,8 +32,8 @@
 def test_second_relay_takes_over_without_fresh_copies():
     """Guards against hiding an endpoint from a failure domain when a relay dies.
 
-    The first relay of an agent fails, and the second one receives no copy of the record
-    any more. The fault is a single relay, or a second relay that never takes over.
+    The first relay of an agent fails, so the second one receives no copy of its record
+    any more. Without a second relay, or without its takeover, the agent is not relayed.
     """
     for number in range(20):
         agent = f"runner-{number}"
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -83,7 +83,7 @@
     Mutation(
         name="weights are not checked again at the start",
         file="gate/_gate.py",
-        old="            if self._has_wrong_digest(entry.admit):",
+        old="            if self._has_wrong_digest(tracked.admit):",
         new="            if False:",
         test="tests/test_traces.py -k switch_while_queued",
     ),
