--- a/hawthornspoke/entry/_attempt.py
+++ b/hawthornspoke/entry/_attempt.py
@@ -47,9 +47,9 @@
         False only if it is certain that the endpoint did not run the request.
     failure : Failure or None
     live : str or None, default=None
-        Digest of the weights that serve at the endpoint, as named in its refusal.
+        Digest of the endpoint's live weights, as named in its refusal.
     engine_exit_id : str, default=""
-        Identifier of the engine exit, if the engine's process ended during the request.
+        Identifier of the exit of the engine's process, if it exited during the request.
     """
 
     __slots__ = ("done", "was_run", "failure", "live", "engine_exit_id")
@@ -75,7 +75,8 @@
     resume_from : int, default=0
         Number of tokens that the caller has already received.
     recheck : callable or None, default=None
-        Returns a Failure if the request may no longer be sent to that endpoint.
+        Returns a Failure if the request may no longer be sent to that endpoint,
+        otherwise None.
 
     Attributes
     ----------
@@ -158,7 +159,7 @@
             reply = self._read()
 
     def abandon(self):
-        """Cancel a running attempt after the caller has disconnected."""
+        """Cancel the attempt if it has not ended, and set its result."""
         if self.result is None:
             self._cancel()
             self.result = self._failed_after_submit(CALLER_GONE)
@@ -184,11 +185,11 @@
             adapter=context.adapter or None,
         )
         self._sent_at = monotonic()
-        limit = self._sent_at + READ_TIMEOUT + REPLY_GRACE
+        reply_deadline = self._sent_at + READ_TIMEOUT + REPLY_GRACE
         return self._connection.call(
             "submit",
             submit,
-            deadline=min(context.deadline, limit),
+            deadline=min(context.deadline, reply_deadline),
             precheck=self._check_before_send,
         )
 
@@ -223,7 +224,7 @@
         return None
 
     def _result_without_reply(self, failure):
-        """Return the result of an attempt whose call got no reply."""
+        """Return the result of an attempt whose last call failed."""
         if failure in (NOT_SENT, TOO_LATE) or self._presend_failure is not None:
             if self.first_byte is None:
                 return AttemptResult(done=False, was_run=False, failure=failure)
@@ -260,8 +261,8 @@
         return AttemptResult(done=False, was_run=True, failure=failure)
 
     def _cancel(self):
-        limit = monotonic() + CANCEL_TIMEOUT
-        self._connection.call("cancel", self._attempt_id, deadline=limit)
+        reply_deadline = monotonic() + CANCEL_TIMEOUT
+        self._connection.call("cancel", self._attempt_id, deadline=reply_deadline)
         self._connection.close()
 
     def _record_first_byte(self):
--- a/hawthornspoke/entry/_claims_runner.py
+++ b/hawthornspoke/entry/_claims_runner.py
@@ -32,7 +32,7 @@
 FIRST_WRITE_TIMEOUT = 0.5
 ANSWERS_PREFIX = "answers/"
 
-#: Maximum number of writes queued while the platform is unavailable.
+#: Maximum number of queued writes; further ones are dropped.
 MAX_PENDING = 10_000
 RETRY_INTERVAL = 0.5
 
@@ -97,9 +97,9 @@
                 self._write_or_defer(self._response_write(claim, row_key, outcome))
 
     def _write_or_defer(self, pending):
-        """Try to write before the caller is answered, else defer to the retrier.
+        """Write before the caller is answered, or defer the write to the retrier.
 
-        A caller that repeats its request right after the response then finds the
+        After a successful write, a caller that repeats its request at once gets the
         stored response.
         """
         if not pending.write(self.clients, timeout=FIRST_WRITE_TIMEOUT):
@@ -146,8 +146,8 @@
         return WriteDone(outcome=_write_outcome(answer))
 
     def _release_write(self, claim, row_key):
-        # The row is also written if none exists: a delayed insert then fails on its
-        # condition instead of blocking the key forever.
+        # The row is also written if none exists. A delayed insert of this claim then
+        # fails on its condition, instead of leaving the key claimed permanently.
         condition = Condition(absent=True, equals={"token": claim.token})
         return PendingWrite(
             row=_claim_row(claim, row_key, RowState.NOT_RUN), condition=condition
@@ -209,7 +209,7 @@
 
 
 class ClaimWriteRetrier(pykka.ThreadingActor):
-    """Retries writes while the platform is unavailable.
+    """Retries writes of claims while the platform is unavailable.
 
     Parameters
     ----------
--- a/hawthornspoke/entry/_context.py
+++ b/hawthornspoke/entry/_context.py
@@ -14,6 +14,8 @@
 MAX_URGENCY_VALUE = 7
 MAX_TIMEOUT = 3600.0
 MAX_KEY_LENGTH = 256
+
+#: Number of characters at the start of a prompt that the router compares.
 PREFIX_LENGTH = 256
 
 HEADER_TIMEOUT = "x-request-timeout"
@@ -36,10 +38,10 @@
         "request",
         "request_id",
         "arrived_at",
-        "contact_arrived_at",
+        "boottime_arrived_at",
         "deadline",
         "urgency",
-        "key",
+        "idempotency_key",
         "repeatable",
         "is_model",
         "service_name",
@@ -47,7 +49,7 @@
         "path",
         "parsed_body",
         "streaming",
-        "prefix",
+        "prompt_prefix_digest",
         "organisation",
         "service",
         "claim",
@@ -59,10 +61,10 @@
         self.request = request
         self.request_id = uuid.uuid4().hex
         self.arrived_at = monotonic()
-        self.contact_arrived_at = boottime_clock()
+        self.boottime_arrived_at = boottime_clock()
         self.deadline = self.arrived_at + default_timeout
         self.urgency = DEFAULT_URGENCY
-        self.key = ""
+        self.idempotency_key = ""
         self.repeatable = True
         self.is_model = False
         self.service_name = ""
@@ -70,7 +72,7 @@
         self.path = ""
         self.parsed_body = None
         self.streaming = False
-        self.prefix = ""
+        self.prompt_prefix_digest = ""
         self.organisation = ""
         self.service = None
         self.claim = None
@@ -83,15 +85,17 @@
         Returns
         -------
         float
-            Minimum over both clocks: one of them stops while the host is suspended,
-            which does not extend the time that the caller waits.
+            Minimum over both clocks. The monotonic clock stops while the host is
+            suspended, but the caller's time does not.
         """
-        given = self.deadline - self.arrived_at
-        contact_left = self.contact_arrived_at + given - boottime_clock()
-        return min(contact_left, self.deadline - monotonic())
+        timeout_seconds = self.deadline - self.arrived_at
+        boottime_remaining = (
+            self.boottime_arrived_at + timeout_seconds - boottime_clock()
+        )
+        return min(boottime_remaining, self.deadline - monotonic())
 
     def quarantine_fingerprint(self):
-        """Return a fingerprint that is equal for repeats of a request.
+        """Return the quarantine's identifier of the request, equal for its repeats.
 
         Returns
         -------
@@ -107,12 +111,13 @@
             )
         return self._quarantine_fingerprint
 
-    def fingerprint(self):
-        """Return a digest of method, path, service and body.
+    def claim_fingerprint(self):
+        """Return the digest by which a claim detects a reused key.
 
         Returns
         -------
         str
+            Digest of method, path, service and body.
         """
         head = f"{self.request.method} {self.path} {self.service_name} "
         return digest_of(head.encode() + self.request.body)
@@ -142,8 +147,8 @@
 
 def _read_headers(context):
     headers = context.request.headers
-    context.key = headers.get(HEADER_IDEMPOTENCY_KEY, "").strip('"')
-    if len(context.key) > MAX_KEY_LENGTH:
+    context.idempotency_key = headers.get(HEADER_IDEMPOTENCY_KEY, "").strip('"')
+    if len(context.idempotency_key) > MAX_KEY_LENGTH:
         return BAD_REQUEST.with_reason(
             f"Idempotency-Key over {MAX_KEY_LENGTH} characters"
         )
@@ -183,7 +188,7 @@
     context.service_name = name
     context.repeatable = not _is_marked_non_idempotent(context)
     prompt = str(parsed.get("messages") or parsed.get("prompt") or "")
-    context.prefix = digest_of(prompt[:PREFIX_LENGTH].encode())[:16]
+    context.prompt_prefix_digest = digest_of(prompt[:PREFIX_LENGTH].encode())[:16]
     return None
 
 
@@ -193,15 +198,15 @@
     context.path = slash + path or "/"
     if context.request.query:
         context.path += "?" + context.request.query
-    safe = context.request.method in IDEMPOTENT_METHODS
-    context.repeatable = safe and not _is_marked_non_idempotent(context)
+    is_idempotent = context.request.method in IDEMPOTENT_METHODS
+    context.repeatable = is_idempotent and not _is_marked_non_idempotent(context)
     return None
 
 
 def _is_marked_non_idempotent(context):
     """Return whether the caller has marked the request as not idempotent."""
     marker = context.request.headers.get(HEADER_IDEMPOTENT, "").lower()
-    return bool(context.key) or marker in ("false", "no", "0", "?0")
+    return bool(context.idempotency_key) or marker in ("false", "no", "0", "?0")
 
 
 def _parse_float(text):
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -4,7 +4,7 @@
 
 from hawthornspoke.base import Failure, boottime_clock, is_failure, monotonic
 from hawthornspoke.config import ServiceView
-from hawthornspoke.entry._suspects import QuarantineSync
+from hawthornspoke.entry._quarantine_sync import QuarantineSync
 from hawthornspoke.limits import (
     AdmissionRequest,
     Admitted,
@@ -38,7 +38,7 @@
 #: Heartbeats between two summaries sent to the other failure domains.
 HEARTBEATS_PER_SUMMARY = 2
 
-#: Seconds after which the full state of an unchanged endpoint is relayed again, for
+#: Seconds after which the full record of an unchanged endpoint is relayed again, for
 #: entry hosts that are new or have lost a datagram.
 FULL_RECORD_INTERVAL = 5.0
 
@@ -85,7 +85,7 @@
     address : str
     port : int
     digest : str
-        Digest of the weights that serve there, as last reported.
+        Digest of the live weights there, as last reported.
     """
 
     __slots__ = ("node", "address", "port", "digest")
@@ -120,7 +120,7 @@
         self.service_by_name = {}
         self.organisation_by_key = {}
         self.organisations = {}
-        # Per node: version of the last full record relayed, and the time of the next.
+        # Per agent: version of the last full record relayed, and the time of the next.
         self.full_relay_by_node = {}
         # Per agent that reports to this host: last record, and its time of receipt.
         self.direct_report_by_node = {}
@@ -184,10 +184,10 @@
         -------
         None or Failure
         """
-        allowed = self._authorise(authorization, service_name, now)
-        if is_failure(allowed):
-            return allowed
-        if allowed != organisation:
+        current_organisation = self._authorise(authorization, service_name, now)
+        if is_failure(current_organisation):
+            return current_organisation
+        if current_organisation != organisation:
             reason = "the key is another organisation's now"
             return self._denial(UNAUTHENTICATED.with_reason(reason), now)
         view = self.core.membership.by_id.get(node)
@@ -343,7 +343,7 @@
         self.limits.step(limits, now=now)
 
     def on_member_changed(self, change, *, now):
-        """Remove dead endpoints; send the full state to new entry hosts."""
+        """Remove dead endpoints; send full records to new entry hosts."""
         view = self.core.membership.by_id.get(change.node)
         if change.after == "alive" and view is not None and view.role == "entry":
             # A new entry host lacks the full records that light ones refer to.
@@ -378,7 +378,7 @@
         self.quarantine_sync.resend_recent(now=now)
 
     def reply_to_heartbeat(self, gossip, source, *, now):
-        """Reply with the revision, and with peers if the agent is loading weights."""
+        """Reply with the revision; if the agent is loading weights, also with peers."""
         members = []
         if gossip.sender.warming:
             members = self._loading_peers(gossip.sender, now)
@@ -434,6 +434,11 @@
         self.router.step(message, now=now)
 
     def _claimant(self, node, failure_domain):
+        """Return the name under which rate limits count an entry host's demand.
+
+        The hosts of another failure domain are counted together, because a summary
+        reports the total demand of its sender's failure domain.
+        """
         if failure_domain == self.own_domain:
             return node
         return DOMAIN_CLAIMANT_PREFIX + failure_domain
--- a/hawthornspoke/entry/_forward.py
+++ b/hawthornspoke/entry/_forward.py
@@ -15,11 +15,11 @@
 #: Maximum number of attempts per request, including those that use no retry budget.
 MAX_ATTEMPTS = 6
 
-#: Refusals by endpoints that have done no work. Trying the next endpoint adds no
-#: load, so it uses no retry budget.
+#: Refusals by endpoints that have not run the request. Trying the next endpoint adds
+#: no load, so it uses no retry budget.
 UNCHARGED_REFUSALS = frozenset(["draining", "wrong_digest", "not_sent", "engine_down"])
 
-#: Failures that the router attributes to the endpoint.
+#: Failures that the router counts against the endpoint.
 ENDPOINT_FAULTS = frozenset(
     ["cut_off", "not_sent", "wrong_answer", "engine_down", "timed_out"]
 )
@@ -128,7 +128,7 @@
         endpoint = self.control.choose(
             service=self.context.service,
             adapter=self.context.adapter,
-            prefix=self.context.prefix,
+            prefix=self.context.prompt_prefix_digest,
             digest=self._digest,
             excluded=frozenset(self._excluded),
             fingerprint=self.context.quarantine_fingerprint(),
@@ -177,7 +177,7 @@
         return (event.digest or "") == endpoint.digest
 
     def _finish_attempt(self, attempt, endpoint):
-        """Report the result of an attempt; return True if it was the last one."""
+        """Report the result of an attempt; return whether it was the last one."""
         self._attempt = None
         result = attempt.result
         code = "done" if result.done else result.failure.code
--- a/hawthornspoke/entry/_pipeline.py
+++ b/hawthornspoke/entry/_pipeline.py
@@ -20,9 +20,10 @@
 from hawthornspoke.entry._forward import Forwarder
 from hawthornspoke.web import Response, json_response
 
-TOO_LATE = Failure(code="deadline_passed")
+DEADLINE_PASSED = Failure(code="deadline_passed")
 
-FORWARDED_HEADERS = frozenset(["content-type", "cache-control", "location"])
+#: Response headers of an endpoint that are returned to the caller.
+FORWARDED_RESPONSE_HEADERS = frozenset(["content-type", "cache-control", "location"])
 
 
 class Pipeline:
@@ -124,16 +125,16 @@
             return None
         return self._refuse(
             context,
-            TOO_LATE.with_reason("the time was up on arrival"),
+            DEADLINE_PASSED.with_reason("the time was up on arrival"),
         )
 
     def _claim(self, context):
-        if not context.key:
+        if not context.idempotency_key:
             return None
         claim, decision = self.claims.begin(
             organisation=context.organisation,
-            key=context.key,
-            fingerprint=context.fingerprint(),
+            key=context.idempotency_key,
+            fingerprint=context.claim_fingerprint(),
             deadline=context.deadline,
         )
         if isinstance(decision, ReturnStoredAnswer):
@@ -154,12 +155,12 @@
         chunks = forwarder.chunks()
         head = next(chunks, None)
         if head is None:
-            return self._failed(context, forwarder)
+            return self._failed_response(context, forwarder)
         if context.streaming and context.claim is None:
-            return self._stream(context, forwarder, head, chunks)
+            return self._streamed_response(context, forwarder, head, chunks)
         body = b"".join(chunks)
         if forwarder.final_failure is not None:
-            return self._failed(context, forwarder)
+            return self._failed_response(context, forwarder)
         return self._complete_response(context, head, body)
 
     # Responses.
@@ -172,7 +173,7 @@
         self._record_outcome(context, DONE)
         return Response(status=head.status, headers=headers, body=body)
 
-    def _stream(self, context, forwarder, head, chunks):
+    def _streamed_response(self, context, forwarder, head, chunks):
         headers = self._answer_headers(context, head)
         body = self._stream_body(context, forwarder, chunks)
         return Response(status=head.status, headers=headers, body=body)
@@ -188,8 +189,8 @@
                 yield chunk
             if forwarder.final_failure is not None:
                 yield self._truncation_event(context, forwarder.final_failure)
-                # Raising omits the last chunk of the chunked transfer coding, so that
-                # a caller that does not parse events also detects the truncation.
+                # Raising omits the final empty chunk of the chunked transfer coding, so
+                # that a caller that does not parse events detects the truncation too.
                 raise ConnectionAbortedError("answer is incomplete")
             self._record_outcome(context, DONE)
         finally:
@@ -221,7 +222,7 @@
         headers = {**headers, "X-Stored-Answer": "true"}
         return Response(status=status, headers=headers, body=body)
 
-    def _failed(self, context, forwarder):
+    def _failed_response(self, context, forwarder):
         final_failure = forwarder.final_failure
         message = NotRun() if final_failure.outcome == NOT_RUN else OutcomeUnknown()
         self._finish_claim(context, message)
@@ -240,14 +241,14 @@
             context.claim,
             message,
             organisation=context.organisation,
-            key=context.key,
+            key=context.idempotency_key,
         )
 
     def _answer_headers(self, context, head):
         headers = {
             name: value
             for name, value in head.headers.items()
-            if name.lower() in FORWARDED_HEADERS
+            if name.lower() in FORWARDED_RESPONSE_HEADERS
         }
         headers["X-Request-Id"] = context.request_id
         headers["X-Outcome"] = DONE
--- a/hawthornspoke/entry/tests/test_after_a_wait.py
+++ b/hawthornspoke/entry/tests/test_after_a_wait.py
@@ -2,9 +2,9 @@
 
 Guards against an endpoint running a request 6.6 s after its deadline, for a caller that
 had disconnected. The process is suspended while it connects to the chosen endpoint, and
-meanwhile the caller disconnects or its key is revoked. The fault was that caller and
-key were checked only when the endpoint was chosen; only the monotonic clock was read
-again.
+meanwhile the caller disconnects or its key is revoked. Caller and key were checked only
+when the endpoint was chosen; before sending, only the monotonic clock was read again,
+which stops while the host is suspended.
 """
 
 import random
@@ -33,7 +33,7 @@
     """Agent that records each request and answers it as done."""
 
     def __init__(self):
-        self.seen = []
+        self.submits = []
         self.port = random.randrange(30000, 32000)
         self.address = ADDRESS
         self.node = "runner"
@@ -42,7 +42,7 @@
         self._server.open()
 
     def submit(self, request):
-        self.seen.append(request)
+        self.submits.append(request)
         return Events(
             version=PROTOCOL_VERSION,
             request_id=request.request_id,
@@ -97,10 +97,10 @@
 @pytest.fixture
 def caller():
     """Return both ends of a caller's connection."""
-    near, far = socket.socketpair()
-    yield near, far
-    near.close()
-    far.close()
+    server_end, caller_end = socket.socketpair()
+    yield server_end, caller_end
+    server_end.close()
+    caller_end.close()
 
 
 def run_attempt(agent, caller, stall, **options):
@@ -125,12 +125,12 @@
 def test_valid_request_is_sent(agent, caller):
     finished_attempt = run_attempt(agent, caller, lambda: None)
     assert finished_attempt.result.done
-    assert len(agent.seen) == 1
+    assert len(agent.submits) == 1
 
 
 def test_caller_disconnects_while_process_is_suspended(agent, caller):
     finished_attempt = run_attempt(agent, caller, caller[1].close)
-    assert agent.seen == []
+    assert agent.submits == []
     assert (finished_attempt.result.was_run, finished_attempt.result.failure.code) == (
         False,
         "caller_gone",
@@ -139,7 +139,7 @@
 
 def test_deadline_passes_while_process_is_suspended(agent, caller):
     finished_attempt = run_attempt(agent, caller, lambda: time.sleep(1.1))
-    assert agent.seen == []
+    assert agent.submits == []
     assert (finished_attempt.result.was_run, finished_attempt.result.failure.code) == (
         False,
         "too_late",
@@ -155,7 +155,7 @@
         )
 
     finished_attempt = run_attempt(agent, caller, suspend)
-    assert agent.seen == []
+    assert agent.submits == []
     assert (finished_attempt.result.was_run, finished_attempt.result.failure.code) == (
         False,
         "too_late",
@@ -167,7 +167,7 @@
         code="unauthenticated", reason="the key belongs to no organisation"
     )
     finished_attempt = run_attempt(agent, caller, lambda: None, recheck=lambda: revoked)
-    assert agent.seen == []
+    assert agent.submits == []
     assert (finished_attempt.result.was_run, finished_attempt.result.failure.code) == (
         False,
         "unauthenticated",
@@ -184,5 +184,5 @@
     finished_attempt = run_attempt(
         agent, caller, lambda: None, recheck=disconnect_caller
     )
-    assert agent.seen == []
+    assert agent.submits == []
     assert finished_attempt.result.failure.code == "caller_gone"
--- a/hawthornspoke/entry/tests/test_suspects.py
+++ b/hawthornspoke/entry/tests/test_quarantine_sync.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from hawthornspoke.entry._suspects import (
+from hawthornspoke.entry._quarantine_sync import (
     MAX_ITEMS_PER_DATAGRAM,
     RESEND_PERIOD,
     QuarantineSync,
@@ -12,7 +12,7 @@
 
 
 class Socket:
-    """Delivers datagrams to the other hosts, except to partitioned ones."""
+    """Delivers datagrams to the other hosts, except to addresses in ``partitioned``."""
 
     def __init__(self):
         self.host_by_address = {}
