--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -14,14 +14,14 @@
     StageChunk,
     run_request,
 )
-from hawthornspoke.agent._engine_ends import EngineExits
+from hawthornspoke.agent._engine_exits import EngineExits
 from hawthornspoke.agent._fetch_actor import (
     FetchActor,
     GetManifest,
     ManifestFound,
     WorkerIdle,
 )
-from hawthornspoke.agent._wanted import declared_items, transfer_options
+from hawthornspoke.agent._required_weights import required_weights, transfer_options
 from hawthornspoke.base import Failure, is_failure
 from hawthornspoke.config import ServiceView
 from hawthornspoke.deployment import (
@@ -86,6 +86,7 @@
 #: Seconds before a failed fetch of a manifest is retried.
 MANIFEST_RETRY_DELAY = 1.0
 
+#: Rollout state of a host by the value of ``warming`` in its gossip record.
 STATE_BY_WARMING = {1: WAITING, 2: CHANGING}
 SWARM_EVENTS = (ChunkVerified, ChunkFailed, PeerAnnounced, PeerUnreachable)
 
@@ -125,7 +126,7 @@
         self.services = []
         self.document = None
         self.source_by_digest = {}
-        self.start_by_digest = {}
+        self.start_transfer_by_digest = {}
         self.engine_actor = None
         self.idle_workers = deque()
         self.pending_fetches = deque()
@@ -161,8 +162,8 @@
         if isinstance(message, SWARM_EVENTS):
             if isinstance(message, ChunkVerified):
                 # Stage each chunk at once, while the others are still transferred.
-                staged = StageChunk(digest=message.digest, index=message.index)
-                self.engine_actor.tell(staged)
+                stage_order = StageChunk(digest=message.digest, index=message.index)
+                self.engine_actor.tell(stage_order)
             self._step_swarm(message, now)
         elif isinstance(message, WorkerIdle):
             self.idle_workers.append(message.worker)
@@ -212,7 +213,7 @@
         return len(self.gate.running_by_id), len(self.gate.waiting_by_id)
 
     def problems(self):
-        """Return why weights of the declared state were refused, by live key."""
+        """Return why declared weights were refused, by live key."""
         refused = self.deployment.refused_by_digest
         return {
             key: refused[item.digest]
@@ -246,7 +247,7 @@
         self.services = [
             view for view in views if view.kind == kind and view.runs_on(node)
         ]
-        items = declared_items(self.services)
+        items = required_weights(self.services)
         for item in items:
             if item.source:
                 self.source_by_digest[item.digest] = item.source
@@ -275,7 +276,7 @@
         self._step_swarm(SwarmTick(), now)
         if self.deployment.phase:
             self._step_deployment(
-                SwapPermitUpdated(allowed=self._is_change_allowed()), now
+                SwapPermitUpdated(allowed=self._is_swap_allowed()), now
             )
         running = {}
         for item in self.gate.running_by_id.values():
@@ -356,7 +357,7 @@
     def _step_deployment(self, message, now):
         for outcome in self.deployment.step(message, now=now):
             if isinstance(outcome, StartTransfer):
-                self.start_by_digest[outcome.digest] = outcome
+                self.start_transfer_by_digest[outcome.digest] = outcome
                 self._get_manifest(outcome.digest, now)
             elif isinstance(outcome, CancelTransfer):
                 self._drop_transfer(outcome.digest, now)
@@ -445,18 +446,18 @@
             message = TransferRefused(digest=digest, reason=rejection.reason)
             self._step_deployment(message, now)
             return
-        start = self.start_by_digest[digest]
-        want = TransferRequested(
+        start_transfer = self.start_transfer_by_digest[digest]
+        request = TransferRequested(
             digest=digest,
             chunks=len(message.manifest.chunks),
             size=message.manifest.size,
             held=tuple(self.store.indices(digest)),
             participants=self._participants(digest),
             region_by_domain=self._regions(),
-            priority=start.priority,
+            priority=start_transfer.priority,
             **transfer_options(self.document),
         )
-        self._step_swarm(want, now)
+        self._step_swarm(request, now)
 
     def _reserve_memory(self, manifest):
         """Reserve memory, evicting weights that are only kept for a rollback."""
@@ -481,7 +482,7 @@
         self.deployment.remove_stored_weights(digest)
 
     def _drop_transfer(self, digest, now):
-        """Cancel a superseded transfer; complete weights are kept."""
+        """Cancel a transfer that is no longer needed; complete weights are kept."""
         self.manifest_deadline_by_digest.pop(digest, None)
         self._step_swarm(TransferCancelled(digest=digest), now)
         self.pending_fetches = deque(
@@ -536,7 +537,7 @@
         for name in names:
             self._step_gate(SetLive(service=name, digest=""), now)
 
-    def _is_change_allowed(self):
+    def _is_swap_allowed(self):
         node = self.settings["node"]
         phase = self.deployment.phase
         states = [HostState(node=node, state=STATE_BY_WARMING[phase])]
--- a/hawthornspoke/agent/_engine_actor.py
+++ b/hawthornspoke/agent/_engine_actor.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class DropStaged:
-    """Make the engine discard staged chunks of weights that are not needed."""
+    """Make the engine discard staged chunks of weights that are no longer needed."""
 
     digest: str
 
@@ -50,8 +50,8 @@
 
     Notes
     -----
-    This actor is the only writer of orders, in the only process that has bound the
-    host's port. The fencing token is the one reported by the engine plus one, so an
+    Only this actor sends orders, and only one process at a time can bind the host's
+    port. The fencing token is the one reported by the engine plus one, so an
     engine that checks it rejects delayed orders of an earlier agent.
     """
 
@@ -113,8 +113,8 @@
         else:
             outcome = self.engine.unload(message.digest, fence=self.fence)
         if outcome == FENCED:
-            # Another writer has used a higher token. The next read of the state
-            # gets a new token and the set of loaded weights.
+            # Another sender has used a higher token. The next read of the state
+            # yields a new token and the set of loaded weights.
             self.instance = ""
         return outcome
 
--- a/hawthornspoke/agent/_engines.py
+++ b/hawthornspoke/agent/_engines.py
@@ -11,7 +11,7 @@
 
 ENGINES = Registry(kind="engine")
 
-#: Failures which guarantee that the engine did not run a request: it received
+#: Failures which guarantee that the engine did not run the request: it received
 #: nothing, or it rejected the request.
 ENGINE_DOWN = Failure(code="engine_down")
 ENGINE_BUSY = Failure(code="busy")
@@ -36,7 +36,10 @@
 
 
 class IncompleteResponse(Exception):
-    """The engine's response ended early; raised only while a driver iterates."""
+    """The engine received a request, but its response is missing or incomplete.
+
+    Callers get it only while they iterate over :meth:`ModelEngine.answer`.
+    """
 
 
 class _EngineClient:
@@ -70,7 +73,7 @@
         Raises
         ------
         IncompleteResponse
-            If the request was sent, at least in part, and no response arrived.
+            If the request was sent, at least in part, and no response was received.
         """
         failure = precheck() if precheck is not None else None
         if failure is not None:
@@ -109,20 +112,20 @@
     def state(self):
         """Return the engine's decoded JSON state, or None."""
         try:
-            answer = self.open(
+            response = self.open(
                 "GET", "/state", body=None, headers=None, timeout=STATE_TIMEOUT
             )
-            if isinstance(answer, Failure) or answer.status != 200:
+            if isinstance(response, Failure) or response.status != 200:
                 return None
-            return json.loads(answer.read())
+            return json.loads(response.read())
         except (IncompleteResponse, urllib3.exceptions.HTTPError, OSError, ValueError):
             return None
 
 
-def _iter_body(answer):
+def _iter_body(response):
     try:
         while True:
-            part = answer.read1(READ_BYTES)
+            part = response.read1(READ_BYTES)
             if not part:
                 return
             yield part
@@ -132,20 +135,20 @@
         raise IncompleteResponse(repr(error))
 
 
-def _head_event(answer, digest):
+def _head_event(response, digest):
     headers = {
         name.lower(): value
-        for name, value in answer.headers.items()
+        for name, value in response.headers.items()
         if name.lower() not in HOP_BY_HOP_HEADERS
     }
     return Event(
-        kind=EventKind.HEAD, status=answer.status, headers=headers, digest=digest
+        kind=EventKind.HEAD, status=response.status, headers=headers, digest=digest
     )
 
 
 @ENGINES.register("model")
 class ModelEngine:
-    """An engine with an OpenAI-style API that loads weights on request.
+    """An engine with an OpenAI-style API that loads weights when ordered to.
 
     Parameters
     ----------
@@ -203,7 +206,7 @@
             "Content-Type": "application/json",
             "X-Request-Id": submit.request_id,
         }
-        answer = self._client.open(
+        response = self._client.open(
             "POST",
             submit.path,
             body=json.dumps(payload).encode(),
@@ -211,24 +214,24 @@
             timeout=timeout,
             precheck=run.precheck,
         )
-        if isinstance(answer, Failure):
-            yield answer
+        if isinstance(response, Failure):
+            yield response
             return
-        run.attach(answer)
-        rejection = self._rejection(answer)
+        run.attach(response)
+        rejection = self._rejection(response)
         if rejection is not None:
-            answer.read()
+            response.read()
             yield rejection
             return
-        if answer.status >= 500:
-            raise IncompleteResponse(f"engine answered {answer.status}")
-        yield _head_event(answer, submit.digest)
+        if response.status >= 500:
+            raise IncompleteResponse(f"engine answered {response.status}")
+        yield _head_event(response, submit.digest)
         if payload.get("stream") is True:
-            yield from self._events(answer)
+            yield from self._events(response)
         else:
-            for part in _iter_body(answer):
+            for part in _iter_body(response):
                 yield Event(kind=EventKind.TOKENS, data=part, count=0)
-        answer.release_conn()
+        response.release_conn()
 
     def stage(self, digest, index, data):
         """Send one chunk to the engine, which keeps it until the load order.
@@ -253,7 +256,7 @@
         digest : str
         """
         try:
-            answer = self._client.open(
+            response = self._client.open(
                 "DELETE",
                 f"/weights/{digest}",
                 body=None,
@@ -263,8 +266,8 @@
         except IncompleteResponse:
             # The next load order discards the remaining staged chunks.
             return
-        if not isinstance(answer, Failure):
-            answer.read()
+        if not isinstance(response, Failure):
+            response.read()
 
     def load(self, manifest, *, base, fence):
         """Order the engine to load weights whose chunks are all staged.
@@ -302,18 +305,18 @@
         """
         return self._order({"kind": "unload", "digest": digest, "fence": fence})
 
-    def _rejection(self, answer):
-        if answer.status == 404:
+    def _rejection(self, response):
+        if response.status == 404:
             return NOT_LOADED.with_reason("the engine has not loaded these weights")
-        if answer.status == 429:
+        if response.status == 429:
             return ENGINE_BUSY.with_reason("the engine is full", retry_after=1.0)
         return None
 
-    def _events(self, answer):
+    def _events(self, response):
         """Yield complete server-sent events; the last must be ``[DONE]``."""
         rest = b""
         ended = False
-        for part in _iter_body(answer):
+        for part in _iter_body(response):
             complete, delimiter, rest = (rest + part).rpartition(EVENT_DELIMITER)
             if not delimiter:
                 continue
@@ -327,21 +330,21 @@
 
     def _put(self, path, data):
         try:
-            answer = self._client.open(
+            response = self._client.open(
                 "PUT", path, body=data, headers=None, timeout=STATE_TIMEOUT * 5
             )
         except IncompleteResponse as error:
             return ORDER_FAILED.with_reason(str(error))
-        if isinstance(answer, Failure):
-            return answer
-        answer.read()
-        if answer.status >= 300:
-            return ORDER_FAILED.with_reason(f"engine answered {answer.status}")
+        if isinstance(response, Failure):
+            return response
+        response.read()
+        if response.status >= 300:
+            return ORDER_FAILED.with_reason(f"engine answered {response.status}")
         return None
 
     def _order(self, order):
         try:
-            answer = self._client.open(
+            response = self._client.open(
                 "POST",
                 "/orders",
                 body=json.dumps(order).encode(),
@@ -350,13 +353,15 @@
             )
         except IncompleteResponse as error:
             return ORDER_FAILED.with_reason(str(error))
-        if isinstance(answer, Failure):
-            return answer
-        text = answer.read().decode(errors="replace")
-        if answer.status == 409 and "fenc" in text:
+        if isinstance(response, Failure):
+            return response
+        text = response.read().decode(errors="replace")
+        if response.status == 409 and "fenc" in text:
             return FENCED.with_reason(text)
-        if answer.status >= 300:
-            return ORDER_FAILED.with_reason(f"engine answered {answer.status}: {text}")
+        if response.status >= 300:
+            return ORDER_FAILED.with_reason(
+                f"engine answered {response.status}: {text}"
+            )
         return None
 
 
@@ -398,7 +403,7 @@
         submit = run.submit
         headers = dict(submit.headers or {})
         headers["x-request-id"] = submit.request_id
-        answer = self._client.open(
+        response = self._client.open(
             submit.method,
             submit.path,
             body=submit.body or None,
@@ -406,14 +411,14 @@
             timeout=timeout,
             precheck=run.precheck,
         )
-        if isinstance(answer, Failure):
-            yield answer
+        if isinstance(response, Failure):
+            yield response
             return
-        run.attach(answer)
-        yield _head_event(answer, "")
-        for part in _iter_body(answer):
+        run.attach(response)
+        yield _head_event(response, "")
+        for part in _iter_body(response):
             yield Event(kind=EventKind.TOKENS, data=part, count=0)
-        answer.release_conn()
+        response.release_conn()
 
     def stage(self, digest, index, data):
         """Return a failure: a plain service has no weights."""
--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -27,17 +27,20 @@
 #: Seconds within which a peer has to return one chunk.
 PEER_TIMEOUT = 10.0
 
-#: Seconds without a byte from the origin. Many hosts queue on its slow link.
+#: Seconds without a byte from the origin after which a fetch fails. Long, because many
+#: hosts share the origin's slow link.
 ORIGIN_TIMEOUT = 20.0
 
 QUERY_TIMEOUT = 1.0
+
+#: Chunk index by which a host requests the manifest from a peer.
 MANIFEST_INDEX = -1
 MANIFEST_PREFIX = "manifests/"
 
-#: Peers queried for a manifest that the object store does not return.
+#: Maximum number of peers queried for a manifest that the object store lacks.
 MAX_MANIFEST_PEERS = 3
 
-#: Connections that one actor keeps open.
+#: Maximum number of connections that one actor keeps open.
 MAX_CONNECTIONS = 32
 
 
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -20,7 +20,8 @@
 )
 from hawthornspoke.swarm import ChunkStore, LinkRateLimiter
 
-#: Seconds that a submit waits for the first events, which usually arrive in time.
+#: Seconds for which a submit waits for the first events. They usually arrive within
+#: this time, which saves a separate read.
 FIRST_EVENT_TIMEOUT = 0.02
 
 
@@ -59,8 +60,8 @@
             is_caller_disconnected=RpcServer.caller_check(),
         )
         if RpcServer.is_caller_disconnected():
-            # The process was paused after the request arrived, and the entry host
-            # has given up on it. The caller has already been given another result.
+            # This process was paused after the request arrived. Meanwhile the entry
+            # host closed the connection and reported another result to its caller.
             self.metrics.count("stale_submits_total")
             refused = Event(kind=EventKind.REFUSED, reason="busy: caller is gone")
             return self._events(request.request_id, [refused])
--- a/hawthornspoke/agent/_wanted.py
+++ b/hawthornspoke/agent/_required_weights.py
@@ -1,11 +1,11 @@
-"""Weights that the active document requires on one host."""
+"""Weights that the active document requires on one host, and how to transfer them."""
 
 from hawthornspoke.deployment import TargetWeights
 
 DEFAULT_PRIORITY = 3
 
 
-def declared_items(services):
+def required_weights(services):
     """Return the weights that a host's services need, base before adapters.
 
     Parameters
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -29,7 +29,8 @@
     deadline : float
         On the monotonic clock.
     boottime_deadline : float or None, default=None
-        The same on the boot-time clock, which includes time in suspension.
+        The same on the boot-time clock, which also advances while the host is
+        suspended.
     is_caller_disconnected : callable or None, default=None
         Returns whether the entry host has closed its connection.
     """
@@ -175,7 +176,7 @@
         return now - self.read_at > UNREAD_TIMEOUT
 
     def attach(self, response):
-        """Store the engine's response, so that a cancel can shut it down.
+        """Store the engine's response, so that :meth:`cancel` can shut it down.
 
         Parameters
         ----------
--- a/hawthornspoke/agent/tests/test_after_a_wait.py
+++ b/hawthornspoke/agent/tests/test_after_a_wait.py
@@ -1,9 +1,10 @@
-"""An agent that resumes after a stall doesn't run requests that were given up.
+"""An agent that resumes after a stall doesn't run requests of disconnected senders.
 
 Guards against running a request seconds after the entry host closed its connection and
 told the caller that the request had not run. The host stalls between the arrival of the
-request and the call of the engine, in the gate or at the start of a thread. The sender
-was only checked on arrival, and a request past its deadline was given another 50 ms.
+request and the call of the engine, in the gate or at the start of a thread. The
+sender's connection was checked only on arrival, and a request past its deadline was
+given another 50 ms.
 """
 
 import random
@@ -13,7 +14,7 @@
 import pytest
 
 from hawthornspoke.agent._engine_actor import run_request
-from hawthornspoke.agent._engine_ends import EngineExits
+from hawthornspoke.agent._engine_exits import EngineExits
 from hawthornspoke.agent._engines import ENGINES
 from hawthornspoke.agent._process import _Handler
 from hawthornspoke.agent._runs import Run
@@ -145,10 +146,12 @@
 
 
 def test_deadline_passed_while_the_host_was_suspended(engine, monkeypatch):
-    real = time.clock_gettime
+    real_clock_gettime = time.clock_gettime
 
     def suspend():
-        monkeypatch.setattr(time, "clock_gettime", lambda clock: real(clock) + 9.0)
+        monkeypatch.setattr(
+            time, "clock_gettime", lambda clock: real_clock_gettime(clock) + 9.0
+        )
 
     reply = submit_to_stalled(engine, suspend, wait=2.0)
     assert [event.kind for event in reply.events][-1] == EventKind.REFUSED
--- a/hawthornspoke/agent/tests/test_engine_ends.py
+++ b/hawthornspoke/agent/tests/test_engine_exits.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from hawthornspoke.agent import _engine_ends
+from hawthornspoke.agent import _engine_exits
 from hawthornspoke.agent._engine_actor import run_request
-from hawthornspoke.agent._engine_ends import SAME_EXIT_SECONDS, EngineExits
+from hawthornspoke.agent._engine_exits import SAME_EXIT_SECONDS, EngineExits
 from hawthornspoke.agent._engines import ENGINES, IncompleteResponse
 from hawthornspoke.agent._runs import Run
 from hawthornspoke.base import monotonic
@@ -49,7 +49,7 @@
     engine = IncompleteEngine(has_ended=True)
     first = failure_reason(engine, exits)
     now = monotonic() + SAME_EXIT_SECONDS + 0.1
-    monkeypatch.setattr(_engine_ends, "monotonic", lambda: now)
+    monkeypatch.setattr(_engine_exits, "monotonic", lambda: now)
     assert failure_reason(engine, exits) != first
 
 
--- a/hawthornspoke/node/__init__.py
+++ b/hawthornspoke/node/__init__.py
@@ -23,7 +23,7 @@
     connect_platform,
 )
 from hawthornspoke.node._process import NodeProcess
-from hawthornspoke.node._pumps import DatagramReceiver, Ticker
+from hawthornspoke.node._threads import DatagramReceiver, Ticker
 
 __all__ = [
     "Call",
--- a/hawthornspoke/node/_control.py
+++ b/hawthornspoke/node/_control.py
@@ -25,8 +25,8 @@
 from hawthornspoke.protocol import PROTOCOL_VERSION, Status
 from hawthornspoke.revision import DocumentActivated, FetchDocument
 
-#: Fraction of an interval by which it varies, so that nodes started together don't
-#: keep reading the table at the same time.
+#: Width of the random variation of an interval, as a fraction of it, so that nodes
+#: started together don't keep reading the table at the same time.
 JITTER_FRACTION = 0.1
 
 #: Seconds between checks of the members' deadlines. Each check visits every node of
@@ -61,12 +61,12 @@
         self.seq = 0
         self.leaving = False
         self.membership_deadline = 0.0
-        self.platform = None
+        self.platform_reader = None
         self.document_reader = None
         # One read of each kind at a time: while the platform is slow, repeated
         # requests would queue reads whose results are stale when they complete.
         self.reading_table = False
-        # On the boot-time clock, which includes time in suspension.
+        # On the boot-time clock, which also advances while the host is suspended.
         self.table_requested_at = float("-inf")
         self.reading_hosts = False
         self.reading_document = False
@@ -74,7 +74,9 @@
     def on_start(self):
         """Start the actors that make blocking calls to the platform."""
         clients = connect_platform(self.settings.platform)
-        self.platform = PlatformActor.start(clients=clients, control=self.actor_ref)
+        self.platform_reader = PlatformActor.start(
+            clients=clients, control=self.actor_ref
+        )
         self.document_reader = PlatformActor.start(
             clients=clients, control=self.actor_ref
         )
@@ -233,10 +235,10 @@
         if now >= core.table_deadline and not self.reading_table:
             self.reading_table = True
             self.table_requested_at = boottime_clock()
-            self.platform.tell(ReadTable())
+            self.platform_reader.tell(ReadTable())
         if now >= core.hosts_deadline and not self.reading_hosts:
             self.reading_hosts = True
-            self.platform.tell(ReadHosts())
+            self.platform_reader.tell(ReadHosts())
         due_fetch = core.next_document_fetch(now=now)
         if due_fetch is not None:
             self._fetch(due_fetch, now)
--- a/hawthornspoke/node/_core.py
+++ b/hawthornspoke/node/_core.py
@@ -19,14 +19,15 @@
 )
 from hawthornspoke.store import NOT_FOUND
 
-#: Entry hosts of a failure domain that read the table at the short interval.
+#: Number of entry hosts of a failure domain (pollers) that read the table at the short
+#: interval.
 POLLER_COUNT = 2
 
-#: Minimum seconds between reads of the table by a node that is not a poller, if it
-#: reads early because of a request that it can't decide. The same as for a poller.
+#: Minimum seconds between reads of the table by a node that is not a poller, when it
+#: reads early because of a request that it can't decide. Equal to a poller's interval.
 EARLY_READ_INTERVAL = 1.0
 
-#: Seconds between attempts to fetch a known document.
+#: Seconds between attempts to fetch the document of a known revision.
 FETCH_RETRY_INTERVAL = 0.5
 
 DEAD = "dead"
@@ -122,7 +123,7 @@
         list of FetchDocument
         """
         if revision > self.holder.heard_revision and not digest:
-            # The message carries no digest of the document: read it from the table.
+            # The message carries no digest of the document, so the table is read.
             self.table_deadline = min(self.table_deadline, now)
         update = RevisionAdvertised(revision=revision, digest=digest, source=source)
         return self.holder.step(update, now=now)
@@ -130,7 +131,8 @@
     def expedite_table_read(self, *, now):
         """Schedule an early read of the table, at most as often as a poller.
 
-        A node that is not a poller has no other way to learn the age of the table.
+        Only a read of the table shows that the configuration is recent, and a node that
+        is not a poller reads it at long intervals.
 
         Parameters
         ----------
@@ -148,8 +150,8 @@
         ----------
         row : dict or Failure
         requested_at : float
-            Time of the read request on the boot-time clock, which includes time in
-            suspension.
+            Time of the read request on the boot-time clock, which also advances while
+            the host is suspended.
         now : float
 
         Returns
@@ -220,7 +222,7 @@
         return self.membership.step(Tick(), now=now)
 
     def next_document_fetch(self, *, now):
-        """Return the fetch of a known document if its next attempt is due.
+        """Return the fetch of a missing document if its next attempt is due.
 
         Parameters
         ----------
@@ -235,7 +237,7 @@
         return self.holder.missing_document()
 
     def document_source(self, fetch, *, now):
-        """Return the address of a peer that may hold a document.
+        """Choose a peer that may hold a document, and schedule the next attempt.
 
         Parameters
         ----------
--- a/hawthornspoke/node/_platform_actor.py
+++ b/hawthornspoke/node/_platform_actor.py
@@ -1,4 +1,4 @@
-"""Actor that makes the blocking calls to the platform."""
+"""Clients of the platform's services, and the actor that makes blocking reads."""
 
 import pykka
 
--- a/hawthornspoke/node/_process.py
+++ b/hawthornspoke/node/_process.py
@@ -12,7 +12,7 @@
 from hawthornspoke.metrics import Metrics
 from hawthornspoke.node._messages import Call, DrainRequested, DumpRequested
 from hawthornspoke.node._operator import OperatorServer
-from hawthornspoke.node._pumps import DatagramReceiver, Ticker
+from hawthornspoke.node._threads import DatagramReceiver, Ticker
 from hawthornspoke.protocol import DatagramSocket, RpcServer
 
 IDLE_CHECK_INTERVAL = 0.05
@@ -53,8 +53,8 @@
         ------
         OSError
             If an address is in use. The datagram port is bound first and
-            exclusively. The kernel keeps it bound for a stopped process too, so
-            that an engine never receives orders of two agents.
+            exclusively. The kernel keeps it bound while the process is suspended,
+            so that an engine never receives orders of two agents.
         """
         try:
             self._start()
@@ -105,7 +105,7 @@
             return
         self._stop.set()
         self.actor.tell(DrainRequested(reason="shutdown"))
-        # A load balancer keeps routing requests here until it sees /readyz fail.
+        # A load balancer keeps routing requests here until a check of /readyz fails.
         accept_until = monotonic() + self.leave_wait()
         deadline = accept_until + self.settings["grace"]
         while monotonic() < accept_until or (
