--- a/hawthornspoke/entry/_context.py
+++ b/hawthornspoke/entry/_context.py
@@ -13,7 +13,7 @@
 DEFAULT_URGENCY = 3
 MAX_URGENCY_VALUE = 7
 MAX_TIMEOUT = 3600.0
-MAX_KEY_LENGTH = 256
+MAX_IDEMPOTENCY_KEY_LENGTH = 256
 
 #: Number of characters at the start of a prompt that the router compares.
 PREFIX_LENGTH = 256
@@ -148,9 +148,9 @@
 def _read_headers(context):
     headers = context.request.headers
     context.idempotency_key = headers.get(HEADER_IDEMPOTENCY_KEY, "").strip('"')
-    if len(context.idempotency_key) > MAX_KEY_LENGTH:
+    if len(context.idempotency_key) > MAX_IDEMPOTENCY_KEY_LENGTH:
         return BAD_REQUEST.with_reason(
-            f"Idempotency-Key over {MAX_KEY_LENGTH} characters"
+            f"Idempotency-Key over {MAX_IDEMPOTENCY_KEY_LENGTH} characters"
         )
     timeout = _parse_float(headers.get(HEADER_TIMEOUT))
     if timeout is not None:
--- a/hawthornspoke/entry/_forward.py
+++ b/hawthornspoke/entry/_forward.py
@@ -125,6 +125,7 @@
             self._abandon()
 
     def _run_attempt(self):
+        """Yield head and chunks of an attempt; return whether it was the last one."""
         endpoint = self.control.choose(
             service=self.context.service,
             adapter=self.context.adapter,
@@ -221,6 +222,7 @@
         return self.context.service.accepts_digest(result.live, adapter=adapter)
 
     def _may_retry(self, result):
+        """Return whether to try again; if not, set the final failure."""
         failure = result.failure
         is_final = failure == CALLER_GONE or failure.code in NON_RETRYABLE_CODES
         if is_final or not self._can_resume(result):
@@ -255,6 +257,7 @@
         )
 
     def _fail_past_deadline(self, failure):
+        """Set the final failure and return False, the result of `_may_retry`."""
         self._fail(failure)
         return False
 
--- a/hawthornspoke/entry/_quarantine_sync.py
+++ b/hawthornspoke/entry/_quarantine_sync.py
@@ -106,12 +106,16 @@
             elif isinstance(outcome, Quarantined):
                 self._metrics.count("requests_quarantined_total")
                 logger.warning(
-                    "request {} quarantined; engines that exited while running it: {}",
+                    "request with fingerprint {} quarantined; "
+                    "engines that exited while running it: {}",
                     outcome.fingerprint,
                     ", ".join(outcome.starts),
                 )
             else:
-                logger.info("request {} released from quarantine", outcome.fingerprint)
+                logger.info(
+                    "request with fingerprint {} released from quarantine",
+                    outcome.fingerprint,
+                )
 
     def _send(self, evidence, views, now):
         items = encode_evidence(evidence, now=now)
--- a/hawthornspoke/membership/_detector.py
+++ b/hawthornspoke/membership/_detector.py
@@ -78,6 +78,14 @@
     failure_domain : str
     address : str
     port : int
+
+    Attributes
+    ----------
+    received_at : float or None
+        Estimated time at which the node sent its newest known state; None if the node
+        is known only from the host list.
+    listed, listed_leaving : bool
+        Whether the host list contains the node, and marks it as leaving.
     """
 
     __slots__ = (
