--- a/hawthornspoke/events/_events.py
+++ b/hawthornspoke/events/_events.py
@@ -17,7 +17,8 @@
 #: that allows for bursts, and 200 lines of 300 bytes are 60 KB/s.
 INFO_LINES_PER_SECOND = 200.0
 
-#: Rate limit for failures and state changes, which are dropped last.
+#: Rate limit for failures and state changes, in lines per second. It is separate, so
+#: that routine decisions can't use it up.
 WARNING_LINES_PER_SECOND = 400.0
 
 #: Minimum seconds between two reports of the number of suppressed lines.
@@ -54,6 +55,12 @@
     Parameters
     ----------
     stream : file object
+        Text stream to write to.
+
+    Attributes
+    ----------
+    dropped : int
+        Number of lines dropped because the queue was full.
     """
 
     __slots__ = ("dropped", "_lines", "_ready", "_stream", "_thread")
@@ -108,6 +115,11 @@
     clock : callable, default=time.monotonic
     stream : file object or None, default=None
         Standard output if None.
+
+    Attributes
+    ----------
+    suppressed : int
+        Number of lines suppressed by the rate limits since the last report of it.
     """
 
     __slots__ = (
@@ -116,7 +128,7 @@
         "_clock",
         "_sink",
         "_bucket_by_level",
-        "_report_deadline",
+        "_next_report_at",
     )
 
     def __init__(self, *, node, clock=time.monotonic, stream=None):
@@ -128,7 +140,7 @@
             INFO: _TokenBucket(rate=INFO_LINES_PER_SECOND),
             WARNING: _TokenBucket(rate=WARNING_LINES_PER_SECOND),
         }
-        self._report_deadline = 0.0
+        self._next_report_at = 0.0
         logger.remove()
         logger.add(self._sink, format="{message}", level="DEBUG", catch=True)
 
@@ -149,8 +161,8 @@
         if not self._bucket_by_level[level].try_acquire(now):
             self.suppressed += 1
             return
-        if self.suppressed and now >= self._report_deadline:
-            self._report_deadline = now + DROP_REPORT_INTERVAL
+        if self.suppressed and now >= self._next_report_at:
+            self._next_report_at = now + DROP_REPORT_INTERVAL
             self._write(WARNING, "lines_left_out", {"count": self.suppressed})
             self.suppressed = 0
         self._write(level, event, fields)
--- a/hawthornspoke/events/_reading.py
+++ b/hawthornspoke/events/_reading.py
@@ -17,9 +17,10 @@
     events : list of dict
         Events in order of time; each has ``t`` and ``event``.
     foreign : int
-        Number of lines of other programs, without a JSON object.
+        Number of lines without a JSON object, as other programs write them.
     torn : int
-        Number of lines whose object can't be parsed or lacks a time or a name.
+        Number of lines whose JSON object can't be parsed, such as truncated ones, or
+        lacks a valid ``t`` or ``event``.
 
     Raises
     ------
--- a/hawthornspoke/events/tests/test_event_log.py
+++ b/hawthornspoke/events/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""Event logs are JSON lines, rate-limited and never blocking."""
+"""Event logs: format, rate limits, and writing that does not block."""
 
 import io
 import json
@@ -46,9 +46,9 @@
 
 
 def test_stopped_reader_does_not_block_logging():
-    """Requests stalled because standard output, a pipe, was full and not read.
+    """Requests stalled while standard output was a full pipe that nobody read.
 
-    The fault was to write lines from the thread that logs them.
+    Lines were written by the thread that logged them, and its write blocked.
     """
     read_end, write_end = os.pipe()
     stream = os.fdopen(write_end, "w")
--- a/hawthornspoke/explain/_explain.py
+++ b/hawthornspoke/explain/_explain.py
@@ -40,7 +40,7 @@
         event
         for event in events
         if first <= event["t"] <= last
-        and (event.get("request") == request_id or _involves(event, involved))
+        and (event.get("request") == request_id or _is_related(event, involved))
     ]
     start_time = request_events[0]["t"]
     return [_format_line(event, start_time, request_id) for event in selected]
@@ -56,7 +56,7 @@
     return involved
 
 
-def _involves(event, involved):
+def _is_related(event, involved):
     if event["event"] in REQUEST_EVENTS or event["event"] == "counters":
         return False
     return event.get("endpoint") in involved or event.get("node") in involved
--- a/hawthornspoke/metrics/_metrics.py
+++ b/hawthornspoke/metrics/_metrics.py
@@ -4,6 +4,7 @@
 
 from hdrh.histogram import HdrHistogram
 
+#: Range of the histograms; durations outside of it are clamped. The maximum is an hour.
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
@@ -83,6 +84,7 @@
         ----------
         name : str
         percent : float
+            Between 0 and 100.
         **labels : str
 
         Returns
--- a/hawthornspoke/replay/_trace.py
+++ b/hawthornspoke/replay/_trace.py
@@ -1,4 +1,4 @@
-"""TOML traces that are replayed against the pure state machines, without I/O."""
+"""TOML traces that are replayed against the state machines, without I/O."""
 
 import importlib
 import pkgutil
@@ -188,9 +188,9 @@
     return differences
 
 
-def _outcome_field(outcome, path):
+def _outcome_field(outcome, name):
     """Return a field of an outcome; a failure is represented by its code."""
-    value = getattr(outcome, path)
+    value = getattr(outcome, name)
     if hasattr(value, "code"):
         return value.code
     return list(value) if isinstance(value, tuple) else value
--- a/hawthornspoke/report/_build.py
+++ b/hawthornspoke/report/_build.py
@@ -15,12 +15,12 @@
 #: agents log one every two seconds.
 SILENCE_TIMEOUT = 5.0
 
-#: Name of the counter of platform calls, in the ``counters`` event.
+#: Keys of the platform call counters in a ``counters`` event.
 PLATFORM_CALLS_PATTERN = re.compile(r'platform_calls_total\{call="([^"]*)"\}')
 
 
 class MissingBoundError(ValueError):
-    """The time for which older weights may begin to answer is not in the logs."""
+    """No log states how long engines may start requests on older weights."""
 
 
 def build_report(paths, *, version_bound=None):
@@ -31,9 +31,9 @@
     paths : iterable of Path
         Files, or folders of files.
     version_bound : float or None, default=None
-        Seconds after the declaration of a version from which no older version may
-        begin to answer; None to use the value that entry hosts logged when they
-        started.
+        Seconds after the declaration of a version during which engines may still
+        start requests on older versions; None to use the value that entry hosts
+        logged when they started.
 
     Returns
     -------
@@ -52,8 +52,8 @@
         version_bound = _logged_version_bound(events)
     started_at = events[0]["t"] if events else 0.0
     domain_by_node = _domain_by_node(events)
-    spreads = _rollouts(events)
-    last = _last_summaries(events)
+    rollouts = _rollouts(events)
+    last_events = _last_events_by_name(events)
     return Report(
         started_at=started_at,
         requests_by_second=_count_requests(events, started_at, domain_by_node),
@@ -61,14 +61,16 @@
             events,
             started_at=started_at,
             domain_by_node=domain_by_node,
-            spreads=spreads,
+            rollouts=rollouts,
             version_bound=version_bound,
         ),
-        spreads=spreads,
-        origin_bytes=sum(_number(event, "origin_bytes") for event in last["engine"]),
-        platform_calls_by_kind=_platform_calls(last["counters"]),
+        spreads=rollouts,
+        origin_bytes=sum(
+            _number_or_zero(event, "origin_bytes") for event in last_events["engine"]
+        ),
+        platform_calls_by_kind=_platform_calls(last_events["counters"]),
         lines_left_out=sum(
-            _number(event, "count")
+            _number_or_zero(event, "count")
             for event in events
             if event["event"] == "lines_left_out"
         ),
@@ -78,11 +80,11 @@
 
 
 def _logged_version_bound(events):
-    """Return the bound that an entry host logged last."""
+    """Return the most recently logged version bound of an entry host."""
     bounds = [
         event["version_bound"]
         for event in events
-        if event["event"] == "started" and _number(event, "version_bound") > 0
+        if event["event"] == "started" and _number_or_zero(event, "version_bound") > 0
     ]
     if not bounds:
         raise MissingBoundError(
@@ -100,20 +102,25 @@
     }
 
 
-def _last_summaries(events):
-    """Return the last summary of each start of each host, by event name."""
-    last_by_key = {"engine": {}, "counters": {}}
-    starts_by_node = {}
+def _last_events_by_name(events):
+    """Return the last ``engine`` and ``counters`` event of each process run.
+
+    Returns
+    -------
+    dict of str to list of dict
+        Events by event name.
+    """
+    last_by_name = {"engine": {}, "counters": {}}
+    run_by_node = {}
     for event in events:
         node = event.get("node")
         if event["event"] == "started":
             # Counters start from zero with each start of the process.
-            starts_by_node[node] = starts_by_node.get(node, 0) + 1
-        elif event["event"] in last_by_key:
-            last_by_key[event["event"]][node, starts_by_node.get(node)] = event
+            run_by_node[node] = run_by_node.get(node, 0) + 1
+        elif event["event"] in last_by_name:
+            last_by_name[event["event"]][node, run_by_node.get(node)] = event
     return {
-        name: list(event_by_start.values())
-        for name, event_by_start in last_by_key.items()
+        name: list(event_by_run.values()) for name, event_by_run in last_by_name.items()
     }
 
 
@@ -124,7 +131,7 @@
             match = PLATFORM_CALLS_PATTERN.fullmatch(name)
             if match:
                 kind = match.group(1)
-                count = calls_by_kind.get(kind, 0) + _number(event, name)
+                count = calls_by_kind.get(kind, 0) + _number_or_zero(event, name)
                 calls_by_kind[kind] = count
     return dict(sorted(calls_by_kind.items()))
 
@@ -149,7 +156,7 @@
         else:
             counts.late += 1
     elif outcome == "refused_503":
-        # A reason may be followed by details, such as a time; only its kind is counted.
+        # Reasons are counted without the details that may follow, such as a time.
         reason = re.split(r"[:;]", str(event.get("reason") or "unknown"))[0]
         previous = counts.refused_by_reason.get(reason, 0)
         counts.refused_by_reason[reason] = previous + 1
@@ -197,72 +204,72 @@
     return version if is_number else None
 
 
-def _count_engines(events, *, started_at, domain_by_node, spreads, version_bound):
+def _count_engines(events, *, started_at, domain_by_node, rollouts, version_bound):
     slots_by_address = {
-        event.get("address"): _number(event, "slots")
+        event.get("address"): _number_or_zero(event, "slots")
         for event in events
         if event["event"] == "endpoint"
     }
-    lines_by_node = {}
+    states_by_node = {}
     for event in events:
         if event["event"] == "engine":
-            lines_by_node.setdefault(event.get("node"), []).append(event)
+            states_by_node.setdefault(event.get("node"), []).append(event)
     counts_by_second = {}
-    for node, lines in lines_by_node.items():
+    for node, states in states_by_node.items():
         domain = domain_by_node.get(node, UNKNOWN_DOMAIN)
-        for line, next_line in zip(lines, [*lines[1:], None], strict=True):
-            until = next_line["t"] if next_line else line["t"] + SILENCE_TIMEOUT
-            for second in _seconds(line["t"] - started_at, until - started_at):
+        for state, next_state in zip(states, [*states[1:], None], strict=True):
+            until = next_state["t"] if next_state else state["t"] + SILENCE_TIMEOUT
+            for second in _seconds(state["t"] - started_at, until - started_at):
                 counts_by_domain = counts_by_second.setdefault(second, {})
                 counts = counts_by_domain.setdefault(domain, EngineCounts())
                 timestamp = started_at + second
                 _count_engine(
                     counts,
-                    line,
+                    state,
                     timestamp,
-                    min_version=_min_version(spreads, version_bound, timestamp),
-                    slots=slots_by_address.get(line.get("engine"), 0),
+                    min_version=_min_version(rollouts, version_bound, timestamp),
+                    slots=slots_by_address.get(state.get("engine"), 0),
                 )
     return dict(sorted(counts_by_second.items()))
 
 
 def _seconds(begin, end):
-    """Return the seconds of an interval, at least the one in which it begins."""
+    """Return the whole seconds of an interval, at least the one in which it begins."""
     return range(int(begin), max(int(begin) + 1, int(end)))
 
 
-def _min_version(spreads, version_bound, timestamp):
-    """Return the oldest version that may begin to answer at a given time."""
+def _min_version(rollouts, version_bound, timestamp):
+    """Return the oldest version on which engines may start requests at a given time."""
     mandatory = [
         item.version
-        for item in spreads
+        for item in rollouts
         if item.declared_at + version_bound <= timestamp
     ]
     return max(mandatory, default=None)
 
 
-def _count_engine(counts, line, timestamp, *, min_version, slots):
-    version = line.get("version")
-    if timestamp >= line["t"] + SILENCE_TIMEOUT:
+def _count_engine(counts, state, timestamp, *, min_version, slots):
+    version = state.get("version")
+    if timestamp >= state["t"] + SILENCE_TIMEOUT:
         counts.silent += 1
-    elif line.get("loading"):
+    elif state.get("loading"):
         counts.loading += 1
-    elif version is None or not _has_all_layers(line):
+    elif version is None or not _has_all_layers(state):
         counts.empty += 1
     elif min_version is not None and version < min_version:
         counts.outdated += 1
     else:
         counts.serving += 1
-        counts.taken += _number(line, "running")
+        counts.taken += _number_or_zero(state, "running")
         counts.slots += slots
 
 
-def _has_all_layers(line):
-    layers = line.get("layers")
+def _has_all_layers(state):
+    layers = state.get("layers")
     return isinstance(layers, list) and len(layers) == 2 and layers[0] == 0
 
 
-def _number(event, name):
+def _number_or_zero(event, name):
     value = event.get(name)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     return value if is_number else 0
--- a/hawthornspoke/report/_plot.py
+++ b/hawthornspoke/report/_plot.py
@@ -3,12 +3,12 @@
 #: Width and height in inches, for two stacked charts that fit on a page.
 FIGURE_SIZE = (10, 7)
 
-REQUESTS = ("on_time", "late", "refused", "failed")
-ENGINES = ("serving", "loading", "outdated", "empty", "silent")
+REQUEST_COUNTS = ("on_time", "late", "refused", "failed")
+ENGINE_COUNTS = ("serving", "loading", "outdated", "empty", "silent")
 
 
 class PlotError(Exception):
-    """A report can't be plotted; the message tells why."""
+    """A report can't be plotted."""
 
 
 def plot_report(report, file):
@@ -35,8 +35,10 @@
         ) from error
     figure = Figure(figsize=FIGURE_SIZE, layout="constrained")
     upper, lower = figure.subplots(2, sharex=True)
-    _plot_stacked(upper, report.requests_by_second, REQUESTS, "requests per second")
-    _plot_stacked(lower, report.engines_by_second, ENGINES, "engines")
+    _plot_stacked(
+        upper, report.requests_by_second, REQUEST_COUNTS, "requests per second"
+    )
+    _plot_stacked(lower, report.engines_by_second, ENGINE_COUNTS, "engines")
     for rollout in report.spreads:
         time = rollout.declared_at - report.started_at
         for chart in (upper, lower):
--- a/hawthornspoke/report/_text.py
+++ b/hawthornspoke/report/_text.py
@@ -125,7 +125,7 @@
         lines.append(
             f"version {rollout.version}: declared at "
             f"{at - report.started_at:.1f} s; transferred {whole}; in use {in_use}; "
-            f"abandoned by {rollout.dropped}"
+            f"abandoned by {rollout.dropped} hosts"
         )
     return lines
 
--- a/hawthornspoke/report/_types.py
+++ b/hawthornspoke/report/_types.py
@@ -12,11 +12,14 @@
 
     Parameters
     ----------
-    on_time, late, failed, left : int
-        Answered within the latency objective; answered after it; failed in this system
-        or at the endpoint; abandoned by the caller.
+    on_time, late : int
+        Requests answered within the latency objective, and after it.
+    failed : int
+        Requests that failed in this system or at the endpoint.
+    left : int
+        Requests abandoned by the caller.
     refused_by_reason : dict of str to int
-        Refused without being run, with a time after which to retry.
+        Requests refused before they were run, with a time after which to retry.
     refused_again : int
         Refused requests that had been refused before.
     """
@@ -45,12 +48,19 @@
 
     Parameters
     ----------
-    serving, loading, outdated, empty, silent : int
-        With complete weights that may answer; loading other weights; with weights past
-        their bound; without complete weights; without recent events from the agent.
+    serving : int
+        Engines with complete weights on which they may start requests.
+    loading : int
+        Engines that are loading other weights.
+    outdated : int
+        Engines with weights on which they may not start requests any more.
+    empty : int
+        Engines without complete weights.
+    silent : int
+        Engines whose agent has logged no recent event.
     taken, slots : int
-        Running requests of the serving engines, and the slots that the platform's list
-        states for them.
+        Running requests of the serving engines, and the number of slots of these
+        engines in the platform's list of endpoints.
     """
 
     serving: int = 0
@@ -72,9 +82,9 @@
     declared_at : float
         Earliest declaration time known to any host.
     in_use_at : list of float
-        Times at which the engines had loaded the version, in order.
+        Times at which engines had loaded the version, in ascending order.
     whole_at : list of float
-        Times at which the hosts had all pieces, in order.
+        Times at which hosts had received all pieces of it, in ascending order.
     dropped : int
         Number of hosts that abandoned the transfer for a later version.
     """
@@ -100,6 +110,7 @@
     origin_bytes : int
         Bytes read from the origin of weights, by all hosts together.
     platform_calls_by_kind : dict of str to int
+        Number of calls to the platform, by kind of call.
     lines_left_out : int
         Lines that the processes suppressed due to rate limits.
     foreign, torn : int
--- a/hawthornspoke/report/tests/test_report.py
+++ b/hawthornspoke/report/tests/test_report.py
@@ -1,4 +1,4 @@
-"""Reports on the logs of a small fleet, intact and damaged."""
+"""Reports built from intact and from damaged logs of a small fleet."""
 
 import json
 
@@ -88,7 +88,8 @@
     assert (north.serving, north.taken, north.slots) == (1, 2, 8)
     assert south.empty == 1
     assert fleet_report.engines_by_second[6]["south"].loading == 1
-    # Version 2 was declared at 2.0 s, so version 1 may not begin requests from 10.0 s.
+    # Version 2 was declared at 2.0 s and the bound is 8 s, so from 10.0 s on, engines
+    # may not start requests on version 1.
     assert fleet_report.engines_by_second[9]["south"].serving == 1
     assert fleet_report.engines_by_second[11]["south"].outdated == 1
 
@@ -102,12 +103,12 @@
 
 
 def test_rollout_of_a_version_is_tracked_from_its_declaration(fleet_report):
-    second = fleet_report.spreads[1]
-    assert second.version == 2
-    assert second.declared_at == 102.0
-    assert second.whole_at == [104.0]
-    assert second.in_use_at == [105.0]
-    assert second.dropped == 1
+    rollout = fleet_report.spreads[1]
+    assert rollout.version == 2
+    assert rollout.declared_at == 102.0
+    assert rollout.whole_at == [104.0]
+    assert rollout.in_use_at == [105.0]
+    assert rollout.dropped == 1
 
 
 def test_counters_of_all_hosts_are_summed(fleet_report):
--- a/hawthornspoke/standins/_engine.py
+++ b/hawthornspoke/standins/_engine.py
@@ -1,4 +1,4 @@
-"""Simulated model engine with an OpenAI-style API and orders to load weights.
+"""Simulated model engine with an OpenAI-style API and an API to load weights.
 
 Each generated token contains the digest of the bytes that were actually loaded, so
 that tests detect responses from partial or mixed weights.
@@ -44,7 +44,7 @@
     memory : int, default=0
         Capacity for loaded weights in bytes; 0 for no limit.
     checks_fencing : bool, default=True
-        Whether orders with an outdated fencing number are rejected.
+        Whether orders with an outdated fencing token are rejected.
     prefixes : int, default=64
         Capacity of the prefix cache, in prefixes.
 
@@ -254,7 +254,7 @@
                 limit = self.faults["die_after_tokens"]
                 if limit and position - first_position >= limit:
                     raise ConnectionResetError("stream cut by fault")
-                time.sleep(self._decode_seconds())
+                time.sleep(self._decode_duration())
                 yield f"{token_prefix}:{position} "
         except GeneratorExit:
             self.cancelled.append(request_id)
@@ -263,7 +263,7 @@
             with self._lock:
                 self._running -= 1
 
-    def _decode_seconds(self):
+    def _decode_duration(self):
         occupancy = self._running / self.slots
         batch_factor = 1.0 + max(0.0, occupancy - 0.5)
         return self.token_seconds * batch_factor * self.faults["slow_factor"]
--- a/hawthornspoke/standins/_origin.py
+++ b/hawthornspoke/standins/_origin.py
@@ -79,11 +79,11 @@
         if data is None:
             return None
         size = self.chunk_size
-        chunk_list = [
+        chunks_of_data = [
             data[offset : offset + size] for offset in range(0, len(data), size)
         ]
         return Manifest(
-            chunks=[digest_of(chunk) for chunk in chunk_list],
+            chunks=[digest_of(chunk) for chunk in chunks_of_data],
             chunk_size=size,
             size=len(data),
         )
@@ -110,13 +110,13 @@
         with self._lock:
             self.requests += 1
             self.bytes_sent += len(chunk)
-            corrupt = self._is_corrupt()
+            corrupt = self._should_corrupt()
         time.sleep(self._link.reserve(len(chunk)) + self.faults["origin_stall"])
         if corrupt:
             chunk = bytes([chunk[0] ^ 1]) + chunk[1:]
         return Response(status=206, body=chunk)
 
-    def _is_corrupt(self):
+    def _should_corrupt(self):
         share = self.faults["origin_corrupt_share"]
         if share and self.requests % round(1 / share) == 0:
             return True
--- a/hawthornspoke/standins/_platform.py
+++ b/hawthornspoke/standins/_platform.py
@@ -49,7 +49,7 @@
             return json_response({})
         if self.faults["hosts_down"]:
             return Response(status=503)
-        items = _to_slices(self._visible())
+        items = _to_endpoint_slices(self._visible())
         etag = digest_of(repr(items).encode())[:16]
         if request.headers.get("if-none-match") == etag:
             return Response(status=304)
@@ -145,7 +145,7 @@
         return Response(status=404) if data is None else Response(body=data)
 
 
-def _to_slices(hosts):
+def _to_endpoint_slices(hosts):
     items = []
     for host in hosts:
         item = {
--- a/hawthornspoke/standins/_table.py
+++ b/hawthornspoke/standins/_table.py
@@ -1,4 +1,4 @@
-"""Simulated transactional table with the DynamoDB JSON subset in use."""
+"""Simulated transactional table with the parts of DynamoDB's JSON protocol in use."""
 
 import json
 import threading
