--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,15 +1,16 @@
 """Ablation study: simulated days are run with one mechanism disabled at a time.
 
-Run by hand, with the simulation program, a site and a folder outside ``/tmp`` for
-scratch copies of the sources::
+Run by hand, with the simulation program, the site to simulate, and a folder
+outside ``/tmp`` for scratch copies of the sources::
 
     python -m benchmarks.ablation PROGRAM SITE --scratch FOLDER \\
         --days scale-1,quiet-1 --seeds 11,12 --jobs 4 [WORD ...]
 
 The program writes its entries to ``journal/`` of each copy; they must be kept. With
 WORD arguments, only mechanisms whose name contains one of them are disabled. Each
-ablation is compared with the unmodified code on the same days and seeds; the spread
-is the standard deviation of the differences.
+ablation is compared with the unmodified code on the same days and seeds, by the
+"worth" that the program prints for a day. In the table, "spread" is the standard
+deviation of the differences, and "seen" lists violated rules and days without a result.
 """
 
 import argparse
@@ -27,7 +28,7 @@
 #: Name of the unmodified baseline.
 BASELINE = "nothing"
 
-#: A result line: day, hosts, score, worth and further columns.
+#: A result line of the simulation: day, hosts, score, worth and further columns.
 RESULT_LINE = re.compile(r"^(?!day )\S+ +\d+/\d+ +\S+ +(-?\d+\.\d+) ", re.MULTILINE)
 
 MECHANISMS = [
@@ -181,7 +182,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Result:
-    """Results of the days simulated without a mechanism.
+    """Results of all days, simulated with one mechanism disabled.
 
     Parameters
     ----------
@@ -212,7 +213,7 @@
     Returns
     -------
     tuple of (float or None, str)
-        The worth and a description of violated rules.
+        The worth, None without a result line, and a description of violated rules.
     """
     done = subprocess.run(
         [
--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -1,9 +1,10 @@
 """Time until new weights are live on N hosts, and copies read from the origin.
 
-Runs separate agent processes on loopback. Token buckets limit the links at the design
-ratio: in one distribution window, the origin's link carries four copies and a host's
-link two copies in each direction. With M bytes of weights and L bytes per second of a
-host's link, the lower bound on the time is M / L and on the origin bytes M.
+Runs separate agent processes on loopback. Token buckets limit the origin's link to
+twice the rate of a host's link, the ratio of the design: in one distribution window,
+the origin's link carries four copies, and a host's link two copies in each direction.
+With M bytes of weights and L bytes per second of a host's link, the time is at least
+M / L, and at least M bytes are read from the origin.
 
     python -m benchmarks.burst --hosts 8 24 --strategies origin chain scatter
     python -m benchmarks.burst --hosts 24 --faults
@@ -55,7 +56,9 @@
     window : float
         M / L in seconds.
     faults : tuple of str
-        Any of ``kill``, ``stall``, ``corrupt``, ``late`` and ``cut``.
+        Any of ``kill`` (a host is killed), ``stall`` (a host is suspended for some
+        time), ``corrupt`` (the origin sends corrupt chunks), ``late`` (a host starts
+        late) and ``cut`` (a failure domain is partitioned for some time).
     copies : int
         Declared as ``origin_copies``.
     scope : str
@@ -77,7 +80,7 @@
         self._load_enabled = threading.Event()
 
     def run(self):
-        """Return a row of the table and the measurements by name."""
+        """Distribute the version; return a table row and the measurements by name."""
         self.fleet = Fleet(
             entries=3,
             agents=self.hosts,
@@ -94,9 +97,9 @@
         )
         with self.fleet as fleet:
             self._prepare(fleet)
-            idle_latency = self._first_token(self.window / 3)
+            idle_latency = self._idle_first_token(self.window / 3)
             measurements = self._distribute(fleet)
-            measurements["first_token_alone"] = idle_latency
+            measurements["first_token_idle"] = idle_latency
         return self._row(measurements), measurements
 
     def _prepare(self, fleet):
@@ -179,7 +182,9 @@
     def _collect_measurements(
         self, fleet, states, started, origin_bytes_before, cpu, sent
     ):
-        live = max(state["live_since_by_key"]["redacteur"] for state in states.values())
+        live_at = max(
+            state["live_since_by_key"]["redacteur"] for state in states.values()
+        )
         complete_at = max(
             transfer["completed_at"]
             for state in states.values()
@@ -199,7 +204,7 @@
         memory = [memory_bytes(fleet.process_by_name[name].pid) for name in states]
         read = fleet.counts()["origin_bytes"] - origin_bytes_before
         return {
-            "time": (live - started) / self.window,
+            "time": (live_at - started) / self.window,
             "complete": (complete_at - started) / self.window,
             "copies": read / self.size,
             "most_sent": max(bytes_sent) / self.size,
@@ -221,14 +226,14 @@
             f"{measurements['control']:.0f}",
             f"{measurements['cpu']:.2f}",
             f"{measurements['memory']:.0f}",
-            f"{measurements['first_token_alone'] * 1000:.0f}",
+            f"{measurements['first_token_idle'] * 1000:.0f}",
             f"{measurements['first_token_burst'] * 1000:.0f}",
         ]
 
     def _cpu(self, name):
         return cpu_seconds(self.fleet.process_by_name[name].pid)
 
-    def _first_token(self, seconds):
+    def _idle_first_token(self, seconds):
         self._start_load()
         time.sleep(seconds)
         self._load_enabled.clear()
@@ -240,9 +245,11 @@
         """Start clients that stream responses at a low constant rate."""
         self._load_enabled.set()
         for entry in self.fleet.names("entry"):
-            threading.Thread(target=self._ask, args=(entry,), daemon=True).start()
+            threading.Thread(
+                target=self._stream_responses, args=(entry,), daemon=True
+            ).start()
 
-    def _ask(self, entry):
+    def _stream_responses(self, entry):
         while self._load_enabled.is_set():
             sent = time.monotonic()
             try:
@@ -325,10 +332,8 @@
         holds &= check(f"{name} time", measurements["time"], limits[f"{prefix}_time"])
         allowed = copies * limits[f"{prefix}_copies"]
         holds &= check(f"{name} copies", measurements["copies"], allowed)
-        if measurements["first_token_alone"]:
-            ratio = (
-                measurements["first_token_burst"] / measurements["first_token_alone"]
-            )
+        if measurements["first_token_idle"]:
+            ratio = measurements["first_token_burst"] / measurements["first_token_idle"]
             holds &= check(f"{name} first token", ratio, limits["first_token"])
     return 0 if holds else 1
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -100,8 +100,8 @@
     return offset, slope, residual
 
 
-def idle_slopes(seconds):
-    """Measure all sizes; print the measurements and the linear fit."""
+def measure_idle_cost(seconds):
+    """Measure the idle cost at all sizes; print it with a linear extrapolation."""
     rows, points = [HEADING], {"entry": [], "runner": []}
     for entries, agents in SIZES:
         cost_by_role, reads = measure_size(entries, agents, seconds)
@@ -202,10 +202,10 @@
         fleet.declare("10-all.toml", declarations())
         fleet.apply("--wait", "60")
         fleet.wait_ready()
-        stop = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         token_counts = []
         threads = [
-            threading.Thread(target=stream_until, args=(fleet, stop, token_counts))
+            threading.Thread(target=stream_until, args=(fleet, deadline, token_counts))
             for _ in range(24)
         ]
         pids = {
@@ -223,9 +223,9 @@
     }, tokens / seconds
 
 
-def stream_until(fleet, stop, token_counts):
-    """Stream responses until a point in time, counting their tokens."""
-    while time.monotonic() < stop:
+def stream_until(fleet, deadline, token_counts):
+    """Stream responses until a deadline (monotonic clock), counting their tokens."""
+    while time.monotonic() < deadline:
         response = fleet.complete("entry-0", stream=True, max_tokens=80)
         token_counts.append(response.data.count(b"data: {"))
 
@@ -236,7 +236,7 @@
     parser.add_argument("--seconds", type=float, default=12.0)
     options = parser.parse_args()
     print(f"commit {commit()}")
-    idle_slopes(options.seconds)
+    measure_idle_cost(options.seconds)
     print_table(
         [["services", "document bytes", "unpack ms"]]
         + [[count, *map(str, document_cost(count))] for count in (10, 100, 400)]
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -24,7 +24,7 @@
     prompts : int, default=0
         Number of shared prompt prefixes; 0 makes every prompt unique.
     headers : callable or None, default=None
-        Returns additional headers for a request.
+        Called for each request; returns its additional headers.
     tokens : int, default=8
         Tokens to generate per request.
     """
@@ -89,7 +89,7 @@
                 timeout=20,
             )
             response.read1(1)
-            first = time.monotonic() - sent_at
+            first_byte_seconds = time.monotonic() - sent_at
             data = response.read()
             response.release_conn()
         except urllib3.exceptions.HTTPError:
@@ -99,7 +99,7 @@
         status = response.status if is_complete or response.status != 200 else 0
         host = response.headers.get("X-Served-By", "")
         self.results.append(
-            Result(status, first, time.monotonic(), host, extra_headers)
+            Result(status, first_byte_seconds, time.monotonic(), host, extra_headers)
         )
 
     def completed(self):
@@ -108,7 +108,9 @@
 
     def first_token(self, share):
         """Return a quantile of the time to first token, in seconds."""
-        return quantile([result.first for result in self.completed()], share)
+        return quantile(
+            [result.first_byte_seconds for result in self.completed()], share
+        )
 
     def by_host(self):
         """Return the number of complete responses by host."""
@@ -119,11 +121,24 @@
 
 
 class Result:
-    """Outcome of one request; status 0 means failed or incomplete."""
+    """Outcome of one request.
+
+    Parameters
+    ----------
+    status : int
+        HTTP status; 0 if the request failed or the response is incomplete.
+    first_byte_seconds : float
+        Time from sending the request to the first byte of the body.
+    ended_at : float
+        Time on the monotonic clock.
+    host : str
+        Host that served the request; empty if the response does not name it.
+    extra_headers : dict of str to str
+    """
 
-    def __init__(self, status, first, ended_at, host, extra_headers):
+    def __init__(self, status, first_byte_seconds, ended_at, host, extra_headers):
         self.status = status
-        self.first = first
+        self.first_byte_seconds = first_byte_seconds
         self.ended_at = ended_at
         self.host = host
         self.extra_headers = extra_headers
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -35,8 +35,8 @@
 
     Decoding steps of a full batch take 1.5 times as long as those of an empty one.
     """
-    service = 0.02 + TOKENS * TOKEN_SECONDS * 1.5
-    return AGENTS * SLOTS / service
+    service_time = 0.02 + TOKENS * TOKEN_SECONDS * 1.5
+    return AGENTS * SLOTS / service_time
 
 
 def run_case(fleet, name, rate, seconds):
@@ -56,7 +56,7 @@
     refused = [item for item in load.results if item.status in (429, 503)]
     measurements = {
         "goodput": len(load.completed()) / elapsed,
-        "refusal": quantile([item.first for item in refused], 0.95),
+        "refusal": quantile([item.first_byte_seconds for item in refused], 0.95),
         "sent": sent / max(1, len(load.results)),
         "urgent": completed_share(load, URGENT),
         "idle": completed_share(load, IDLE),
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -27,7 +27,7 @@
 
 
 def check(name, value, bound, *, at_most=True):
-    """Check a value against its bound and print the result; return it as a bool."""
+    """Print whether a value is within its bound, and return it."""
     holds = value <= bound if at_most else value >= bound
     sign = "<=" if at_most else ">="
     verdict = "holds" if holds else "FAILS"
@@ -58,7 +58,7 @@
 
 
 def quantile(values, share):
-    """Return a quantile of the values, or 0.0 if there are none."""
+    """Return the quantile of the values at a share (0 to 1), or 0.0 without values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,4 +1,4 @@
-"""Comparison of routing policies with a slow and a fast-failing endpoint.
+"""Comparison of routing policies when one endpoint is slow or fails fast.
 
 python -m benchmarks.routing
 """
--- a/hawthornspoke/demo/_demo.py
+++ b/hawthornspoke/demo/_demo.py
@@ -37,15 +37,15 @@
     Parameters
     ----------
     once : bool
-        Exit after a request and a change of the weights; otherwise run until
-        Ctrl-C.
+        Exit after one request, a rollout of new weights and another request;
+        otherwise run until Ctrl-C.
     port : int
         First of the ports to use.
 
     Returns
     -------
     int
-        Exit code: 0, 1 if a step failed, or 7 if a port is in use.
+        Exit code: 0 on success, 1 if a step failed, 7 if a port is in use.
     """
     configure_logging("WARNING")
     fleet = DemoFleet(port=port)
@@ -53,7 +53,7 @@
         fleet.start()
     except OSError as error:
         print(
-            f"hawthornspoke: cannot use port {port} and following: {error}",
+            f"hawthornspoke: cannot use port {port} and the ports after it: {error}",
             file=sys.stderr,
         )
         fleet.stop()
@@ -66,12 +66,14 @@
 
 def _run_steps(fleet, *, once):
     print(
-        f"1 platform stand-in, 2 entry hosts, {N_ENGINES} model hosts, 1 plain service"
+        f"1 simulated platform, 2 entry hosts, {N_ENGINES} model hosts, 1 plain service"
     )
     seconds = _apply_and_wait(fleet, "declarations")
     if seconds is None:
         return 1
-    print(f"v1 declared, spread and live on {N_ENGINES} hosts after {seconds:.2f} s")
+    print(
+        f"v1 declared, transferred and live on {N_ENGINES} hosts after {seconds:.2f} s"
+    )
     response = _send_request(fleet)
     if response is None:
         return 1
@@ -103,7 +105,13 @@
 
 
 def _apply_and_wait(fleet, name):
-    """Apply a folder of the package and wait until all hosts serve its weights."""
+    """Apply the declarations of a folder and wait until all hosts serve the weights.
+
+    Returns
+    -------
+    float or None
+        Elapsed seconds, None if it failed.
+    """
     started = monotonic()
     folder = files("hawthornspoke.demo") / name
     outcome = apply_folder(folder, clients=fleet.clients, author="demo")
@@ -111,7 +119,7 @@
         print(f"declarations were rejected: {outcome}", file=sys.stderr)
         return None
     while monotonic() - started < TIMEOUT_SECONDS:
-        if _all_live(fleet, outcome.revision):
+        if _are_weights_live(fleet, outcome.revision):
             return monotonic() - started
         time.sleep(POLL_INTERVAL_SECONDS)
     print(
@@ -121,7 +129,7 @@
     return None
 
 
-def _all_live(fleet, revision):
+def _are_weights_live(fleet, revision):
     hosts = read_fleet(fleet.clients)
     if not isinstance(hosts, list):
         return False
--- a/hawthornspoke/replay/_trace.py
+++ b/hawthornspoke/replay/_trace.py
@@ -188,9 +188,9 @@
     return differences
 
 
-def _outcome_field(outcome, name):
+def _outcome_field(outcome, field_name):
     """Return a field of an outcome; a failure is represented by its code."""
-    value = getattr(outcome, name)
+    value = getattr(outcome, field_name)
     if hasattr(value, "code"):
         return value.code
     return list(value) if isinstance(value, tuple) else value
--- a/hawthornspoke/report/_plot.py
+++ b/hawthornspoke/report/_plot.py
@@ -3,8 +3,8 @@
 #: Width and height in inches, for two stacked charts that fit on a page.
 FIGURE_SIZE = (10, 7)
 
-REQUEST_COUNTS = ("on_time", "late", "refused", "failed")
-ENGINE_COUNTS = ("serving", "loading", "outdated", "empty", "silent")
+REQUEST_FIELDS = ("on_time", "late", "refused", "failed")
+ENGINE_FIELDS = ("serving", "loading", "outdated", "empty", "silent")
 
 
 class PlotError(Exception):
@@ -36,9 +36,9 @@
     figure = Figure(figsize=FIGURE_SIZE, layout="constrained")
     upper, lower = figure.subplots(2, sharex=True)
     _plot_stacked(
-        upper, report.requests_by_second, REQUEST_COUNTS, "requests per second"
+        upper, report.requests_by_second, REQUEST_FIELDS, "requests per second"
     )
-    _plot_stacked(lower, report.engines_by_second, ENGINE_COUNTS, "engines")
+    _plot_stacked(lower, report.engines_by_second, ENGINE_FIELDS, "engines")
     for rollout in report.spreads:
         time = rollout.declared_at - report.started_at
         for chart in (upper, lower):
--- a/packaging/build_binary.py
+++ b/packaging/build_binary.py
@@ -1,6 +1,8 @@
-"""Build ``dist/hawthornspoke``: a zipapp with all dependencies for the host's Python.
+"""Build ``dist/hawthornspoke``, a zipapp with all dependencies for the host's Python.
 
-python packaging/build_binary.py
+Run by hand::
+
+    python packaging/build_binary.py
 """
 
 import re
@@ -11,24 +13,24 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-STAGE = ROOT / "build" / "binary"
+STAGING_FOLDER = ROOT / "build" / "binary"
 TARGET = ROOT / "dist" / "hawthornspoke"
-UNUSED = re.compile(r"(/|^)(tests?|__pycache__|bin)(/|$)")
+EXCLUDED_PATHS = re.compile(r"(/|^)(tests?|__pycache__|bin)(/|$)")
 
 
 def build():
     """Install the package with its dependencies into an archive; return its path."""
-    shutil.rmtree(STAGE, ignore_errors=True)
+    shutil.rmtree(STAGING_FOLDER, ignore_errors=True)
     pip = [sys.executable, "-m", "pip", "install", "--quiet", "--no-compile"]
-    subprocess.run([*pip, "--target", str(STAGE), str(ROOT)], check=True)
-    shutil.copy(ROOT / "packaging" / "binary_main.py", STAGE / "__main__.py")
+    subprocess.run([*pip, "--target", str(STAGING_FOLDER), str(ROOT)], check=True)
+    shutil.copy(ROOT / "packaging" / "binary_main.py", STAGING_FOLDER / "__main__.py")
     TARGET.parent.mkdir(exist_ok=True)
     zipapp.create_archive(
-        STAGE,
+        STAGING_FOLDER,
         TARGET,
         interpreter="/usr/bin/env python3",
         compressed=True,
-        filter=lambda path: not UNUSED.search(str(path)),
+        filter=lambda path: not EXCLUDED_PATHS.search(str(path)),
     )
     return TARGET
 
