--- a/hawthornspoke/catalog/__init__.py
+++ b/hawthornspoke/catalog/__init__.py
@@ -1,4 +1,7 @@
-"""Platform-independent model of the configuration and the endpoints."""
+"""Types of the configuration, the endpoints and the declared weights.
+
+They are independent of the platform, from whose rows an adapter creates them.
+"""
 
 from hawthornspoke.catalog._declared import (
     FIRST_VERSION,
--- a/hawthornspoke/catalog/_declared.py
+++ b/hawthornspoke/catalog/_declared.py
@@ -9,10 +9,10 @@
 #: Time of a declaration whose time is not known.
 UNKNOWN_TIME = float("-inf")
 
-#: Seconds before the bound from which newer weights are preferred to older ones, and
-#: from which weights that expire at that bound are no longer loaded. A request begins
-#: later than it is sent: up to 0.84 s were measured, 0.18 s of them on a link saturated
-#: with pieces and the rest in the engine.
+#: Seconds before older weights expire from which newer weights are preferred to them
+#: and they are no longer loaded. A request starts running some time after it is sent:
+#: up to 0.84 s were measured, 0.18 s of them on a link saturated by transfers of pieces
+#: and the rest in the engine.
 SEND_MARGIN = 0.95
 
 
@@ -21,7 +21,7 @@
 
     ``not_before`` is a lower bound of the time of the declaration, from the platform
     or from agents; ``not_after`` is an upper bound, the time of the first report of
-    it. ``is_from_platform`` is False if only agents reported it.
+    it. ``is_from_platform`` is False while only agents have reported it.
     """
 
     __slots__ = ("version", "not_before", "not_after", "is_from_platform")
@@ -33,10 +33,10 @@
         self.is_from_platform = is_from_platform
 
     def raise_lower_bound(self, at):
-        # The latest lower bound is the tightest, whatever its source: a host that the
-        # platform did not answer for a while knows only an early one. A lower bound
-        # after the first report of the version is wrong: its sender was stalled in
-        # between, or assumed that the platform was unreachable for every host.
+        # The latest lower bound is the tightest, whatever its source: a host that got
+        # no response from the platform for a while knows only an early one. A lower
+        # bound after the first report of the version is wrong: its sender was stalled
+        # in between, or assumed that the platform was unreachable for every host.
         if at <= self.not_after:
             self.not_before = max(self.not_before, at)
 
@@ -45,10 +45,10 @@
     """Declared versions by model, with the earliest possible time of each declaration.
 
     A declared version becomes mandatory a fixed time after its declaration was
-    accepted. A process that counted from when it learned of the declaration would
-    extend the bound by the propagation delay, and by the whole bound after a restart.
-    So each declaration has a lower bound of its time, and one whose time is unknown is
-    mandatory at once.
+    accepted: from then on, older versions may not begin to answer. A process that
+    counted from when it learned of the declaration would extend this time by the
+    propagation delay, and after a restart by its whole length. So each declaration has
+    a lower bound of its time, and one whose time is unknown is mandatory at once.
     """
 
     __slots__ = ("_declared_by_model",)
@@ -61,12 +61,12 @@
     ):
         """Add a declaration from the platform.
 
-        A known version only has its time updated; an older one is ignored.
+        For a known version only the time is updated; an older version is ignored.
 
         A process that was disconnected may have missed a version in between, and the
         versions older than the missed one expire sooner than the newest declaration
         implies: a host that started 1 s after the second of two declarations sent
-        requests to weights that both had replaced, 3.6 s beyond their bound. So the
+        requests to weights older than both, 3.6 s after they had expired. So the
         previous version is assumed to have been declared as well, at the earliest
         possible time.
 
@@ -77,9 +77,9 @@
             Lower bound of the time of the declaration, ``UNKNOWN_TIME`` if there is
             none.
         known_until : float, default=UNKNOWN_TIME
-            Time until which all declarations were known.
+            Time up to which this process knew of all declarations.
         report_received_at : float, default=inf
-            Time at which this report had been received.
+            Time at which the report of the declaration was received.
 
         Returns
         -------
@@ -117,12 +117,12 @@
         """Add an agent's lower bound of the time at which a version was declared.
 
         Every agent reports a valid lower bound, so the latest is the tightest; that of
-        a host that was partitioned for long is valid too, but of no use.
+        a host that was partitioned for long is valid too, but too early to be useful.
 
         A version that the platform has not reported yet is mandatory as well. A host
-        that the platform refuses would otherwise send to outdated weights until it is
-        served again, and then date the version from that time, 8.5 s too late in a
-        test.
+        whose calls the platform rejects would otherwise send requests to outdated
+        weights until its calls succeed again, and then assume that the version was
+        declared only at that time, 8.5 s too late in a test.
 
         Parameters
         ----------
@@ -131,7 +131,7 @@
         at : float
             Lower bound of the time of the declaration.
         report_received_at : float, default=inf
-            Time at which this report had been received.
+            Time at which the report of the declaration was received.
         """
         declarations = self._declared_by_model.setdefault(model, [])
         item = _find(declarations, version)
@@ -156,7 +156,8 @@
         Returns
         -------
         list of (int, float)
-            Version and lower bound of its time; versions of unknown time are omitted.
+            Version and lower bound of its declaration time. Versions of unknown time
+            are omitted.
         """
         return [
             (item.version, item.not_before)
@@ -170,7 +171,10 @@
         return None if newest is None else newest.version
 
     def since(self, model):
-        """Return the declaration time of that version, or ``UNKNOWN_TIME``."""
+        """Return the lower bound of the declaration time of the ``latest`` version.
+
+        It is ``UNKNOWN_TIME`` if there is no such version or bound.
+        """
         newest = self._newest_from_platform(model)
         return UNKNOWN_TIME if newest is None else newest.not_before
 
@@ -182,7 +186,7 @@
         model : str
         version : int
         bound : float
-            Seconds from the declaration of a newer version.
+            Seconds after a declaration during which older versions may begin to answer.
 
         Returns
         -------
@@ -197,12 +201,12 @@
         return min(deadlines, default=None)
 
     def _newest_from_platform(self, model):
-        reported = [
+        declarations = [
             item
             for item in self._declared_by_model.get(model, ())
             if item.is_from_platform
         ]
-        return reported[-1] if reported else None
+        return declarations[-1] if declarations else None
 
     def dump(self, *, now):
         """Return the state as plain data."""
--- a/hawthornspoke/catalog/_incarnation.py
+++ b/hawthornspoke/catalog/_incarnation.py
@@ -1,17 +1,17 @@
-"""Incarnations of endpoints: which start a report refers to."""
+"""Incarnations, which tell the starts of a restarted endpoint apart."""
 
 from dataclasses import dataclass
 
-#: Smallest value that doesn't fit an i64 field of the messages between hosts.
+#: Smallest start time that doesn't fit the i64 field of messages between hosts.
 STARTED_MS_LIMIT = 2**63
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Incarnation:
-    """One start of an endpoint, whose id may be that of an earlier incarnation.
+    """One start of an endpoint, identified by its start time.
 
-    Incarnations can be distinguished but not ordered, since the wall clock may have
-    been set back between two starts.
+    An endpoint keeps its id when it restarts. Incarnations can be distinguished but not
+    ordered, since the wall clock may have been set back between two starts.
 
     Parameters
     ----------
--- a/hawthornspoke/catalog/_table.py
+++ b/hawthornspoke/catalog/_table.py
@@ -1,7 +1,8 @@
-"""Route lookup."""
+"""Lookup of the route of a request, and choice of its service."""
 
 import xxhash
 
+#: Number of values of a 32-bit hash.
 HASH_RANGE = 2**32
 
 
@@ -40,7 +41,7 @@
             return None
         path = target.partition("?")[0]
         end = len(path)
-        # Prefixes end in a slash, so there is one lookup per slash in the path. A scan
+        # Prefixes end in a slash, so one lookup per slash in the path is enough. A scan
         # of all routes would take time linear in their number, which can be hundreds.
         while (end := path.rfind("/", 0, end)) >= 0:
             route = by_prefix.get(path[: end + 1])
@@ -50,7 +51,7 @@
 
 
 def choose_share(route, key):
-    """Choose the service for a request by weighted hashing.
+    """Choose the service for a request by hashing, in proportion to the weights.
 
     Parameters
     ----------
--- a/hawthornspoke/catalog/_types.py
+++ b/hawthornspoke/catalog/_types.py
@@ -1,16 +1,17 @@
-"""Configuration and endpoint types that platform adapters produce."""
+"""Types of the configuration and the endpoints, created by an adapter."""
 
 from dataclasses import dataclass, field
 
 from hawthornspoke.catalog._incarnation import UNKNOWN_START, Incarnation
 
-#: Kinds of routes, by whether and how a request may be repeated.
+#: Kinds of routes. A request may be repeated if the kind is ``IDEMPOTENT``, or if it is
+#: ``STREAM`` and the route is resumable.
 IDEMPOTENT = "idempotent"
 AT_MOST_ONCE = "at_most_once"
 STREAM = "stream"
 
 
-#: Minimum time, in seconds, that callers wait for the next event of a stream.
+#: Lower limit, in seconds, of the time that callers wait for an event of a stream.
 MIN_EVENT_TIMEOUT = 2.0
 
 
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Share:
-    """A service's share of a route's traffic.
+    """Share of a service in the traffic of a route.
 
     Parameters
     ----------
@@ -66,7 +67,7 @@
     objective : float
         Latency target in seconds, for the response or the first event of a stream.
     attempts : int
-        Maximum number of endpoints that one request is sent to.
+        Maximum number of endpoints to which one request is sent.
     priority : int
         0 is the highest.
     public : bool
@@ -163,7 +164,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class CallerLimits:
-    """Size and time limits for callers.
+    """Size and time limits of requests and connections of callers.
 
     Parameters
     ----------
@@ -199,7 +200,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Catalog:
-    """A complete accepted configuration.
+    """A complete configuration, as accepted by the platform.
 
     Parameters
     ----------
@@ -220,7 +221,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EndpointEntry:
-    """An endpoint as listed by the platform, with some delay.
+    """An endpoint as listed by the platform, whose list lags behind the endpoints.
 
     Parameters
     ----------
--- a/hawthornspoke/catalog/tests/test_event_patience.py
+++ b/hawthornspoke/catalog/tests/test_event_timeout.py
@@ -1,4 +1,4 @@
-"""Time that callers of a stream wait for an event."""
+"""Time that callers of a stream wait for the next event."""
 
 import pytest
 
--- a/hawthornspoke/catalog/tests/test_incarnation.py
+++ b/hawthornspoke/catalog/tests/test_incarnation.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("value", [None, True, 1.5, 1e12, "17", [], -1, 2**63])
 def test_invalid_start_time_gives_an_unknown_incarnation(value):
-    """A malformed row, or one too large for the wire format, must not end a process."""
+    """A malformed or too large value must not raise an exception, now or when sent."""
     assert Incarnation.from_value(value) == UNKNOWN_START
 
 
--- a/hawthornspoke/revision/__init__.py
+++ b/hawthornspoke/revision/__init__.py
@@ -1,4 +1,7 @@
-"""Selection of the active configuration revision of a node, which never decreases."""
+"""Selection of the revision of the configuration that a node uses.
+
+The revision of a node never decreases.
+"""
 
 from hawthornspoke.revision._holder import (
     DocumentActivated,
--- a/hawthornspoke/revision/_holder.py
+++ b/hawthornspoke/revision/_holder.py
@@ -1,4 +1,4 @@
-"""State machine that selects the active configuration revision of a node."""
+"""State machine that selects the revision of the configuration that a node uses."""
 
 from dataclasses import dataclass
 
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class TableRead:
-    """The configuration row of the table was read.
+    """The row of the database table that names the accepted revision was read.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
         0 if no revision was ever accepted.
     digest : str
     requested_at : float, default=-inf
-        Time of the read request, on the clock that includes suspend time.
+        Time of the read request on the boot-time clock, which includes suspensions.
     """
 
     revision: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class DocumentRead:
-    """A fetch ended; the document was already verified against its digest.
+    """A fetch of a document ended; its digest has already been verified.
 
     Parameters
     ----------
@@ -82,15 +82,15 @@
     ----------
     start_grace : float, default=3.0
         Seconds after the first message during which a node that has not read the table
-        waits for more peers before it relies on peers alone.
+        waits to hear from more peers before it relies on peers alone.
 
     Notes
     -----
     A restarted node may first hear from a peer that was partitioned and holds an
-    outdated configuration; using it would serve callers a configuration that they have
-    already seen replaced. So a lower revision is never accepted, whatever its source,
-    and :meth:`confirmed` stays false until the table was read or the grace period has
-    passed, in which the most recent of all peers has been heard.
+    outdated configuration; using it would apply a configuration to callers that they
+    have already seen replaced. So a lower revision is never accepted, whatever its
+    source, and :meth:`confirmed` returns False until the table was read or the grace
+    period has passed, within which it should have heard from an up-to-date peer.
 
     A partitioned node continues with the configuration that it holds. Entries missing
     from it may have been added since, so :meth:`may_reject` checks the time of the last
@@ -98,7 +98,7 @@
 
     Every message that the node sends carries the highest revision *heard*, even before
     its document is received, so that peers learn of it from any message. This is the
-    "causal" middle level of the related paper: after a node has seen revision R, every
+    middle consistency level, "causal", of [1]_: after a node has seen revision R, every
     node that it sends to uses R or later as soon as the document can be fetched.
 
     References
@@ -149,7 +149,7 @@
         if message.revision < self.revision:
             self.refused_lower += 1
             return []
-        return self._consider(message.revision, message.digest, message.source)
+        return self._fetch_if_newer(message.revision, message.digest, message.source)
 
     def on_table_read(self, message, *, now):
         """Process the row read from the table.
@@ -166,11 +166,11 @@
         self._start_grace_period(now)
         self._confirmed = True
         if message.revision < self.revision:
-            # A table restored from an old backup must not revert the fleet.
+            # A table restored from an old backup must not revert the nodes.
             self.refused_lower += 1
             return []
         self._confirmed_at = max(self._confirmed_at, message.requested_at)
-        return self._consider(message.revision, message.digest, "")
+        return self._fetch_if_newer(message.revision, message.digest, "")
 
     def on_document_read(self, message, *, now):
         """Activate a document if it belongs to the newest known revision.
@@ -198,7 +198,7 @@
         ]
 
     def missing_document(self):
-        """Return the fetch for the newest known document, if it is missing.
+        """Return the fetch of the document of the newest known revision, if missing.
 
         Returns
         -------
@@ -234,13 +234,13 @@
         propagation_bound : float
             Seconds within which an accepted revision has to be active.
         contact_now : float
-            Current time, on the clock that includes suspend time.
+            Current time on the boot-time clock, which includes suspensions.
 
         Returns
         -------
         bool
-            False if the last table read is so old that a revision may have been
-            accepted and be due since, or if the document of a newer known revision is
+            False if the last table read is so old that a revision accepted since may
+            already have to be active, or if the document of a newer known revision is
             missing.
         """
         is_newest = self.document is not None and self.revision == self.heard_revision
@@ -270,7 +270,7 @@
         if self._grace_deadline is None:
             self._grace_deadline = now + self.start_grace
 
-    def _consider(self, revision, digest, source):
+    def _fetch_if_newer(self, revision, digest, source):
         if revision <= self.heard_revision or not digest:
             return []
         self.heard_revision = revision
--- a/hawthornspoke/revision/tests/test_may_deny.py
+++ b/hawthornspoke/revision/tests/test_may_reject.py
@@ -8,28 +8,30 @@
 )
 
 #: Seconds within which an accepted revision has to be active.
-BINDS_AFTER = 5.0
+PROPAGATION_BOUND = 5.0
 
 
-def create_holder(*, asked_at=100.0):
+def create_holder(*, requested_at=100.0):
     """Return a holder of revision 3, read from the table."""
     holder = RevisionHolder()
-    read = TableRead(revision=3, digest="d3", requested_at=asked_at)
+    read = TableRead(revision=3, digest="d3", requested_at=requested_at)
     holder.step(read, now=0.0)
     holder.step(DocumentRead(digest="d3", document={}), now=0.1)
     return holder
 
 
 def may_reject(holder, contact_now):
-    return holder.may_reject(propagation_bound=BINDS_AFTER, contact_now=contact_now)
+    return holder.may_reject(
+        propagation_bound=PROPAGATION_BOUND, contact_now=contact_now
+    )
 
 
 def test_partitioned_host_rejects_nothing_permanently():
     """A caller whose key had just been added got a permanent 401.
 
-    An entry host had read the table once and was then partitioned, so it did not see
-    the new key. Having confirmed its configuration once must not let it reject unknown
-    keys forever.
+    An entry host had read the table once and was then partitioned, so it did not learn
+    of the new key. A host must not reject unknown keys forever because it confirmed its
+    configuration once.
     """
     holder = create_holder()
     assert may_reject(holder, 104.9)
@@ -46,11 +48,11 @@
 
 def test_table_read_counts_from_its_request():
     """A delayed response must not count from the time at which it arrived."""
-    holder = create_holder(asked_at=200.0)
+    holder = create_holder(requested_at=200.0)
     late = TableRead(revision=3, digest="d3", requested_at=190.0)
     holder.step(late, now=100.0)
     assert may_reject(holder, 204.0)
-    assert not may_reject(create_holder(asked_at=190.0), 196.0)
+    assert not may_reject(create_holder(requested_at=190.0), 196.0)
 
 
 def test_newer_revision_without_document_prevents_rejection():
@@ -72,7 +74,7 @@
 
 
 def test_table_restored_from_backup_does_not_allow_rejection():
-    """A row from an old backup doesn't tell what was accepted since."""
+    """A row from an old backup doesn't show which revisions were accepted since."""
     holder = create_holder()
     read = TableRead(revision=2, digest="d2", requested_at=200.0)
     holder.step(read, now=100.0)
--- a/hawthornspoke/revision/tests/test_never_lower.py
+++ b/hawthornspoke/revision/tests/test_never_lower.py
@@ -30,7 +30,7 @@
 @RUNS
 @given(st.lists(MESSAGES, max_size=40))
 def test_revision_and_document_increase_together(messages):
-    """Guards against a reverted configuration or a mismatched revision and document."""
+    """Guards against a decreasing revision and one that doesn't match the document."""
     holder = RevisionHolder()
     highest = 0
     for number, message in enumerate(messages):
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -186,9 +186,9 @@
         new="        if not digest:",
         also=(
             "            self.refused_lower += 1\n            return []\n"
-            "        return self._consider(message.revision, message.digest, message",
+            "        return self._fetch_if_newer(message.revision, message.digest",
             "            pass\n"
-            "        return self._consider(message.revision, message.digest, message",
+            "        return self._fetch_if_newer(message.revision, message.digest",
         ),
         test="tests/test_traces.py -k stale_peer",
     ),
