--- a/hawthornspoke/catalog/_declared.py
+++ b/hawthornspoke/catalog/_declared.py
@@ -201,12 +201,12 @@
         return min(deadlines, default=None)
 
     def _newest_from_platform(self, model):
-        declarations = [
+        from_platform = [
             item
             for item in self._declared_by_model.get(model, ())
             if item.is_from_platform
         ]
-        return declarations[-1] if declarations else None
+        return from_platform[-1] if from_platform else None
 
     def dump(self, *, now):
         """Return the state as plain data."""
--- a/hawthornspoke/httpio/__init__.py
+++ b/hawthornspoke/httpio/__init__.py
@@ -1,9 +1,9 @@
 """Asyncio HTTP/1.1 server for callers and client for endpoints.
 
-cheroot and urllib3 use a thread per connection and per call. At 140 requests per
-second including streams, threads used 0.048 of a core and 29 MB per entry host; a
-single event loop with httptools used 0.031 of a core and 19 MB. A thread blocked on an
-endpoint also can't detect that its caller has disconnected.
+Written instead of using cheroot and urllib3, which need a thread per connection and
+per call. At 140 requests per second including streams, threads used 0.048 of a core and
+29 MB per entry host; a single event loop with httptools used 0.031 of a core and 19 MB.
+A thread that waits for an endpoint also can't detect that its caller has disconnected.
 """
 
 from hawthornspoke.httpio._client import (
--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -11,7 +11,7 @@
 from hawthornspoke.httpio._message import HOP_BY_HOP, Response, encode_head
 
 #: Milliseconds that sent bytes may stay unacknowledged before the connection fails.
-#: A peer can disappear without a reset; a request would then wait for its deadline.
+#: A peer can disappear without a reset; a request would then wait until its deadline.
 #: A round trip between regions takes a few milliseconds and a lost packet is
 #: retransmitted within 200 ms, so one second means several losses in a row.
 USER_TIMEOUT_MS = 1000
@@ -22,12 +22,12 @@
 KEEPALIVE_INTERVAL = 1
 KEEPALIVE_PROBES = 2
 
-#: Fraction of the idle timeout announced by an endpoint during which a connection is
-#: reused. Closer to the timeout, the endpoint may close it with a request in transit.
+#: Fraction of an endpoint's idle timeout for which an idle connection may be reused.
+#: Later, the endpoint may close the connection while a request is in transit to it.
 IDLE_TIMEOUT_FRACTION = 0.7
 
-#: Idle timeout in seconds of an endpoint that announces none. ``Keep-Alive`` holds
-#: whole seconds, so an endpoint with a timeout below one second can't announce it.
+#: Idle timeout, in seconds, that is assumed for an endpoint that announces none.
+#: ``Keep-Alive`` holds whole seconds, so a timeout below one second can't be announced.
 DEFAULT_IDLE_TIMEOUT = 0.3
 
 #: Bytes buffered for a slow caller.
@@ -42,12 +42,12 @@
 
 
 class Exchange:
-    """One request on a connection and its response.
+    """One request sent on a connection, and its response as it is received.
 
     Parameters
     ----------
     expected_id : str or None
-        Expected value of the response's id header; None accepts any.
+        Request id that the response has to echo; None accepts any response.
     """
 
     __slots__ = ("expected_id", "head", "complete", "failure", "_chunks", "_waiter")
@@ -103,7 +103,10 @@
         self._wake()
 
     def end(self, failure=None):
-        """End the exchange; no effect if it is complete or has failed."""
+        """Mark the response as complete, or as failed if a failure is given.
+
+        No effect if the exchange has already ended.
+        """
         if self.complete or self.failure is not None:
             return
         if failure is None:
@@ -172,9 +175,9 @@
             exchange.end(CONNECTION_BROKEN.with_reason(str(exc) if exc else "closed"))
 
     def eof_received(self):
-        """Complete a response that is delimited by the end of its connection.
+        """Complete a response whose body ends with its connection.
 
-        Only EOF completes it: after a reset, bytes may be missing.
+        Only EOF completes such a response: after a reset, bytes may be missing.
         """
         exchange = self.exchange
         if exchange is not None and exchange.head is not None and not self._has_framing:
@@ -205,8 +208,8 @@
     def data_received(self, data):
         """Parse response data; unsolicited data aborts the connection."""
         if self.exchange is None:
-            # A second response, or garbage after a complete one. It would be parsed
-            # as the start of the response to the next request.
+            # A second response, or excess data after a response. It would be parsed as
+            # the start of the response to the next request.
             self.abort()
             return
         try:
@@ -219,7 +222,7 @@
             self.abort()
 
     def release(self):
-        """End the exchange; abort the connection if it can't be reused.
+        """Detach the exchange; abort the connection if it can't be reused.
 
         Returns
         -------
@@ -236,7 +239,7 @@
         return True
 
     def abort(self):
-        """Close immediately, which makes the endpoint cancel the request."""
+        """Close the connection immediately; the endpoint then cancels the request."""
         self.reusable = False
         if self.transport is not None:
             self.transport.abort()
@@ -325,7 +328,7 @@
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     )
     for level, name, value in options:
-        # An operating system without one of the options only detects a failure later.
+        # An operating system that lacks an option detects failures later.
         with contextlib.suppress(OSError):
             sock.setsockopt(level, name, value)
 
--- a/hawthornspoke/httpio/_fetch.py
+++ b/hawthornspoke/httpio/_fetch.py
@@ -1,4 +1,4 @@
-"""Simple requests over pooled connections, with optional hedging."""
+"""Requests over pooled connections whose response is read whole, with hedging."""
 
 import asyncio
 
@@ -24,9 +24,9 @@
 ):
     """Send one request and read the complete response.
 
-    A connection whose state a router on the path has lost looks open but never gets a
-    response. A hedged request is repeated on a new connection when its response is
-    late; otherwise the caller's information would go stale for the whole timeout.
+    A connection whose state a middlebox has lost looks open but never gets a response.
+    A hedged request is repeated on a new connection when its response is late;
+    otherwise the caller's information would be outdated for the whole timeout.
 
     Parameters
     ----------
@@ -45,7 +45,8 @@
     Returns
     -------
     Response or Failure
-        The first response, or ``NOT_SENT`` if no byte was sent.
+        The first response, or a failure if there is none: ``NOT_SENT`` if the request
+        was not sent since the connection had ended or the deadline had passed.
     """
     call = {
         "method": method,
@@ -97,8 +98,8 @@
                 return connection
             if boottime_clock() >= deadline or not connection.is_open:
                 # After the process was frozen, this task can resume before its
-                # timeout fires; it would then send a request that was decided on
-                # data that is seconds old.
+                # timeout fires. It would then send a request that is based on data
+                # that is seconds old.
                 return NOT_SENT.with_reason(
                     f"{method} {target}: deadline passed before sending"
                 )
--- a/hawthornspoke/httpio/_message.py
+++ b/hawthornspoke/httpio/_message.py
@@ -1,6 +1,7 @@
-"""HTTP request and response objects and the encoding of heads."""
+"""HTTP requests and responses, and the encoding of their heads."""
 
-#: Hop-by-hop header fields (RFC 9110, section 7.6.1), which are not forwarded.
+#: Header fields that are not forwarded: hop-by-hop fields (RFC 9110, section 7.6.1) and
+#: fields that are set anew for each hop.
 HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -72,8 +73,8 @@
         -------
         list of (str, str)
         """
-        named = self.get("connection", "")
-        dropped = {token.strip().lower() for token in named.split(",")}
+        connection_options = self.get("connection", "")
+        dropped = {token.strip().lower() for token in connection_options.split(",")}
         return [
             (name, value)
             for name, value in self.headers
@@ -95,7 +96,7 @@
     arrived_at : float
         Time of its first byte on the monotonic clock.
     contact_arrived_at : float
-        The same on the boot-time clock, which includes time in suspension.
+        The same on the boot-time clock, which includes suspensions.
     """
 
     __slots__ = ("method", "target", "arrived_at", "contact_arrived_at")
--- a/hawthornspoke/httpio/_operator.py
+++ b/hawthornspoke/httpio/_operator.py
@@ -1,4 +1,4 @@
-"""Handler of the operators' HTTP port: metrics and process state."""
+"""HTTP handler of the operators' port, which serves metrics and process state."""
 
 import json
 
--- a/hawthornspoke/httpio/_pool.py
+++ b/hawthornspoke/httpio/_pool.py
@@ -17,7 +17,7 @@
 
 
 class ConnectionPool:
-    """Idle connections by key; the most recently used is reused first.
+    """Idle connections by key; the most recently used one is reused first.
 
     Parameters
     ----------
@@ -27,9 +27,9 @@
         Seconds. A round trip between regions takes a few milliseconds, or 0.2 s over
         a saturated link; an unreachable endpoint doesn't respond at all.
     closes_idle : bool, default=False
-        Whether to schedule the closing of each connection for its idle deadline.
-        Otherwise the owner calls ``sweep`` periodically, which is cheaper for a pool
-        with many requests per second.
+        Whether each connection is closed by a timer at its idle deadline. Otherwise the
+        owner calls ``sweep`` periodically, which is cheaper for a pool with many
+        requests per second.
     """
 
     __slots__ = (
@@ -53,7 +53,7 @@
         Parameters
         ----------
         key : str
-            Connections are reused only under the same key, as an address can be
+            A connection is reused only for the same key, as an address can be
             reassigned to another endpoint.
         address : str
         instance : object, default=None
@@ -82,7 +82,10 @@
         )
 
     def return_connection(self, key, connection, *, instance=None):
-        """Return a connection to the pool after a complete response."""
+        """Return a connection to the pool after a complete response.
+
+        It is closed if it can't be reused.
+        """
         if connection.release():
             entry = _IdleConnection(connection=connection, instance=instance)
             self._idle_by_key.setdefault(key, []).append(entry)
--- a/hawthornspoke/httpio/_probe.py
+++ b/hawthornspoke/httpio/_probe.py
@@ -1,4 +1,4 @@
-"""Probe that tells whether a process listens at an address."""
+"""Check whether no process listens at an address."""
 
 import asyncio
 
@@ -16,8 +16,9 @@
     Returns
     -------
     bool
-        True if no process listens there. False if the connection succeeds, and also
-        if the host doesn't respond, as the state of the process is then unknown.
+        True if the host refuses the connection, as no process listens there. False if
+        the connection succeeds or the host doesn't respond, as the process may then be
+        running.
     """
     host, _, port = address.rpartition(":")
     try:
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -19,7 +19,7 @@
 #: Seconds between checks for idle or slow connections.
 SWEEP_INTERVAL = 0.5
 
-#: Length of the accept queue, large enough for a burst of new callers.
+#: Length of the accept queue, large enough for a burst of new connections.
 BACKLOG = 1024
 
 #: Bytes buffered for a slow caller before reading from the endpoint pauses.
@@ -38,8 +38,8 @@
     header_bytes, body_bytes : int
         Maximum sizes of a request.
     header_time, idle_time : float
-        Seconds to receive the header; seconds that a connection may be idle or that a
-        body may take.
+        Maximum time, in seconds, in which the headers are received; and for which a
+        connection may be idle, or in which a body is received.
     """
 
     __slots__ = ("header_bytes", "body_bytes", "header_time", "idle_time")
@@ -54,7 +54,7 @@
 
 
 class Reply:
-    """Writer of the response to one request; only one response may be sent.
+    """Sends the only response to one request, either at once or in chunks.
 
     Parameters
     ----------
@@ -101,7 +101,7 @@
         return self._connection.caller_gone()
 
     def abort(self):
-        """Abort the connection so that the response is seen as incomplete."""
+        """Abort the connection, from which the caller sees that data is missing."""
         self.finished = True
         self._connection.abort()
 
@@ -154,21 +154,22 @@
     def eof_received(self):
         """Treat a half-close as a disconnect; callers don't half-close.
 
-        asyncio closes the transport only after its write buffer is sent. That may
-        never happen if the caller left a response unread and the reset by its host is
-        delayed by the same saturated link; the endpoint would keep working meanwhile.
+        asyncio closes the transport only after its write buffer is sent. If the caller
+        disconnected without reading a response over a saturated link, the buffer can't
+        be sent, and the reset by the caller's host is delayed by that link as well. The
+        endpoint would keep working meanwhile.
         """
         if self.task is not None:
             self.task.cancel()
         return False
 
     def pause_writing(self):
-        """Make ``drained`` wait, as the write buffer is full."""
+        """Make ``drained`` wait while the write buffer is full."""
         if self._drain_waiter is None:
             self._drain_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self):
-        """Wake ``drained``, as the write buffer has room again."""
+        """Let ``drained`` return, as the write buffer has room again."""
         waiter, self._drain_waiter = self._drain_waiter, None
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
@@ -221,13 +222,13 @@
     def on_message_begin(self):
         if self._complete:
             # A pipelined request in the same data. Parsing it would overwrite the
-            # current request, and the caller would match its response to the wrong
-            # request. It is ignored and the connection is closed after the current
-            # response, which tells the caller that the request was not executed.
+            # current request, and the caller would match the response to the wrong
+            # request. The pipelined request is ignored and the connection is closed
+            # after the current response, so the caller knows that it was not executed.
             self._has_pipelined = True
             return
         self._reset_message()
-        self._started_at, self._contact_started_at = (
+        self._started_at, self._boottime_started_at = (
             self._received_at or _current_times()
         )
         self.idle_deadline = monotonic() + self.server.limits.header_time
@@ -251,8 +252,8 @@
         names = [name.lower() for name, _ in self._headers]
         # HTTP implementations disagree on ambiguous framing or duplicate Host fields,
         # which allows request smuggling to an endpoint.
-        both = "content-length" in names and "transfer-encoding" in names
-        if both or names.count("host") != 1 or names.count("content-length") > 1:
+        has_both = "content-length" in names and "transfer-encoding" in names
+        if has_both or names.count("host") != 1 or names.count("content-length") > 1:
             self._error_status = 400
         self._keep_alive = self._parser.should_keep_alive()
         if "expect" in names and not self._error_status:
@@ -280,7 +281,7 @@
         self._complete = False
         self._has_pipelined = False
         self._started_at = 0.0
-        self._contact_started_at = 0.0
+        self._boottime_started_at = 0.0
 
     def _add_header_bytes(self, size):
         self._header_bytes += size
@@ -288,7 +289,7 @@
             self._error_status = self._error_status or 431
 
     def _feed(self, data):
-        # One parser per request; data received while it is handled stays buffered.
+        # One parser per request; data received while a request is handled is buffered.
         if self._parser is None:
             self._reset_message()
             self._parser = httptools.HttpRequestParser(self)
@@ -315,7 +316,7 @@
             headers=self._headers,
             body=bytes(self._body),
             arrived_at=self._started_at,
-            contact_arrived_at=self._contact_started_at,
+            contact_arrived_at=self._boottime_started_at,
         )
         self._parser = None
         keep_alive = self._keep_alive and not self._has_pipelined
--- a/hawthornspoke/httpio/tests/test_after_a_wait.py
+++ b/hawthornspoke/httpio/tests/test_after_a_wait.py
@@ -1,8 +1,8 @@
 """Calls and pooled connections after the process was frozen or the host suspended.
 
 Guards against a call that is sent after its deadline: requests to the platform were
-sent 9 s late. The process froze after a connection was acquired, and on resuming the
-call continued before its timeout fired. The deadline was checked only by that timer.
+sent 9 s late. The process froze after a connection was acquired; when it resumed, the
+call continued before its timeout fired, and nothing else checked the deadline.
 """
 
 import asyncio
@@ -53,7 +53,7 @@
         time, "clock_gettime", lambda clock: real(clock) + suspended_time[0]
     )
 
-    def suspend_process(connection):
+    def interrupt(connection):
         if interruption == "frozen":
             time.sleep(0.3)
         else:
@@ -63,7 +63,7 @@
         received_targets = []
         server = await serve(received_targets)
         pool = HookedPool()
-        pool.action = suspend_process
+        pool.action = interrupt
         answer = await call(pool, server, timeout=0.2)
         await asyncio.sleep(0.05)
         assert is_failure(answer)
@@ -98,7 +98,7 @@
     """Guards against an unknown outcome of the first request after a suspension.
 
     While the host is suspended, endpoints close idle connections. The idle time was
-    measured on a clock that excludes the suspension, so a closed one was reused.
+    measured on a clock that excludes suspensions, so a closed connection was reused.
     """
     suspended_time = [0.0]
     real = time.clock_gettime
--- a/hawthornspoke/httpio/tests/test_callers_that_leave.py
+++ b/hawthornspoke/httpio/tests/test_callers_that_leave.py
@@ -33,8 +33,8 @@
     The caller's link is saturated, so the response fills the buffers of kernel and
     server. The caller closes, and its FIN arrives while the reset is delayed by the
     same link. asyncio closes a transport only after its write buffer is sent, so
-    without ``eof_received`` the request's task isn't cancelled; streams went on at
-    their engines for more than 0.5 s after the close had arrived.
+    without ``eof_received`` the request's task isn't cancelled. Streams continued at
+    their engines for more than 0.5 s after the FIN had arrived.
     """
 
     async def scenario():
--- a/hawthornspoke/httpio/tests/test_pipelined.py
+++ b/hawthornspoke/httpio/tests/test_pipelined.py
@@ -12,7 +12,7 @@
 
 
 class Caller:
-    """Server that records its requests, and a client connection to it."""
+    """A client connection to a server that records its requests."""
 
     async def __aenter__(self):
         self.requests = []
@@ -91,8 +91,8 @@
 def test_pipelined_request_arrives_with_its_data():
     """Guards against forwarding a request after its caller's deadline.
 
-    The second request arrives while the first is handled, which takes 0.3 s. Its
-    arrival time was taken when it was parsed.
+    The second request arrives while the first is handled, which takes 0.3 s. The time
+    at which it was parsed had been used as its arrival time.
     """
 
     async def scenario():
--- a/hawthornspoke/httpio/tests/test_pool.py
+++ b/hawthornspoke/httpio/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections to an endpoint that restarts."""
+"""Reuse of pooled connections to an endpoint that restarts."""
 
 import asyncio
 
@@ -33,8 +33,9 @@
 def test_connection_to_earlier_incarnation_is_closed():
     """Guards against an unknown outcome of the first requests after a restart.
 
-    The endpoint's host loses power, so idle connections are never closed, and the
-    endpoint restarts with the same id. The pool was keyed by id alone and reused them.
+    The endpoint's host loses power, so its idle connections are never closed, and the
+    endpoint restarts with the same id. The pool was keyed by id alone and reused the
+    connections.
     """
 
     async def scenario(pool, address):
@@ -51,7 +52,7 @@
 
 
 def test_connection_returned_after_restart_is_not_reused():
-    """The same for a connection that is in use during the restart."""
+    """Guards against the same for a connection that is in use during the restart."""
 
     async def scenario(pool, address):
         late = await pool.acquire("one", address, instance=1)
--- a/hawthornspoke/revision/tests/test_may_reject.py
+++ b/hawthornspoke/revision/tests/test_may_reject.py
@@ -11,10 +11,10 @@
 PROPAGATION_BOUND = 5.0
 
 
-def create_holder(*, requested_at=100.0):
+def create_holder(*, read_requested_at=100.0):
     """Return a holder of revision 3, read from the table."""
     holder = RevisionHolder()
-    read = TableRead(revision=3, digest="d3", requested_at=requested_at)
+    read = TableRead(revision=3, digest="d3", requested_at=read_requested_at)
     holder.step(read, now=0.0)
     holder.step(DocumentRead(digest="d3", document={}), now=0.1)
     return holder
@@ -48,11 +48,11 @@
 
 def test_table_read_counts_from_its_request():
     """A delayed response must not count from the time at which it arrived."""
-    holder = create_holder(requested_at=200.0)
+    holder = create_holder(read_requested_at=200.0)
     late = TableRead(revision=3, digest="d3", requested_at=190.0)
     holder.step(late, now=100.0)
     assert may_reject(holder, 204.0)
-    assert not may_reject(create_holder(requested_at=190.0), 196.0)
+    assert not may_reject(create_holder(read_requested_at=190.0), 196.0)
 
 
 def test_newer_revision_without_document_prevents_rejection():
