--- a/hawthornspoke/catalog/_incarnation.py
+++ b/hawthornspoke/catalog/_incarnation.py
@@ -10,8 +10,8 @@
 class Incarnation:
     """One start of an endpoint, identified by its start time.
 
-    An endpoint keeps its id when it restarts. Incarnations can be distinguished but not
-    ordered, since the wall clock may have been set back between two starts.
+    An endpoint may keep its id when it restarts. Incarnations can be distinguished but
+    not ordered, since the wall clock may have been set back between two starts.
 
     Parameters
     ----------
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -101,7 +101,7 @@
         return self._connection.caller_gone()
 
     def abort(self):
-        """Abort the connection, from which the caller sees that data is missing."""
+        """Abort the connection, so that the caller sees an incomplete response."""
         self.finished = True
         self._connection.abort()
 
--- a/hawthornspoke/revision/_holder.py
+++ b/hawthornspoke/revision/_holder.py
@@ -90,7 +90,7 @@
     outdated configuration; using it would apply a configuration to callers that they
     have already seen replaced. So a lower revision is never accepted, whatever its
     source, and :meth:`confirmed` returns False until the table was read or the grace
-    period has passed, within which it should have heard from an up-to-date peer.
+    period has passed, in which the node should have heard from an up-to-date peer.
 
     A partitioned node continues with the configuration that it holds. Entries missing
     from it may have been added since, so :meth:`may_reject` checks the time of the last
--- a/hawthornspoke/revision/tests/test_may_reject.py
+++ b/hawthornspoke/revision/tests/test_may_reject.py
@@ -30,8 +30,8 @@
     """A caller whose key had just been added got a permanent 401.
 
     An entry host had read the table once and was then partitioned, so it did not learn
-    of the new key. A host must not reject unknown keys forever because it confirmed its
-    configuration once.
+    of the new key. Having once confirmed its configuration must not allow a host to
+    reject unknown keys forever.
     """
     holder = create_holder()
     assert may_reject(holder, 104.9)
