--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -40,13 +40,13 @@
     Mutation(
         name="added load of other hosts",
         file="placing/_choice.py",
-        old="                arrivals=arrivals,\n",
-        new="                arrivals=0.0,\n",
+        old="                arrival_rate=arrival_rate,\n",
+        new="                arrival_rate=0.0,\n",
     ),
     Mutation(
         name="prompts that are yet to be read",
         file="placing/_predict.py",
-        old="        + endpoint.prefill_work.left(now)\n",
+        old="        + endpoint.prefill_backlog.remaining(now)\n",
         new="",
     ),
     Mutation(
@@ -64,7 +64,7 @@
     Mutation(
         name="late callers get free slots",
         file="placing/_choice.py",
-        old="        if ask.returned:\n",
+        old="        if request.returned:\n",
         new="        if False:\n",
     ),
     Mutation(
@@ -76,7 +76,8 @@
     Mutation(
         name="avoidance of bad endpoints",
         file="placing/_avoidance.py",
-        old="    if len(kept) < len(endpoints) * (1 - MAX_EJECTED) or not kept:\n",
+        old="    if len(kept) < len(endpoints) * (1 - MAX_EJECTED_SHARE) "
+        "or not kept:\n",
         new="    if True:\n",
     ),
     Mutation(
@@ -93,7 +94,7 @@
     ),
     Mutation(
         name="old weights until the withdrawal",
-        file="placing/_validity.py",
+        file="placing/_weights_eligibility.py",
         old="            return StartForecast.EXPECTED\n",
         new="            return StartForecast.TOO_LATE\n",
     ),
@@ -147,7 +148,7 @@
     ),
     Mutation(
         name="spread of Retry-After",
-        file="placing/_refusal.py",
+        file="placing/_rejection.py",
         old="        jittered = earliest "
         "+ (longest_wait - earliest) * self._prng.random()\n",
         new="        jittered = earliest\n",
--- a/hawthornspoke/placing/_avoidance.py
+++ b/hawthornspoke/placing/_avoidance.py
@@ -13,18 +13,20 @@
 
 #: Maximum share of a service's endpoints that may be ejected at once. If most of them
 #: fail the cause lies elsewhere, and the rest could not carry the load.
-MAX_EJECTED = 0.5
+MAX_EJECTED_SHARE = 0.5
 
 #: Seconds without a report after which an engine is ejected: almost three report
-#: intervals, for the own failure domain and for others, each for followed engines and
-#: for those that report to this host less often.
+#: intervals. They differ between engines of the own failure domain and others, and
+#: between engines that this host follows (those of its subset) and the others, which
+#: report to it less often.
 REPORT_TIMEOUT_NEAR = 0.7
 REPORT_TIMEOUT_FAR = 5.0
 REPORT_TIMEOUT_NEAR_UNFOLLOWED = 2.8
 REPORT_TIMEOUT_FAR_UNFOLLOWED = 8.0
 
-#: Seconds after which an agent certainly knows that this host follows its engine and
-#: has sent a report; before that, a missing report is no sign of failure.
+#: Seconds after an engine was added to the subset by which its agent certainly knows
+#: that this host follows it, and has sent a report; before that, a missing report is no
+#: sign of failure.
 FOLLOW_SETTLING_TIME = 1.5
 
 #: Round-trip queueing delay in seconds at which an engine is ejected: the time within
@@ -74,7 +76,7 @@
         if now >= item.ejected_until
         and not _is_unresponsive(item, failure_domain, subset, now)
     ]
-    if len(kept) < len(endpoints) * (1 - MAX_EJECTED) or not kept:
+    if len(kept) < len(endpoints) * (1 - MAX_EJECTED_SHARE) or not kept:
         return endpoints
     return kept
 
@@ -82,9 +84,9 @@
 def _eject(endpoint, now):
     if now < endpoint.ejected_until:
         return
-    pause = min(MAX_EJECTION_TIME, MIN_EJECTION_TIME * 2**endpoint.ejection_count)
+    duration = min(MAX_EJECTION_TIME, MIN_EJECTION_TIME * 2**endpoint.ejection_count)
     endpoint.ejection_count += 1
-    endpoint.ejected_until = now + pause
+    endpoint.ejected_until = now + duration
     endpoint.failure_rate = READMISSION_FAILURE_RATE
 
 
@@ -107,7 +109,7 @@
 
 
 def _report_timeout(endpoint, subset, near, now):
-    since = subset.since_by_id.get(endpoint.endpoint_id)
+    since = subset.added_at_by_id.get(endpoint.endpoint_id)
     if subset.is_known and (since is None or now < since + FOLLOW_SETTLING_TIME):
         return REPORT_TIMEOUT_NEAR_UNFOLLOWED if near else REPORT_TIMEOUT_FAR_UNFOLLOWED
     return REPORT_TIMEOUT_NEAR if near else REPORT_TIMEOUT_FAR
--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -1,6 +1,6 @@
 """Selects among the endpoints that may serve a request."""
 
-from hawthornspoke.placing._herd import PeerTraffic, estimated_growth
+from hawthornspoke.placing._load_estimate import PeerTraffic, estimated_growth
 from hawthornspoke.placing._messages import Placement
 from hawthornspoke.placing._predict import (
     expected_first_token,
@@ -8,15 +8,15 @@
     slot_release_interval,
 )
 from hawthornspoke.placing._subset import Subset
-from hawthornspoke.placing._validity import StartForecast
+from hawthornspoke.placing._weights_eligibility import StartForecast
 
 #: Maximum queue length of an engine that may still get a request that is already late.
 #: With a longer queue, late requests take the slots of requests that could still be on
 #: time, so that these become late as well.
 MAX_LATE_QUEUE = 0
 
-#: Seconds by which a full engine counts as slower than an empty one, so that the next
-#: callers find capacity where there is little.
+#: Seconds by which a full engine counts as slower than an empty one, so that requests
+#: go to emptier engines and the last free slots stay available.
 OCCUPANCY_COST = 0.15
 
 #: Load per slot of a plain endpoint at which it gets no further requests: with a queue
@@ -27,7 +27,7 @@
 class _Candidate:
     """An engine that may serve a request, its estimated load and start time.
 
-    ``forecast`` tells whether the request starts before the weights expire.
+    ``forecast`` tells whether the request starts before the engine's weights expire.
     """
 
     __slots__ = ("endpoint", "load", "expected", "forecast")
@@ -81,7 +81,7 @@
 
     Attributes
     ----------
-    ask : PlacementRequest
+    request : PlacementRequest
     engine : EngineProfile
     eligibility : WeightsEligibility
     known : list of Endpoint
@@ -90,10 +90,10 @@
         Groups evaluated so far.
     """
 
-    __slots__ = ("ask", "engine", "eligibility", "known", "groups")
+    __slots__ = ("request", "engine", "eligibility", "known", "groups")
 
-    def __init__(self, *, ask, engine, eligibility, known):
-        self.ask = ask
+    def __init__(self, *, request, engine, eligibility, known):
+        self.request = request
         self.engine = engine
         self.eligibility = eligibility
         self.known = known
@@ -109,7 +109,7 @@
         Of this host.
     host : str
         Identifies this host.
-    refusal : RejectionBuilder
+    rejections : RejectionBuilder
     rng : random.Random
     """
 
@@ -117,27 +117,27 @@
         "failure_domain",
         "host",
         "entry_hosts",
-        "_refusal",
+        "_rejections",
         "_prng",
         "_peer_traffic_by_service",
         "subset_by_service",
     )
 
-    def __init__(self, *, failure_domain, host, refusal, rng):
+    def __init__(self, *, failure_domain, host, rejections, rng):
         self.failure_domain = failure_domain
         self.host = host
         self.entry_hosts = (1, 1)
-        self._refusal = refusal
+        self._rejections = rejections
         self._prng = rng
         self._peer_traffic_by_service = {}
         self.subset_by_service = {}
 
-    def select_plain(self, ask, endpoints, now):
+    def select_plain(self, request, endpoints, now):
         """Return a Placement at one of a plain service's endpoints, or a Rejection.
 
         Parameters
         ----------
-        ask : PlacementRequest
+        request : PlacementRequest
         endpoints : list of Endpoint
         now : float
 
@@ -152,7 +152,7 @@
         ]
         if not available:
             soonest = min(expected_response_time(endpoint) for endpoint in endpoints)
-            return self._refusal.full(ask, soonest)
+            return self._rejections.full(request, soonest)
         ranked = [
             (
                 self._rank(
@@ -165,7 +165,7 @@
         best = min(ranked, key=lambda pair: pair[0])[1]
         return _make_placement(best, expected_response_time(best), now)
 
-    def select_engine(self, ask, endpoints, engine, eligibility):
+    def select_engine(self, request, endpoints, engine, eligibility):
         """Return a Placement at one of the engines, or a Rejection.
 
         The subset of this host is evaluated first, and the other engines only if none
@@ -174,7 +174,7 @@
 
         Parameters
         ----------
-        ask : PlacementRequest
+        request : PlacementRequest
         endpoints : list of Endpoint
         engine : EngineProfile
         eligibility : WeightsEligibility
@@ -186,10 +186,10 @@
             None if no engine has eligible weights.
         """
         now = eligibility.now
-        peer_traffic = self._peer_traffic_of(ask.service)
+        peer_traffic = self._peer_traffic_of(request.service)
         peer_traffic.count_request(now)
         selection = _Selection(
-            ask=ask, engine=engine, eligibility=eligibility, known=endpoints
+            request=request, engine=engine, eligibility=eligibility, known=endpoints
         )
         placed = self._select_near(selection)
         if placed is None:
@@ -200,40 +200,44 @@
     def _select_near(self, selection):
         """Return a Placement in the own failure domain, None if none is on time."""
         now = selection.eligibility.now
-        subset = self.subset(selection.ask.service)
-        kept = self._build_group(selection, near=True, followed=True)
+        subset = self.subset(selection.request.service)
+        subset_group = self._build_group(selection, near=True, in_subset=True)
         if subset.near_share < 1.0:
-            # If a request has to queue, engines in the subset are no better than the
-            # others: evaluate the whole failure domain.
-            free = [item for item in kept.on_time if item.load < selection.engine.slots]
+            # If a request has to queue in the subset, another engine may be better:
+            # evaluate the whole failure domain.
+            free = [
+                item
+                for item in subset_group.on_time
+                if item.load < selection.engine.slots
+            ]
         else:
-            free = kept.on_time
-        subset.count(spilled=not free, now=now)
+            free = subset_group.on_time
+        subset.record_request(spilled=not free, now=now)
         if free:
             return self._pick_better_of_two(free, selection)
-        others = self._build_group(selection, near=True, followed=False)
-        on_time = kept.on_time + others.on_time
+        other_group = self._build_group(selection, near=True, in_subset=False)
+        on_time = subset_group.on_time + other_group.on_time
         if on_time:
             return self._pick_better_of_two(on_time, selection)
-        subset.widen(now)
+        subset.widen_to_all(now)
         return None
 
     def _select_far(self, selection):
         """Return a Placement in another failure domain, None if none is on time."""
-        for followed in (True, False):
-            group = self._build_group(selection, near=False, followed=followed)
+        for in_subset in (True, False):
+            group = self._build_group(selection, near=False, in_subset=in_subset)
             if group.on_time:
                 return self._pick_better_of_two(group.on_time, selection)
         return None
 
     def _select_late(self, selection):
         """Return the result for a request that no engine serves on time."""
-        ask = selection.ask
-        if ask.returned:
+        request = selection.request
+        if request.returned:
             for near in (True, False):
                 groups = [item for item in selection.groups if item.near is near]
                 valid = [item for group in groups for item in group.valid]
-                acceptable = _usable_when_late(valid, ask, selection.engine)
+                acceptable = _usable_when_late(valid, request, selection.engine)
                 if acceptable:
                     return self._pick_better_of_two(acceptable, selection)
         times = [
@@ -241,9 +245,9 @@
         ]
         if not times:
             return None
-        excess = max(0.0, min(times) - max(0.0, ask.on_time_left))
-        return self._refusal.full(
-            ask, max(excess, slot_release_interval(selection.engine))
+        excess = max(0.0, min(times) - max(0.0, request.on_time_left))
+        return self._rejections.full(
+            request, max(excess, slot_release_interval(selection.engine))
         )
 
     def subset(self, service):
@@ -260,59 +264,67 @@
             for service, subset in self.subset_by_service.items()
         }
 
-    def _build_group(self, selection, *, near, followed):
+    def _build_group(self, selection, *, near, in_subset):
         """Evaluate the near or far engines that are in the subset, or those outside."""
-        ask, engine, eligibility = (
-            selection.ask,
+        request, engine, eligibility = (
+            selection.request,
             selection.engine,
             selection.eligibility,
         )
-        kept = self.subset(ask.service).since_by_id
+        subset_ids = self.subset(request.service).added_at_by_id
         usable = [
             item
             for item in selection.known
             if self._is_near(item) is near
-            and (item.endpoint_id in kept) is followed
-            and eligibility.allows(item, engine, ask)
+            and (item.endpoint_id in subset_ids) is in_subset
+            and eligibility.allows(item, engine, request)
         ]
-        candidates = self._candidates(selection, usable, near=near, followed=followed)
+        candidates = self._candidates(selection, usable, near=near, in_subset=in_subset)
         # Based on the estimated load rather than the reported one: just before the
-        # version bound requests would otherwise be sent only to be withdrawn, with an
-        # unknown outcome for the caller.
+        # version bound, requests would otherwise be sent and withdrawn again, and their
+        # callers wouldn't know whether they had run.
         valid = [
             item for item in candidates if item.forecast is not StartForecast.TOO_LATE
         ]
-        on_time = [item for item in valid if item.expected <= ask.on_time_left]
+        on_time = [item for item in valid if item.expected <= request.on_time_left]
         group = _CandidateGroup(
             near=near, candidates=candidates, valid=valid, on_time=on_time
         )
         selection.groups.append(group)
         return group
 
-    def _candidates(self, selection, endpoints, *, near, followed):
+    def _candidates(self, selection, endpoints, *, near, in_subset):
         """Return a candidate for each endpoint."""
         if not endpoints:
             return []
-        ask, engine, now = selection.ask, selection.engine, selection.eligibility.now
+        request, engine, now = (
+            selection.request,
+            selection.engine,
+            selection.eligibility.now,
+        )
         slot_time = slot_release_interval(engine) * engine.slots
-        arrivals = self._peer_traffic_of(ask.service).arrivals(near=near, now=now)
+        arrival_rate = self._peer_traffic_of(request.service).arrival_rate(
+            near=near, now=now
+        )
         # The other hosts send to both groups, those in the subset and those outside.
-        subset = self.subset(ask.service)
+        subset = self.subset(request.service)
         share = subset.near_share if near else subset.far_share
-        arrivals *= share if followed else 1.0 - share
+        arrival_rate *= share if in_subset else 1.0 - share
         loads = [item.load for item in endpoints]
         engines_with_room = sum(load < engine.slots for load in loads)
         candidates = []
         for endpoint, reported_load in zip(endpoints, loads, strict=True):
             load = reported_load + estimated_growth(
-                arrivals=arrivals,
+                arrival_rate=arrival_rate,
                 engines_with_room=engines_with_room,
                 load=reported_load,
                 slot_time=slot_time,
                 slots=engine.slots,
                 age=endpoint.report_age(now),
             )
-            expected = expected_first_token(endpoint, engine, ask, load=load, now=now)
+            expected = expected_first_token(
+                endpoint, engine, request, load=load, now=now
+            )
             candidates.append(
                 _Candidate(
                     endpoint=endpoint,
@@ -351,13 +363,13 @@
         return not near, expected, endpoint.own_in_flight, self._prng.random()
 
 
-def _usable_when_late(candidates, ask, engine):
+def _usable_when_late(candidates, request, engine):
     """Return the candidates for a request that is already late."""
     return [
         item
         for item in candidates
         if item.load - engine.slots < MAX_LATE_QUEUE
-        and item.expected < ask.time_left / 2
+        and item.expected < request.time_left / 2
     ]
 
 
--- a/hawthornspoke/placing/_directory.py
+++ b/hawthornspoke/placing/_directory.py
@@ -2,9 +2,10 @@
 
 from hawthornspoke.placing._endpoint import Endpoint
 
-#: Seconds for which a lapsed entry stays in use, and seconds after the platform became
-#: reachable again within which a vanished entry counts as lapsed. Lapsed entries return
-#: within two seconds, and an endpoint that left serves for at least two more.
+#: Entries lapse if they can't be renewed while the platform is unreachable. Seconds for
+#: which a lapsed entry stays in use, and seconds after the platform became reachable
+#: again within which a vanished entry counts as lapsed. Lapsed entries return within
+#: two seconds, and an endpoint that left serves for at least two more.
 LAPSE_GRACE_TIME = 1.5
 LAPSE_WINDOW = 2.5
 
@@ -47,10 +48,10 @@
         return [self.endpoint_by_id[key] for key in self._ids_by_service.get(name, ())]
 
     def request_target(self, message):
-        """Return the endpoint a request was sent to, None if that one is over.
+        """Return the endpoint a request was sent to, None after a restart of it.
 
-        A request may end up to its deadline after the incarnation that it was sent
-        to. If it counted for the next incarnation, that one would be ejected for
+        A request may end after the incarnation that it was sent to, by up to its
+        deadline. If it counted for the next incarnation, that one would be ejected for
         failures of the previous one, and filled beyond its slots as if its own
         requests had ended.
 
--- a/hawthornspoke/placing/_endpoint.py
+++ b/hawthornspoke/placing/_endpoint.py
@@ -1,7 +1,7 @@
 """State that one entry host tracks for one endpoint."""
 
-from hawthornspoke.placing._reading import PrefillBacklog
-from hawthornspoke.placing._starts import IncarnationTracker
+from hawthornspoke.placing._incarnation_tracker import IncarnationTracker
+from hawthornspoke.placing._prefill_backlog import PrefillBacklog
 
 #: Smoothing factor of the failure rate. Five consecutive failures move it from 0 to
 #: two thirds, which is fast enough for an endpoint that gets several requests a
@@ -38,8 +38,12 @@
     loading : bool
         Whether it is loading new weights and starts no requests meanwhile.
     pace : float
-        Slowdown of its engine relative to its usual speed.
-    prefill_work : PrefillBacklog
+        Factor by which its engine is slower than usual.
+    gone : bool
+        Whether the endpoint list no longer has it.
+    grace_deadline : float
+        Time until which it may still get requests when it is gone.
+    prefill_backlog : PrefillBacklog
         Prompts whose prefill is outstanding.
     moved : bool
         Whether another endpoint answers at its address. After a host has lost power
@@ -55,7 +59,7 @@
         "pace",
         "gone",
         "moved",
-        "prefill_work",
+        "prefill_backlog",
         "grace_deadline",
         "own_in_flight",
         "reported_load",
@@ -87,7 +91,7 @@
     def _reset_counters(self):
         """Reset everything that belongs to one incarnation."""
         self.moved = False
-        self.prefill_work = PrefillBacklog()
+        self.prefill_backlog = PrefillBacklog()
         self.own_in_flight = 0
         self.reported_load = 0
         self.reported_at = None
@@ -235,7 +239,7 @@
         return round(now - self.reported_at, 3)
 
     def accepts(self, now):
-        """Return whether the endpoint list permits new requests to it."""
+        """Return whether new requests may be sent to it."""
         if self.entry.leaving and self._entry_is_current:
             return False
         if self.moved:
@@ -249,7 +253,7 @@
         self.sent_since_report = 0
 
     def record_end(self):
-        """Record the end of a request of this host, whether or not reports had it."""
+        """Record the end of a request of this host, reported in the load or not."""
         self.own_in_flight = max(0, self.own_in_flight - 1)
         if self.sent_since_report:
             self.sent_since_report -= 1
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -24,8 +24,8 @@
     WeightsDeclared,
 )
 from hawthornspoke.placing._predict import prefill_time
-from hawthornspoke.placing._refusal import RejectionBuilder
-from hawthornspoke.placing._validity import WeightsEligibility
+from hawthornspoke.placing._rejection import RejectionBuilder
+from hawthornspoke.placing._weights_eligibility import WeightsEligibility
 
 #: Messages that the machine handles.
 MESSAGES = (
@@ -54,10 +54,10 @@
         Of this host. Endpoints there are preferred, since traffic between failure
         domains is slow and expensive.
     version_bound : float, default=8.0
-        Seconds after the declaration of a version from which only this or a newer
-        version may start requests.
+        Seconds after the declaration of a version from which requests may only be
+        started on this or a newer version.
     version_margin : float, default=0.95
-        Seconds before the bound from which older versions lose precedence.
+        Seconds before that time from which newer versions are preferred.
     seed : int, default=0
     """
 
@@ -70,8 +70,8 @@
         "declared",
         "_directory",
         "_random",
-        "_refusal",
-        "_choice",
+        "_rejections",
+        "_selector",
         "_position",
     )
     PARAMS = {
@@ -97,11 +97,11 @@
         self.declared = DeclaredVersions()
         self._directory = EndpointDirectory()
         self._random = random.Random(seed)
-        self._refusal = RejectionBuilder(rng=self._random)
-        self._choice = EndpointSelector(
+        self._rejections = RejectionBuilder(rng=self._random)
+        self._selector = EndpointSelector(
             failure_domain=failure_domain,
             host=str(seed),
-            refusal=self._refusal,
+            rejections=self._rejections,
             rng=self._random,
         )
         self._position = 0
@@ -161,7 +161,7 @@
     def on_entry_hosts_updated(self, message, *, now):
         """Set the entry host counts and this host's position; update the subsets."""
         near = max(1, message.near)
-        self._choice.entry_hosts = (near, max(near, message.all))
+        self._selector.entry_hosts = (near, max(near, message.all))
         self._position = message.position
         self._update_subsets(now)
         return []
@@ -175,7 +175,7 @@
             engine = self._engine_profile(endpoint)
             if engine is not None:
                 seconds = prefill_time(endpoint, engine, message.prompt_tokens)
-                endpoint.prefill_work.add(seconds, now)
+                endpoint.prefill_backlog.add(seconds, now)
         return []
 
     def on_load_observed(self, message, *, now):
@@ -219,15 +219,15 @@
             if endpoint.accepts(now) and endpoint.entry.endpoint_id not in message.tried
         ]
         if service is None or not known:
-            return [self._refusal.no_endpoint(message)]
+            return [self._rejections.no_endpoint(message)]
         known = without_ejected(
             known,
             failure_domain=self.failure_domain,
-            subset=self._choice.subset(message.service),
+            subset=self._selector.subset(message.service),
             now=now,
         )
         if service.engine is None:
-            return [self._choice.select_plain(message, known, now)]
+            return [self._selector.select_plain(message, known, now)]
         return [self._select_engine(message, known, service.engine, now)]
 
     def on_placement_recheck(self, message, *, now):
@@ -242,24 +242,24 @@
         -------
         list of Placement or Rejection
         """
-        ask, place = message.ask, message.place
-        service = self.service_by_name.get(ask.service)
-        endpoint = self.endpoint_by_id.get(place.endpoint_id)
+        request, placement = message.ask, message.place
+        service = self.service_by_name.get(request.service)
+        endpoint = self.endpoint_by_id.get(placement.endpoint_id)
         is_available = endpoint is not None and endpoint.accepts(now)
         if (
             service is None
             or not is_available
-            or endpoint.entry.address != place.address
+            or endpoint.entry.address != placement.address
         ):
-            return [self._refusal.no_endpoint(ask)]
+            return [self._rejections.no_endpoint(request)]
         engine = service.engine
         if engine is None:
-            return [place]
-        eligibility = self._validity(ask, now)
-        if not eligibility.allows(endpoint, engine, ask):
-            return [self._refusal.no_weights(ask, [endpoint], now)]
-        place = replace(place, weights_version=endpoint.weights_version)
-        return [self._with_deadline(place, engine, eligibility)]
+            return [placement]
+        eligibility = self._eligibility(request, now)
+        if not eligibility.allows(endpoint, engine, request):
+            return [self._rejections.no_weights(request, [endpoint], now)]
+        placement = replace(placement, weights_version=endpoint.weights_version)
+        return [self._with_deadline(placement, engine, eligibility)]
 
     def followed_addresses(self):
         """Return the addresses of the engines that should report frequently.
@@ -270,8 +270,8 @@
         """
         return frozenset(
             self.endpoint_by_id[endpoint_id].entry.address
-            for subset in self._choice.subset_by_service.values()
-            for endpoint_id in subset.since_by_id
+            for subset in self._selector.subset_by_service.values()
+            for endpoint_id in subset.added_at_by_id
             if endpoint_id in self.endpoint_by_id
         )
 
@@ -307,7 +307,7 @@
         """Return the state as plain data."""
         return {
             "declared": self.declared.dump(now=now),
-            "subset_by_service": self._choice.dump_subsets(now=now),
+            "subset_by_service": self._selector.dump_subsets(now=now),
             "endpoint_by_id": self._directory.dump(now=now),
         }
 
@@ -317,13 +317,15 @@
         return None if service is None else service.engine
 
     def _estimate_remote_prompts(self, endpoint, load, now):
-        """Estimate the prompts sent by other hosts; call before storing the load."""
+        """Add the estimated prompts of other hosts; call before storing the load."""
         engine = self._engine_profile(endpoint)
         if engine is not None:
-            endpoint.prefill_work.add_remote_requests(
+            endpoint.prefill_backlog.add_remote_requests(
                 growth=load - endpoint.load,
                 age=endpoint.report_age(now),
-                usual_seconds=prefill_time(endpoint, engine, engine.mean_prompt_tokens),
+                mean_prefill_time=prefill_time(
+                    endpoint, engine, engine.mean_prompt_tokens
+                ),
                 now=now,
             )
 
@@ -339,40 +341,40 @@
             ]
             near = [item for item in active if item.is_in(self.failure_domain)]
             far = [item for item in active if not item.is_in(self.failure_domain)]
-            subset = self._choice.subset(name)
-            hosts, _ = self._choice.entry_hosts
-            subset.place(position=self._position, hosts=hosts, now=now)
+            subset = self._selector.subset(name)
+            hosts, _ = self._selector.entry_hosts
+            subset.set_position(position=self._position, hosts=hosts, now=now)
             subset.set_engines(
                 near=[item.endpoint_id for item in near],
                 far=[item.endpoint_id for item in far],
                 now=now,
             )
 
-    def _select_engine(self, ask, known, engine, now):
-        eligibility = self._validity(ask, now)
-        answer = self._choice.select_engine(ask, known, engine, eligibility)
+    def _select_engine(self, request, known, engine, now):
+        eligibility = self._eligibility(request, now)
+        answer = self._selector.select_engine(request, known, engine, eligibility)
         if answer is None:
-            return self._refusal.no_weights(ask, known, now)
+            return self._rejections.no_weights(request, known, now)
         if isinstance(answer, Placement):
             answer = self._with_deadline(answer, engine, eligibility)
         return answer
 
-    def _with_deadline(self, place, engine, eligibility):
-        endpoint = self.endpoint_by_id[place.endpoint_id]
-        return eligibility.with_deadline(place, engine, endpoint)
+    def _with_deadline(self, placement, engine, eligibility):
+        endpoint = self.endpoint_by_id[placement.endpoint_id]
+        return eligibility.with_deadline(placement, engine, endpoint)
 
-    def _validity(self, ask, now):
-        """Return the weights eligibility at the current time."""
+    def _eligibility(self, request, now):
+        """Return which weights are eligible at the current time."""
         return WeightsEligibility(
             declared=self.declared,
             version_bound=self.version_bound,
             version_margin=self.version_margin,
             failure_domain=self.failure_domain,
-            contact_now=now if ask.contact_now is None else ask.contact_now,
+            contact_now=now if request.contact_now is None else request.contact_now,
             now=now,
         )
 
 
 def _contact_time(message, now):
-    """Return the time of receipt on the clock of declarations."""
+    """Return the time of receipt on the clock that includes suspended time."""
     return now if message.contact_now is None else message.contact_now
--- a/hawthornspoke/placing/_starts.py
+++ b/hawthornspoke/placing/_incarnation_tracker.py
@@ -8,7 +8,7 @@
 
 
 class _ReportHistory:
-    """Incarnations reported by one source: the latest and those before it."""
+    """Incarnations reported by one source: the latest and some before it."""
 
     __slots__ = ("latest", "earlier")
 
--- a/hawthornspoke/placing/_herd.py
+++ b/hawthornspoke/placing/_load_estimate.py
@@ -61,7 +61,7 @@
         """Count a request for which the own failure domain had no capacity."""
         self._overflow_rate.count(now)
 
-    def arrivals(self, *, near, now):
+    def arrival_rate(self, *, near, now):
         """Return the total requests per second of the other hosts.
 
         Near engines get all requests of the hosts in their failure domain. Far engines
@@ -81,12 +81,12 @@
         return self._overflow_rate.value(now) * (self.all_hosts - 1)
 
 
-def estimated_growth(*, arrivals, engines_with_room, load, slot_time, slots, age):
+def estimated_growth(*, arrival_rate, engines_with_room, load, slot_time, slots, age):
     """Return the estimated growth in an engine's load since it was reported.
 
     Parameters
     ----------
-    arrivals : float
+    arrival_rate : float
         Requests per second for all engines with free slots.
     engines_with_room : int
         Number of these engines.
@@ -106,5 +106,5 @@
     if age is None:
         return 0.0
     completions = min(load, slots) / slot_time
-    growth = arrivals / max(1, engines_with_room) - completions
+    growth = arrival_rate / max(1, engines_with_room) - completions
     return max(0.0, growth) * min(age, MAX_REPORT_AGE)
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -85,10 +85,10 @@
     layers : tuple of (int, int) or None
     loading : bool
     pace : float
-        Slowdown relative to the usual speed.
+        Factor by which the engine is slower than usual.
     next_version : int or None
     next_ready_at : float or None
-        When that version is expected to be ready.
+        When that version is expected to be loaded and able to serve.
     model : str
     declared : tuple of (int, float)
         Versions and the earliest possible times of their declarations that the agent
@@ -96,7 +96,7 @@
     link_delay : float
         Round-trip queueing delay in seconds on the link of its host.
     incarnation : Incarnation
-        Incarnation of the endpoint that the report is about.
+        Incarnation of the endpoint that the report describes.
     contact_now : float or None, default=None
         Time of receipt on the clock that includes suspended time; None if it is the
         same as the monotonic clock.
@@ -273,7 +273,7 @@
     Parameters
     ----------
     ask : PlacementRequest
-        With the times left now.
+        The request with the remaining times as of now.
     place : Placement
     """
 
--- a/hawthornspoke/placing/_predict.py
+++ b/hawthornspoke/placing/_predict.py
@@ -1,8 +1,8 @@
 """Predicts how soon an endpoint starts to respond."""
 
-#: Engine passes until the first event: half a pass on average until the prompt is
-#: processed, since requests arrive at any moment of the running pass, and the pass that
-#: generates its tokens. Measured: 0.12 s with 2 to 11 running requests.
+#: Engine passes until the first event: on average half a pass until the running pass
+#: ends, since requests arrive at any moment of it, and the pass that generates the
+#: first token. Measured: 0.12 s with 2 to 11 running requests.
 PASSES_TO_FIRST_TOKEN = 1.5
 
 #: Seconds for the network round trip, and for the prefill of other prompts that share
@@ -10,13 +10,13 @@
 FIRST_TOKEN_OVERHEAD = 0.02
 
 #: Factor by which a request under load holds its slot longer than decoding alone takes,
-#: since the prefill of other prompts interrupts it. At full turnover of 16 slots a
-#: third of an engine's time goes into prefill.
+#: since the prefill of other prompts interrupts it. If all 16 slots are always in use,
+#: a third of an engine's time goes into prefill.
 PREFILL_STRETCH = 1.4
 
 
 def time_to_first_token(profile, *, load, prompt_tokens, pace=1.0):
-    """Return the expected time to the first token.
+    """Return the expected time in which an engine generates the first token.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
         Requests already at the engine.
     prompt_tokens : int
     pace : float, default=1.0
-        Slowdown relative to the usual speed.
+        Factor by which the engine is slower than usual.
 
     Returns
     -------
@@ -34,23 +34,23 @@
     """
     step = profile.step + profile.step_per_request * min(load, profile.slots)
     pass_time = profile.steps_per_prefill * step
-    prefill_work = prompt_tokens / profile.prefill_rate
+    prefill_seconds = prompt_tokens / profile.prefill_rate
     ahead = max(0, load + 1 - profile.slots)
     waiting = ahead * slot_release_interval(profile)
     return (
-        pace * (waiting + PASSES_TO_FIRST_TOKEN * pass_time + prefill_work)
+        pace * (waiting + PASSES_TO_FIRST_TOKEN * pass_time + prefill_seconds)
         + FIRST_TOKEN_OVERHEAD
     )
 
 
-def expected_first_token(endpoint, profile, ask, *, load, now):
+def expected_first_token(endpoint, profile, request, *, load, now):
     """Return the expected time to first token of a request at an endpoint.
 
     Parameters
     ----------
     endpoint : Endpoint
     profile : EngineProfile
-    ask : PlacementRequest
+    request : PlacementRequest
     load : float
         Requests already at the endpoint.
     now : float
@@ -65,11 +65,11 @@
     # be on time would reach engines after their callers had left.
     return (
         endpoint.link_delay
-        + endpoint.prefill_work.left(now)
+        + endpoint.prefill_backlog.remaining(now)
         + time_to_first_token(
             profile,
             load=load,
-            prompt_tokens=ask.prompt_tokens,
+            prompt_tokens=request.prompt_tokens,
             pace=endpoint.pace,
         )
     )
--- a/hawthornspoke/placing/_reading.py
+++ b/hawthornspoke/placing/_prefill_backlog.py
@@ -2,15 +2,16 @@
 
 Guards against bursts: after a gap, or while engines load new weights, a dozen requests
 reach one engine within a tenth of a second. It has slots for all of them but processes
-their prompts one after the other, so the last first token is half a second late. Slot
-counts don't show that.
+their prompts one after the other, so the first token of the last request is half a
+second late. Slot counts don't show that.
 """
 
 #: Growth in load between two reports that isn't attributed to other hosts: a request
 #: of this host may reach the engine only after the next report was made.
 IN_FLIGHT_ALLOWANCE = 1
 
-#: Report interval in seconds above which the time of the new requests is too uncertain.
+#: Interval between two reports in seconds above which it is too uncertain when the
+#: additional requests arrived.
 MAX_REPORT_INTERVAL = 1.0
 
 
@@ -27,7 +28,7 @@
     def __init__(self):
         self.busy_until = float("-inf")
 
-    def left(self, now):
+    def remaining(self, now):
         """Return the remaining prefill time in seconds.
 
         Parameters
@@ -51,17 +52,17 @@
         """
         self.busy_until = max(self.busy_until, now) + seconds
 
-    def add_remote_requests(self, *, growth, age, usual_seconds, now):
+    def add_remote_requests(self, *, growth, age, mean_prefill_time, now):
         """Add the prompts of other hosts, estimated from the growth in load.
 
         Parameters
         ----------
         growth : int
-            Requests in excess of those reported and sent before.
+            Reported load less the load assumed before the report.
         age : float or None
             Seconds since the previous report; None if there was none.
-        usual_seconds : float
-            Prefill time of a typical prompt.
+        mean_prefill_time : float
+            Prefill time in seconds of a prompt of mean length.
         now : float
         """
         if (
@@ -69,4 +70,4 @@
             and age < MAX_REPORT_INTERVAL
             and growth > IN_FLIGHT_ALLOWANCE
         ):
-            self.add((growth - IN_FLIGHT_ALLOWANCE) * usual_seconds, now)
+            self.add((growth - IN_FLIGHT_ALLOWANCE) * mean_prefill_time, now)
--- a/hawthornspoke/placing/_refusal.py
+++ b/hawthornspoke/placing/_rejection.py
@@ -28,18 +28,18 @@
     def __init__(self, *, rng):
         self._prng = rng
 
-    def no_endpoint(self, ask):
+    def no_endpoint(self, request):
         """Return a Rejection because the service has no endpoint."""
-        return self._reject(ask, "no_endpoint", NO_ENDPOINT_RETRY_AFTER)
+        return self._reject(request, "no_endpoint", NO_ENDPOINT_RETRY_AFTER)
 
-    def no_weights(self, ask, endpoints, now):
+    def no_weights(self, request, endpoints, now):
         """Return a Rejection because no endpoint has eligible weights.
 
         Parameters
         ----------
-        ask : PlacementRequest
+        request : PlacementRequest
         endpoints : list of Endpoint
-            Endpoints that may have them soon.
+            Endpoints that may have eligible weights soon.
         now : float
 
         Returns
@@ -53,14 +53,14 @@
             and endpoint.current_state.next_ready_at is not None
         ]
         soonest = max(0.0, min(times) - now) if times else NO_WEIGHTS_RETRY_AFTER
-        return self._reject(ask, "no_weights", soonest)
+        return self._reject(request, "no_weights", soonest)
 
-    def full(self, ask, seconds):
+    def full(self, request, seconds):
         """Return a Rejection because all endpoints are full.
 
         Parameters
         ----------
-        ask : PlacementRequest
+        request : PlacementRequest
         seconds : float
             Time until capacity is expected.
 
@@ -68,12 +68,12 @@
         -------
         Rejection
         """
-        return self._reject(ask, "full", seconds)
+        return self._reject(request, "full", seconds)
 
-    def _reject(self, ask, reason, seconds):
+    def _reject(self, request, reason, seconds):
         # Jitter keeps callers that were rejected together from returning together.
-        # They wait a third of their time at most, so a longer delay would be cut.
-        longest_wait = max(MIN_RETRY_AFTER, ask.time_left * MAX_WAIT_SHARE)
+        # They wait a third of their remaining time at most, so a longer delay is cut.
+        longest_wait = max(MIN_RETRY_AFTER, request.time_left * MAX_WAIT_SHARE)
         earliest = min(max(MIN_RETRY_AFTER, seconds), longest_wait)
         jittered = earliest + (longest_wait - earliest) * self._prng.random()
         return Rejection(reason=reason, retry_after=round(jittered, 3))
--- a/hawthornspoke/placing/_subset.py
+++ b/hawthornspoke/placing/_subset.py
@@ -7,7 +7,7 @@
 """
 
 from hawthornspoke.base import rendezvous_order
-from hawthornspoke.placing._herd import DecayingRate
+from hawthornspoke.placing._load_estimate import DecayingRate
 
 #: Minimum number of engines of the own failure domain in a subset. Fewer would be full
 #: at once while others have capacity; eight engines have 64 slots, of which a burst of
@@ -23,13 +23,14 @@
 MAX_FAR_ENGINES = 24
 
 #: Share of requests without a free slot in the subset above which the subset doubles,
-#: and below which it halves. With eight engines the former is exceeded from an
-#: occupancy of nine slots in ten on.
+#: and below which it halves. With eight engines the upper threshold is exceeded once
+#: nine slots in ten are occupied.
 WIDEN_THRESHOLD = 0.03
 NARROW_THRESHOLD = 0.005
 
-#: Minimum seconds between two widenings: the loads of added engines are known after
-#: half a second. Narrowing waits longer, since a burst lasts for seconds and recurs.
+#: Seconds after widening or narrowing the subset in which it isn't changed again. The
+#: loads of added engines are known after half a second. The subset narrows more slowly,
+#: since a burst lasts for seconds and recurs.
 WIDEN_COOLDOWN = 0.5
 NARROW_COOLDOWN = 4.0
 
@@ -52,8 +53,8 @@
 
     Attributes
     ----------
-    since_by_id : dict of str to float
-        By id of each engine in the subset: since when it has been in it.
+    added_at_by_id : dict of str to float
+        When each engine in the subset was added to it, by engine id.
     near_share, far_share : float
         Share of the subset among the engines of the own failure domain, and of others.
     """
@@ -63,7 +64,7 @@
         "position",
         "hosts",
         "width",
-        "since_by_id",
+        "added_at_by_id",
         "near_share",
         "far_share",
         "_near",
@@ -78,7 +79,7 @@
         self.position = 0
         self.hosts = 1
         self.width = MIN_NEAR_ENGINES
-        self.since_by_id = {}
+        self.added_at_by_id = {}
         self.near_share = self.far_share = 1.0
         self._near = ()
         self._far = ()
@@ -88,10 +89,10 @@
 
     @property
     def is_known(self):
-        """Whether the engines are known; until then all report frequently."""
+        """Whether any engines are known; until then all report frequently."""
         return bool(self._near or self._far)
 
-    def place(self, *, position, hosts, now):
+    def set_position(self, *, position, hosts, now):
         """Set the position of this host among those of its failure domain.
 
         Parameters
@@ -122,8 +123,8 @@
         self._far = tuple(rendezvous_order(key=self.host, nodes=far))
         self._recompute(now)
 
-    def count(self, *, spilled, now):
-        """Count a request, and widen or narrow the subset if necessary.
+    def record_request(self, *, spilled, now):
+        """Record a request, and widen or narrow the subset if necessary.
 
         Parameters
         ----------
@@ -148,11 +149,12 @@
             return
         self._recompute(now)
 
-    def widen(self, now):
+    def widen_to_all(self, now):
         """Extend the subset to all engines of the failure domain.
 
-        Called if none of them can serve the next request in time, judging by reports
-        that are a second old for engines outside the subset: it needs fresher ones.
+        Called if none of them can serve a request in time according to their reports.
+        Engines outside the subset report once a second only, so newer reports are
+        needed.
         """
         if self._effective_width() < len(self._near):
             self.width = len(self._near)
@@ -178,7 +180,7 @@
         first = self.position * count // max(1, self.hosts)
         near = [self._near[(first + step) % count] for step in range(width)]
         far = self._far[:MAX_FAR_ENGINES]
-        before = self.since_by_id
-        self.since_by_id = {key: before.get(key, now) for key in (*near, *far)}
+        before = self.added_at_by_id
+        self.added_at_by_id = {key: before.get(key, now) for key in (*near, *far)}
         self.near_share = width / count if count else 1.0
         self.far_share = len(far) / len(self._far) if self._far else 1.0
--- a/hawthornspoke/placing/_validity.py
+++ b/hawthornspoke/placing/_weights_eligibility.py
@@ -1,4 +1,4 @@
-"""Which weights versions may start to serve requests, and until when.
+"""Decides which weights versions may start requests, and until when.
 
 Once ``version_bound`` seconds have passed since the declaration of a version, only this
 or a newer version may start requests. Withdrawal enforces this bound: a request that
@@ -31,11 +31,12 @@
 #: start on an engine of usual speed.
 START_FACTOR = 1.5
 
-#: Increase of the factor per unit of slowdown, since the slowdown was reported a moment
-#: ago. With a slowdown of 4, 1.05 s were measured where 0.4 s were expected.
+#: Increase of the factor per unit of slowdown, which may have grown since the report.
+#: With a slowdown of 4, 1.05 s were measured where 0.4 s were expected.
 START_FACTOR_SLOWDOWN = 0.6
 
-#: Factor if newer weights can serve the request instead.
+#: The same multiple if newer weights can serve the request instead: older ones lose
+#: precedence unless the request starts in time almost certainly.
 START_FACTOR_SURE = 2.0
 
 
@@ -62,9 +63,10 @@
     failure_domain : str
         Of this host.
     contact_now : float
-        Current time on the clock of declarations.
+        Current time on the clock that includes suspended time, which is the clock of
+        declarations.
     now : float
-        Current time on the clock of deadlines.
+        Current time on the monotonic clock, which is the clock of deadlines.
     """
 
     __slots__ = (
@@ -95,25 +97,25 @@
         self.failure_domain = failure_domain
         self._expires_at_by_version = {}
 
-    def allows(self, endpoint, engine, ask):
+    def allows(self, endpoint, engine, request):
         """Return whether an engine has eligible weights and starts a request in time.
 
         Parameters
         ----------
         endpoint : Endpoint
         engine : EngineProfile
-        ask : PlacementRequest
+        request : PlacementRequest
 
         Returns
         -------
         bool
         """
-        if not self._has_weights(endpoint, engine, ask):
+        if not self._has_weights(endpoint, engine, request):
             return False
         if self._is_newest(endpoint, engine):
             return True
         expected = expected_first_token(
-            endpoint, engine, ask, load=endpoint.load, now=self.now
+            endpoint, engine, request, load=endpoint.load, now=self.now
         )
         return self.forecast(endpoint, engine, expected) is not StartForecast.TOO_LATE
 
@@ -136,17 +138,17 @@
         left = self._expires_at(engine, endpoint.weights_version) - self.contact_now
         if START_FACTOR_SURE * expected < left - self.version_margin:
             return StartForecast.SURE
-        share = START_FACTOR + START_FACTOR_SLOWDOWN * max(0.0, endpoint.pace - 1.0)
-        if share * expected <= left - self._withdraw_margin(endpoint):
+        factor = START_FACTOR + START_FACTOR_SLOWDOWN * max(0.0, endpoint.pace - 1.0)
+        if factor * expected <= left - self._withdraw_margin(endpoint):
             return StartForecast.EXPECTED
         return StartForecast.TOO_LATE
 
-    def with_deadline(self, place, engine, endpoint):
+    def with_deadline(self, placement, engine, endpoint):
         """Return a Placement with the deadline by which the request must have started.
 
         Parameters
         ----------
-        place : Placement
+        placement : Placement
         engine : EngineProfile
         endpoint : Endpoint
             The endpoint of the Placement.
@@ -155,16 +157,16 @@
         -------
         Placement
         """
-        version = place.weights_version
+        version = placement.weights_version
         if not engine.layers or version is None:
-            return place
+            return placement
         expires_at = self._expires_at(engine, version)
         if expires_at is None:
-            return place
-        # Time that the host was suspended, which the clock of deadlines doesn't count.
+            return placement
+        # Time for which the host was suspended, which the clock of deadlines excludes.
         suspended = self.contact_now - self.now
         deadline = expires_at - suspended - self._withdraw_margin(endpoint)
-        return replace(place, start_deadline=deadline)
+        return replace(placement, start_deadline=deadline)
 
     def _withdraw_margin(self, endpoint):
         """Return the seconds before the bound at which a request is withdrawn."""
@@ -196,12 +198,12 @@
             )
         return self._expires_at_by_version[key]
 
-    def _has_weights(self, endpoint, engine, ask):
+    def _has_weights(self, endpoint, engine, request):
         if endpoint.loading:
             return False
         if engine.layers and endpoint.layers != (0, engine.layers):
             return False
         version = endpoint.weights_version
-        if ask.required_version is not None:
-            return version == ask.required_version
+        if request.required_version is not None:
+            return version == request.required_version
         return not engine.layers or version is not None
--- a/hawthornspoke/placing/tests/playing.py
+++ b/hawthornspoke/placing/tests/playing.py
@@ -40,13 +40,13 @@
 CALLER_TIMEOUT = 6.0
 
 #: Seconds between load samples of agents, between subset updates of entry hosts, and
-#: maximum report intervals for followed and other engines, with the real values.
+#: maximum report intervals for followed and other engines; the values in production.
 SAMPLE_INTERVAL = 0.1
 SUBSET_UPDATE_INTERVAL = 0.5
 REPORT_INTERVAL = 0.25
 UNFOLLOWED_REPORT_INTERVAL = 1.0
 
-#: Warm-up in seconds, excluded from the results.
+#: Length of the warm-up in seconds, which is excluded from the results.
 WARM_UP = 2.0
 
 
@@ -148,7 +148,7 @@
         )
         if not self._uses_subset:
             # So large that halving it during the simulation still leaves all engines.
-            fleet._choice.subset("s").width = engines * 2**20
+            fleet._selector.subset("s").width = engines * 2**20
         fleet.step(EndpointsListed(entries=entries), now=0.0)
         seen = EntryHostsUpdated(near=hosts, all=hosts, position=place)
         fleet.step(seen, now=0.0)
@@ -159,14 +159,14 @@
 
     def _ask(self, now, request):
         waited = now - request.asked_at
-        ask = PlacementRequest(
+        placement_request = PlacementRequest(
             service="s",
             prompt_tokens=900,
             on_time_left=TARGET_LATENCY - waited,
             time_left=CALLER_TIMEOUT - waited,
             returned=request.returned,
         )
-        (answer,) = self._fleets[request.host].step(ask, now=now)
+        (answer,) = self._fleets[request.host].step(placement_request, now=now)
         if isinstance(answer, Placement):
             self._send(now, request, answer.endpoint_id)
         elif not request.returned:
@@ -212,10 +212,12 @@
         self._at(now + SAMPLE_INTERVAL, self._sample_loads)
 
     def _is_due(self, place, number, load, now):
-        told, told_at = self._last_reports.get((place, number), (None, float("-inf")))
+        last_load, reported_at = self._last_reports.get(
+            (place, number), (None, float("-inf"))
+        )
         if _address(number) not in self._followed[place]:
-            return now >= told_at + UNFOLLOWED_REPORT_INTERVAL
-        return load != told or now >= told_at + REPORT_INTERVAL
+            return now >= reported_at + UNFOLLOWED_REPORT_INTERVAL
+        return load != last_load or now >= reported_at + REPORT_INTERVAL
 
     def _send_report(self, fleet, place, number, load, now):
         self.messages += 1
--- a/hawthornspoke/placing/tests/test_declared.py
+++ b/hawthornspoke/placing/tests/test_declared.py
@@ -1,4 +1,4 @@
-"""When declared versions take effect."""
+"""When declared weights versions take effect, and older ones expire."""
 
 from hawthornspoke.catalog import UNKNOWN_TIME, DeclaredVersions, DeclaredWeights
 from hawthornspoke.placing import (
@@ -9,7 +9,10 @@
     Rejection,
     WeightsDeclared,
 )
-from hawthornspoke.placing._validity import WITHDRAW_MARGIN, WITHDRAW_MARGIN_FAR
+from hawthornspoke.placing._weights_eligibility import (
+    WITHDRAW_MARGIN,
+    WITHDRAW_MARGIN_FAR,
+)
 from hawthornspoke.placing.tests.test_fleet import ask, entry, fleet, report
 
 TWO = DeclaredWeights(model="m", version=2)
@@ -21,8 +24,10 @@
 
 
 def select(machine, *, now, contact_now=None):
-    ask = PlacementRequest(service="llm", prompt_tokens=900, contact_now=contact_now)
-    return machine.step(ask, now=now)[0]
+    request = PlacementRequest(
+        service="llm", prompt_tokens=900, contact_now=contact_now
+    )
+    return machine.step(request, now=now)[0]
 
 
 def report_declaration(machine, *, declared_at, now):
@@ -41,9 +46,9 @@
 def test_declaration_of_unknown_age_takes_effect_at_once():
     """A newly started entry host sent requests to weights that were too old.
 
-    A version is declared; a host starts 4 s later and finds it in the table. Cause: it
-    counted the bound from its own start. Until the time of the declaration is known, it
-    may have been long ago.
+    A version is declared; a host starts 4 s later and finds it in the table. Cause: the
+    host measured the age of the declaration from its own start. Until the time of the
+    declaration is known, it may have been long ago.
     """
     machine = fleet(entry("one"))
     declare(machine, TWO, at=UNKNOWN_TIME, now=10.0)
@@ -87,7 +92,7 @@
 def test_declaration_age_includes_suspended_time():
     """A host that was suspended for 6 s used old weights for 6 s too long.
 
-    Cause: the bound was measured on a clock that excludes suspended time.
+    Cause: the age was measured on a clock that excludes suspended time.
     """
     machine = fleet(entry("one"))
     declare(machine, TWO, at=10.0, now=10.0)
@@ -100,7 +105,7 @@
     assert select(machine, now=1.0).start_deadline is None
     declare(machine, TWO, at=10.0, now=10.0)
     found = select(machine, now=12.0, contact_now=15.0)
-    # Three seconds until the bound passed while the host was suspended.
+    # The host was suspended for three of the eight seconds until the expiry.
     assert found.start_deadline == 10.0 + 8.0 - 3.0 - WITHDRAW_MARGIN
     assert found.weights_version == 1
 
@@ -109,8 +114,8 @@
     """A host sent requests to weights that two declarations had replaced.
 
     Version 2 is declared at 21.0 and version 3 at 25.0; a host starts at 26 and learns
-    of version 3 only; engines have version 1, which expires at 29.0. Cause: the bound
-    of version 1 was counted from version 3 as well.
+    of version 3 only; engines have version 1, which expires at 29.0. Cause: the expiry
+    of version 1 was also computed from the declaration of version 3.
     """
     machine = fleet(entry("one"))
     declare(machine, THREE, at=25.0, now=26.0)
@@ -156,10 +161,11 @@
     """Requests were sent to old weights only to be withdrawn, and answered with 502.
 
     The log showed an expected time longer than the time left until the start deadline.
-    A bound is 1.25 s away; nine entry hosts see two engines with one free slot each in
-    a report that is 0.25 s old; each estimates the requests of the others, expects
-    0.89 s to the first token, and sends its request with 0.85 s left. Cause: the check
-    against the bound used the reported load, and the check for lateness the estimate.
+    Old weights expire in 1.25 s; nine entry hosts see two engines with one free slot
+    each in a report that is 0.25 s old; each estimates the requests of the others,
+    expects 0.89 s to the first token, and sends its request with 0.85 s left. Cause:
+    the check against the expiry used the reported load, the check for lateness the
+    estimated one.
     """
     machine = fleet(entry("one"), entry("two"))
     machine.step(EntryHostsUpdated(near=9, all=9), now=0.0)
@@ -192,8 +198,8 @@
 def test_version_known_from_agents_only_takes_effect():
     """A host that the platform rejected used old weights until it was accepted again.
 
-    As above, but the bound passes before that; requests without a key are still served
-    there. Cause: the same report was dropped.
+    As in the previous test, but the old weights expire before that; requests without a
+    key are still served there. Cause: the same report was dropped.
     """
     machine = fleet(entry("one"))
     for now in (11.0, 15.0, 19.0):
@@ -202,12 +208,12 @@
 
 
 def test_old_weights_serve_requests_that_start_before_withdrawal():
-    """A whole fleet was idle for 1.2 s before each bound of old weights.
+    """A whole fleet was idle for 1.2 s before old weights expired.
 
     Requests were rejected for missing weights while engines that could still start
     them were empty; these two seconds scored 0.13 of the maximum. Version 2 is
     declared and no engine has it yet; requests to version 1 stopped 0.95 s plus twice
-    the expected time to first token before the bound. Cause: the margin for requests
+    the expected time to first token before its expiry. Cause: the margin for requests
     that start late was applied twice, on sending and by the withdrawal.
     """
     machine = fleet(entry("old"))
@@ -216,7 +222,7 @@
 
 
 def test_newer_weights_are_preferred_near_the_bound():
-    """Near the bound a request that starts late would be withdrawn needlessly."""
+    """Shortly before the expiry a request that starts late would be withdrawn."""
     machine = fleet(entry("old"), entry("new", weights_version=2))
     declare(machine, TWO, at=10.0, now=10.0)
     report(machine, "old", load=0, now=17.3)
@@ -230,8 +236,8 @@
 
     A host freezes for seconds; afterwards it reads a version, and knows only that it
     wasn't declared before the freeze; agents report a later time, from hosts that
-    learned of it at once. Cause: the agents' time was used only if the platform gave
-    none at all.
+    learned of it at once. Cause: the agents' time was used only if the platform
+    provided none at all.
     """
     machine = fleet(entry("one"))
     declare(machine, TWO, at=2.0, now=10.1)
--- a/hawthornspoke/placing/tests/test_fleet.py
+++ b/hawthornspoke/placing/tests/test_fleet.py
@@ -111,8 +111,8 @@
 def test_retry_delays_are_spread():
     """All callers rejected during an overload returned at once.
 
-    Cause: all got the same retry delay. No half of the range may contain more than
-    two thirds of the delays.
+    Cause: all got the same retry delay. Neither half of the range may contain more
+    than two thirds of the delays.
     """
     machine = fleet(entry("one"))
     report(machine, "one", load=30)
@@ -163,8 +163,8 @@
 def test_expired_weights_get_no_requests():
     """A request started on old weights 8.08 s after newer ones were declared.
 
-    It was sent 0.76 s before the bound; a link saturated by weight transfers and the
-    engine itself took 0.84 s. Cause: the margin was too small.
+    The limit is 8 s. The request was sent 0.76 s before it; a link saturated by weight
+    transfers and the engine itself took 0.84 s. Cause: the margin was too small.
     """
     machine = fleet(entry("old"), entry("new", weights_version=2))
     report(machine, "new", version=2, load=9)
@@ -180,7 +180,7 @@
 
 
 def test_old_weights_expire_earlier_on_a_slow_engine():
-    """A request started on a slow engine 0.06 s after the bound of its weights."""
+    """A request started on a slow engine 0.06 s after its weights had expired."""
     machine = fleet(entry("slow"))
     declared = WeightsDeclared(declared=DeclaredWeights(model="m", version=2), at=10.0)
     machine.step(declared, now=10.0)
@@ -227,7 +227,7 @@
 
 
 def test_no_ejection_if_most_endpoints_fail():
-    """A whole service was ejected and requests were rejected with idle engines."""
+    """All endpoints of a service were ejected, so idle ones got no requests."""
     machine = fleet(entry("one"), entry("two"), entry("three"))
     for name in ("one", "two", "three"):
         machine.step(RequestFinished(endpoint_id=name, outcome="unreachable"), now=1.0)
@@ -275,10 +275,11 @@
 def test_moved_endpoint_is_excluded_while_its_entry_is_listed():
     """Each request wasted an attempt at an address that another endpoint had.
 
-    In the second after a power loss three attempts in four got "not run", and callers
-    that would have been on time were rejected. The host returns with a new entry while
-    the old one stays listed for two seconds and is repeated with each change of the
-    list. Cause: each update of the list cleared the mark of the old entry.
+    In the second after a power loss three attempts in four were answered with "not
+    run", and callers that could have been served on time were rejected. The host
+    returns with a new entry while the old one stays listed for two seconds and is
+    repeated with each change of the list. Cause: each update of the list cleared the
+    ``moved`` flag of the old entry.
     """
     machine = fleet(entry("one"), entry("two"))
     machine.step(RequestFinished(endpoint_id="one", outcome="moved"), now=1.0)
@@ -336,8 +337,8 @@
 def test_admitted_requests_are_on_time_during_overload():
     """Demand is one and a half times the capacity.
 
-    Each engine releases slots at its usual rate. Nine in ten admitted callers must get
-    their first token on time, and engines must not be idle.
+    Each engine releases slots at its usual rate. Nine in ten admitted requests must get
+    their first token on time, and nine tenths of the capacity must be used.
     """
     names = ("one", "two", "three")
     machine = fleet(*(entry(name) for name in names))
--- a/hawthornspoke/placing/tests/test_starts.py
+++ b/hawthornspoke/placing/tests/test_incarnation_tracker.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hawthornspoke.catalog import UNKNOWN_START, Incarnation
-from hawthornspoke.placing._starts import IncarnationTracker
+from hawthornspoke.placing._incarnation_tracker import IncarnationTracker
 
 #: In chronological order; the clock was set back before the last.
 CHRONOLOGICAL = tuple(Incarnation(started_ms=time) for time in (20, 30, 10))
--- a/hawthornspoke/placing/tests/test_incarnations.py
+++ b/hawthornspoke/placing/tests/test_incarnations.py
@@ -41,7 +41,7 @@
 
 
 def send_and_fail(machine, incarnation, *, count=3):
-    """Send requests that don't end to an incarnation, and let one fail."""
+    """Send requests to an incarnation, of which one fails and the others stay open."""
     for _ in range(count):
         machine.step(RequestSent(endpoint_id="one", incarnation=incarnation), now=0.5)
     failed = RequestFinished(
@@ -164,7 +164,7 @@
 
     Requests run at an endpoint that crashes; it restarts under its id and gets a
     request; only then do the first ones time out. Cause: ends were counted by id, so
-    the new incarnation's request was discounted, the failures were recorded, and an
+    the new incarnation's request counted as ended, the failures were recorded, and an
     endpoint whose earlier incarnation had moved was considered gone.
     """
     machine = fleet(entry("one", incarnation=FIRST))
@@ -182,7 +182,7 @@
 
 
 def test_end_of_a_request_to_an_unknown_incarnation_is_ignored():
-    """The same for an incarnation that the list had not reported yet."""
+    """A new incarnation was ejected for failures of one that was never listed."""
     machine = fleet(entry("one"))
     assert ask(machine).incarnation == UNKNOWN_START
     machine.step(RequestSent(endpoint_id="one"), now=0.5)
--- a/hawthornspoke/placing/tests/test_herd.py
+++ b/hawthornspoke/placing/tests/test_load_estimate.py
@@ -1,4 +1,4 @@
-"""Several entry hosts that select engines by the same reports."""
+"""Several entry hosts that select engines based on the same reports."""
 
 import random
 
@@ -16,7 +16,7 @@
     PlacementRequest,
     RequestSent,
 )
-from hawthornspoke.placing._herd import DecayingRate, estimated_growth
+from hawthornspoke.placing._load_estimate import DecayingRate, estimated_growth
 
 SLOTS = 12
 ENGINE = engine_profile(
@@ -70,30 +70,36 @@
 
 
 def simulate(
-    fleets, load_by_engine, *, seconds, start, aim=TARGET_LATENCY, returned=False
+    fleets,
+    load_by_engine,
+    *,
+    seconds,
+    start,
+    time_until_late=TARGET_LATENCY,
+    returned=False,
 ):
     """Simulate callers at all hosts; return requests by engine, and rejections."""
     rng = random.Random(7)
     requests_by_engine = [0] * len(load_by_engine)
-    declined = 0
+    rejections = 0
     now = start
     while now < start + seconds:
         now += rng.expovariate(REQUESTS_A_SECOND * len(fleets))
         fleet = rng.choice(fleets)
-        ask = PlacementRequest(
+        request = PlacementRequest(
             service="s",
             prompt_tokens=900,
-            on_time_left=aim,
+            on_time_left=time_until_late,
             time_left=6.0,
             returned=returned,
         )
-        (answer,) = fleet.step(ask, now=now)
+        (answer,) = fleet.step(request, now=now)
         if isinstance(answer, Placement):
             fleet.step(RequestSent(endpoint_id=answer.endpoint_id), now=now)
             requests_by_engine[int(answer.endpoint_id[1:])] += 1
         else:
-            declined += 1
-    return requests_by_engine, declined
+            rejections += 1
+    return requests_by_engine, rejections
 
 
 def test_free_slot_does_not_attract_every_host():
@@ -123,10 +129,10 @@
     hosts = fleets(engines=12)
     loads = [3, *[5] * 11]
     report(hosts, loads, now=1.0)
-    requests_by_engine, declined = simulate(
-        hosts, loads, seconds=0.2, start=1.0, aim=-0.2, returned=True
+    requests_by_engine, rejections = simulate(
+        hosts, loads, seconds=0.2, start=1.0, time_until_late=-0.2, returned=True
     )
-    assert declined == 0
+    assert rejections == 0
     assert requests_by_engine[0] <= 3 * sum(requests_by_engine) / len(
         requests_by_engine
     )
@@ -137,8 +143,8 @@
     hosts = fleets(engines=40)
     low_loads = [5] * 40
     report(hosts, low_loads, now=1.0)
-    requests_by_engine, declined = simulate(hosts, low_loads, seconds=0.5, start=1.0)
-    assert declined == 0
+    requests_by_engine, rejections = simulate(hosts, low_loads, seconds=0.5, start=1.0)
+    assert rejections == 0
     assert max(requests_by_engine) <= 4 * sum(requests_by_engine) / len(
         requests_by_engine
     )
@@ -147,22 +153,27 @@
 def test_single_host_expects_no_other_traffic():
     (alone,) = fleets(engines=2, hosts=1)
     report([alone], [5, 5], now=1.0)
-    requests_by_engine, declined = simulate([alone], [0, 0], seconds=0.5, start=1.0)
-    assert declined == 0
+    requests_by_engine, rejections = simulate([alone], [0, 0], seconds=0.5, start=1.0)
+    assert rejections == 0
     assert sum(requests_by_engine) > 0
 
 
 def test_no_growth_while_completions_match_arrivals():
     shared = {"load": 12, "slot_time": 1.5, "slots": 12, "age": 0.5}
-    assert estimated_growth(arrivals=80.0, engines_with_room=10, **shared) == 0.0
+    assert estimated_growth(arrival_rate=80.0, engines_with_room=10, **shared) == 0.0
     assert estimated_growth(
-        arrivals=180.0, engines_with_room=10, **shared
+        arrival_rate=180.0, engines_with_room=10, **shared
     ) == pytest.approx(5.0)
 
 
 def test_no_growth_without_a_report():
     growth = estimated_growth(
-        arrivals=100.0, engines_with_room=1, load=0, slot_time=1.0, slots=4, age=None
+        arrival_rate=100.0,
+        engines_with_room=1,
+        load=0,
+        slot_time=1.0,
+        slots=4,
+        age=None,
     )
     assert growth == 0.0
 
--- a/hawthornspoke/placing/tests/test_reading.py
+++ b/hawthornspoke/placing/tests/test_prefill_backlog.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hawthornspoke.placing import Placement, RequestSent
-from hawthornspoke.placing._reading import PrefillBacklog
+from hawthornspoke.placing._prefill_backlog import PrefillBacklog
 from hawthornspoke.placing.tests.test_fleet import ENGINE, ask, entry, fleet, report
 
 ENGINES = 10
@@ -19,7 +19,7 @@
 
 
 def prefill_waits(arrivals):
-    """Return the time until the prefill of each prompt of an engine is complete."""
+    """Return how long after its arrival the prefill of each prompt is complete."""
     free_at, waits = 0.0, []
     for arrived in sorted(arrivals):
         free_at = max(free_at, arrived) + PROMPT / ENGINE.prefill_rate
@@ -32,8 +32,8 @@
     names = [f"e{number}" for number in range(ENGINES)]
     machine = fleet(*(entry(name) for name in names))
     rng = random.Random(seed)
-    # Some engines have just loaded new weights and are empty; the responses of the
-    # others are nearly complete.
+    # Some engines are empty since they have just loaded new weights; the others still
+    # serve requests.
     for number, name in enumerate(names):
         report(machine, name, load=0 if number < ENGINES // 2 else 12, now=1.0)
     arrivals_by_name = {name: [] for name in names}
@@ -56,11 +56,11 @@
 def test_burst_is_spread_by_prefill_backlog(seed):
     """The first ready engines got a dozen requests within a tenth of a second.
 
-    First tokens were 0.2 to 0.5 s later than expected in the second after a gap, or
-    while engines loaded new weights, though all of them had free slots. Half of the
-    engines are empty, the others three quarters full; each request goes to the less
-    loaded of two; an engine processes one prompt after the other. Cause: only slots
-    were considered, and there are enough for all.
+    In the second after a gap in traffic, or while engines loaded new weights, first
+    tokens were 0.2 to 0.5 s later than expected, though all engines had free slots.
+    Half of the engines are empty, the others three quarters full; each request goes to
+    the less loaded of two; an engine processes one prompt after the other. Cause: only
+    slots were considered, and there are enough for all.
 
     0.93 of the requests were on time before the fix, 1.00 after.
     """
@@ -69,13 +69,13 @@
 
 def test_growth_caused_by_other_hosts_adds_prefill_time():
     backlog = PrefillBacklog()
-    backlog.add_remote_requests(growth=6, age=0.1, usual_seconds=0.05, now=2.0)
-    assert backlog.left(2.0) == pytest.approx(0.25)
-    assert backlog.left(2.5) == 0.0
+    backlog.add_remote_requests(growth=6, age=0.1, mean_prefill_time=0.05, now=2.0)
+    assert backlog.remaining(2.0) == pytest.approx(0.25)
+    assert backlog.remaining(2.5) == 0.0
 
 
 @pytest.mark.parametrize(("growth", "age"), [(1, 0.1), (-3, 0.1), (6, None), (6, 5.0)])
 def test_inconclusive_growth_is_ignored(growth, age):
     backlog = PrefillBacklog()
-    backlog.add_remote_requests(growth=growth, age=age, usual_seconds=0.05, now=2.0)
-    assert backlog.left(2.0) == 0.0
+    backlog.add_remote_requests(growth=growth, age=age, mean_prefill_time=0.05, now=2.0)
+    assert backlog.remaining(2.0) == 0.0
--- a/hawthornspoke/placing/tests/test_full_links.py
+++ b/hawthornspoke/placing/tests/test_saturated_links.py
@@ -1,4 +1,4 @@
-"""Saturated links near the bound of old weights, or near a caller's timeout."""
+"""Saturated links shortly before old weights expire, or before a caller's timeout."""
 
 import pytest
 
@@ -6,14 +6,14 @@
 from hawthornspoke.placing import Placement, Rejection, WeightsDeclared
 from hawthornspoke.placing.tests.test_fleet import ask, entry, fleet, report
 
-BOUND_AT = 18.0
+EXPIRES_AT = 18.0
 
 #: Link delays during a weights transfer: below the limit for ejection, and above it.
 LOW_DELAY, HIGH_DELAY = 0.39, 1.0
 
 
 def declare(machine):
-    """Declare a version; older ones expire at ``BOUND_AT``."""
+    """Declare a version; older ones expire at ``EXPIRES_AT``."""
     declared = DeclaredWeights(model="m", version=2)
     machine.step(WeightsDeclared(declared=declared, at=10.0), now=10.0)
 
@@ -23,12 +23,12 @@
 def test_withdrawal_margin_covers_the_link_delay(link_delay, domain):
     """A request started on old weights although it had been withdrawn.
 
-    An engine started a request after the bound of its weights; the entry host had
+    An engine started a request after its weights had expired; the entry host had
     logged it as withdrawn 0.4 s before that. All engines receive the next version, so
     all links are saturated and no engine can be ejected for it. A request waits at an
     engine; it is withdrawn by closing the connection, which is delayed on the link like
     all other traffic, and the engine starts the request before it notices. Cause: the
-    margin was the same for all links, while agents report the delay of each link.
+    margin was the same for all links, although agents report the delay of each link.
     """
     machine = fleet(entry("one", domain), entry("two", domain))
     declare(machine)
@@ -37,7 +37,7 @@
     place = ask(machine, now=12.1, on_time_left=4.0)
     assert isinstance(place, Placement)
     # Timers of a busy process fire 0.1 s late.
-    assert place.start_deadline + 0.1 + link_delay <= BOUND_AT
+    assert place.start_deadline + 0.1 + link_delay <= EXPIRES_AT
 
 
 def test_request_that_cannot_be_on_time_is_rejected_at_once():
--- a/hawthornspoke/placing/tests/test_ask_cost.py
+++ b/hawthornspoke/placing/tests/test_selection_cost.py
@@ -1,4 +1,4 @@
-"""The cost of one selection among many endpoints, in function calls."""
+"""The number of function calls that one selection among many endpoints takes."""
 
 import sys
 from dataclasses import replace
@@ -63,12 +63,12 @@
 
 
 def test_selection_compares_no_incarnations(monkeypatch):
-    """CPU time of an entry host grows with each property that a selection evaluates.
+    """A third of a selection's time was spent on comparing incarnations.
 
-    One selection among 60 engines took 1.0 ms, a third of it for whether the agent's
-    report is about the current incarnation. Seven checks of an endpoint evaluated this
-    for each request. Cause: the result changes only with a list or a report but wasn't
-    cached: 421 comparisons per selection before, none after.
+    One selection among 60 engines took 1.0 ms. For each request, seven checks of an
+    endpoint evaluated whether the agent's report is about the current incarnation.
+    Cause: the result changes only with a list or a report but wasn't cached: 421
+    comparisons per selection before, none after.
     """
     machine = known_fleet()
     calls = counted(monkeypatch, Incarnation, "differs_from")
@@ -77,11 +77,10 @@
 
 
 def test_selection_computes_expiry_once_per_version(monkeypatch):
-    """CPU time spent on when a version expires.
+    """The expiry of a version was computed twice for each endpoint.
 
-    It was computed twice for each endpoint. Cause: it depends on the time only, and no
-    engine with the newest version can start too late: 120 calls per selection before,
-    one after.
+    It is the same for all endpoints, and no engine with the newest version can start a
+    request too late: 120 calls per selection before, one after.
     """
     machine = known_fleet()
     calls = counted(monkeypatch, DeclaredVersions, "expires_at")
@@ -92,7 +91,7 @@
 def test_selection_makes_few_calls_per_endpoint():
     """Counts function calls of this project, since times differ between machines.
 
-    91 calls per endpoint before caching, 32 after.
+    91 calls per endpoint before the results were cached, 32 after.
     """
     machine = known_fleet()
     calls = []
--- a/hawthornspoke/placing/tests/test_subset.py
+++ b/hawthornspoke/placing/tests/test_subset.py
@@ -21,9 +21,9 @@
 def subsets(hosts, engines, far=0):
     """Return the subset of each host of a failure domain."""
     made = []
-    for place in range(hosts):
-        subset = Subset(host=f"h{place}")
-        subset.place(position=place, hosts=hosts, now=0.0)
+    for index in range(hosts):
+        subset = Subset(host=f"h{index}")
+        subset.set_position(position=index, hosts=hosts, now=0.0)
         subset.set_engines(
             near=[f"e{number}" for number in range(engines)],
             far=[f"f{number}" for number in range(far)],
@@ -35,7 +35,7 @@
 
 def near(subset):
     """Return the ids of the near engines in a subset."""
-    return {key for key in subset.since_by_id if key.startswith("e")}
+    return {key for key in subset.added_at_by_id if key.startswith("e")}
 
 
 @pytest.mark.parametrize(("hosts", "engines"), SIZES)
@@ -54,7 +54,7 @@
 def test_subset_includes_all_of_few_engines():
     """With a dozen engines all hosts follow all engines."""
     for subset in subsets(hosts=3, engines=MIN_NEAR_ENGINES, far=MAX_FAR_ENGINES):
-        assert len(subset.since_by_id) == MIN_NEAR_ENGINES + MAX_FAR_ENGINES
+        assert len(subset.added_at_by_id) == MIN_NEAR_ENGINES + MAX_FAR_ENGINES
         assert (subset.near_share, subset.far_share) == (1.0, 1.0)
 
 
@@ -70,10 +70,10 @@
 
 def test_restarted_engine_changes_no_assignment():
     (subset,) = subsets(hosts=1, engines=31)
-    kept = dict(subset.since_by_id)
+    initial = dict(subset.added_at_by_id)
     names = [f"e{number}" for number in range(31)]
     subset.set_engines(near=reversed(names), far=(), now=5.0)
-    assert subset.since_by_id == kept
+    assert subset.added_at_by_id == initial
 
 
 def test_far_engines_are_spread_over_the_hosts():
@@ -81,7 +81,7 @@
     count = Counter(
         key
         for subset in subsets(hosts=99, engines=31, far=125)
-        for key in subset.since_by_id
+        for key in subset.added_at_by_id
         if key.startswith("f")
     )
     assert len(count) == 125
@@ -93,18 +93,18 @@
     now = 0.0
     for _ in range(200):
         now += 0.05
-        subset.count(spilled=True, now=now)
+        subset.record_request(spilled=True, now=now)
     assert len(near(subset)) == 31
     for _ in range(int(4 * NARROW_COOLDOWN / 0.05)):
         now += 0.05
-        subset.count(spilled=False, now=now)
+        subset.record_request(spilled=False, now=now)
     assert len(near(subset)) == MIN_NEAR_ENGINES
 
 
 def test_imminent_rejection_widens_the_subset_at_once():
     """Requests were rejected on load reports a second old while slots were free."""
     subset = subsets(hosts=20, engines=31)[0]
-    subset.widen(now=1.0)
+    subset.widen_to_all(now=1.0)
     assert len(near(subset)) == 31
 
 
@@ -116,10 +116,10 @@
     with less than half of the messages, and the busiest engine gets no more.
     """
     without_subset = LoadSimulation(mean_demand=0.8, uses_subset=False).run()
-    kept = LoadSimulation(mean_demand=0.8, uses_subset=True).run()
-    assert kept.share_on_time() >= without_subset.share_on_time() - 0.01
-    assert kept.imbalance() <= without_subset.imbalance() + 0.1
-    assert kept.messages <= 0.5 * without_subset.messages
+    with_subset = LoadSimulation(mean_demand=0.8, uses_subset=True).run()
+    assert with_subset.share_on_time() >= without_subset.share_on_time() - 0.01
+    assert with_subset.imbalance() <= without_subset.imbalance() + 0.1
+    assert with_subset.messages <= 0.5 * without_subset.messages
 
 
 @pytest.mark.parametrize("mean_demand", [0.9, 1.0, 1.2])
@@ -131,13 +131,13 @@
     """
     shares = []
     for uses_subset in (False, True):
-        plays = [
+        runs = [
             LoadSimulation(
                 mean_demand=mean_demand, uses_subset=uses_subset, seed=seed
             ).run()
             for seed in (3, 4, 5)
         ]
-        asked = sum(item.on_time + item.late + item.refused for item in plays)
-        shares.append(sum(item.on_time for item in plays) / asked)
-    without_subset, kept = shares
-    assert kept >= without_subset - 0.03
+        asked = sum(item.on_time + item.late + item.refused for item in runs)
+        shares.append(sum(item.on_time for item in runs) / asked)
+    without_subset, with_subset = shares
+    assert with_subset >= without_subset - 0.03
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -226,7 +226,7 @@
         file="placing/_endpoint.py",
         old="            self._reset_counters()\n        self._refresh_state()",
         new="            self._reset_counters()",
-        test="hawthornspoke/placing/tests/test_ask_cost.py -k match_the_latest",
+        test="hawthornspoke/placing/tests/test_selection_cost.py -k match_the_latest",
     ),
     Mutation(
         name="a request's end counts for any incarnation",
@@ -237,10 +237,11 @@
     ),
     Mutation(
         name="a late report reverts the incarnation",
-        file="placing/_starts.py",
+        file="placing/_incarnation_tracker.py",
         old="if not history.record(incarnation) or incarnation in other.earlier:",
         new="if not history.record(incarnation):",
-        test="hawthornspoke/placing/tests/test_starts.py -k never_goes_back",
+        test="hawthornspoke/placing/tests/test_incarnation_tracker.py "
+        "-k never_goes_back",
     ),
     Mutation(
         name="agent state of another incarnation is used",
