--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -10,7 +10,7 @@
 #: with new demand can admit requests before the others know of it.
 EQUAL_SHARE = 0.2
 
-#: Seconds of its rate that a host may admit at once when it starts.
+#: Initial tokens of a host's bucket, as seconds at the rate of its share.
 INITIAL_FILL_SECONDS = 0.25
 
 #: Time constant in seconds of the demand average.
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PeersKnown:
-    """Number of entry hosts that each claimant represents.
+    """The known claimants of a share, and how many entry hosts each represents.
 
     Parameters
     ----------
@@ -95,7 +95,7 @@
 
 @MACHINES.register("rate_shares")
 class RateShares(Machine):
-    """Share of this entry host in the limit of each organisation.
+    """Enforces this entry host's share of each organisation's rate limit.
 
     Parameters
     ----------
@@ -140,7 +140,7 @@
         return []
 
     def on_peers_known(self, message, *, now):
-        """Set the known entry hosts, whether or not their demand is current."""
+        """Set the known claimants, whether or not their demand is current."""
         self.hosts_by_claimant = dict(message.hosts_by_claimant)
         for claimant in list(self.demand_by_claimant):
             if claimant not in self.hosts_by_claimant:
@@ -225,11 +225,11 @@
         active_share = active_hosts / hosts
         own = self._bucket(organisation, now=now)
         self._update_demand(own, now=now)
-        others = sum(
+        other_demand = sum(
             claimant.demand_by_organisation.get(organisation, 0.0)
             for _, claimant in active
         )
-        total = own.demand + others
+        total = own.demand + other_demand
         demand_share = own.demand / total if total > 0 else 1.0 / active_hosts
         equal_share = 1.0 / active_hosts
         return active_share * (
--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -203,7 +203,7 @@
         subset = self.subset(selection.request.service)
         subset_group = self._build_group(selection, near=True, in_subset=True)
         if subset.near_share < 1.0:
-            # If a request has to queue in the subset, another engine may be better:
+            # If a request has to queue, there is no reason to prefer the subset:
             # evaluate the whole failure domain.
             free = [
                 item
--- a/hawthornspoke/placing/_directory.py
+++ b/hawthornspoke/placing/_directory.py
@@ -2,10 +2,10 @@
 
 from hawthornspoke.placing._endpoint import Endpoint
 
-#: Entries lapse if they can't be renewed while the platform is unreachable. Seconds for
-#: which a lapsed entry stays in use, and seconds after the platform became reachable
-#: again within which a vanished entry counts as lapsed. Lapsed entries return within
-#: two seconds, and an endpoint that left serves for at least two more.
+#: Entries lapse unless they are renewed, which fails while the platform is unreachable.
+#: Seconds for which a lapsed entry stays in use, and seconds after the platform became
+#: reachable again within which a vanished entry counts as lapsed. Lapsed entries return
+#: within two seconds, and an endpoint that left serves for at least two more.
 LAPSE_GRACE_TIME = 1.5
 LAPSE_WINDOW = 2.5
 
@@ -48,7 +48,7 @@
         return [self.endpoint_by_id[key] for key in self._ids_by_service.get(name, ())]
 
     def request_target(self, message):
-        """Return the endpoint a request was sent to, None after a restart of it.
+        """Return the endpoint a request was sent to, None if it has restarted.
 
         A request may end after the incarnation that it was sent to, by up to its
         deadline. If it counted for the next incarnation, that one would be ejected for
--- a/hawthornspoke/placing/_weights_eligibility.py
+++ b/hawthornspoke/placing/_weights_eligibility.py
@@ -35,8 +35,8 @@
 #: With a slowdown of 4, 1.05 s were measured where 0.4 s were expected.
 START_FACTOR_SLOWDOWN = 0.6
 
-#: The same multiple if newer weights can serve the request instead: older ones lose
-#: precedence unless the request starts in time almost certainly.
+#: The same multiple if newer weights can serve the request instead. It is larger, so
+#: that older weights are used only if the request starts in time almost certainly.
 START_FACTOR_SURE = 2.0
 
 
--- a/hawthornspoke/placing/tests/test_declared.py
+++ b/hawthornspoke/placing/tests/test_declared.py
@@ -222,7 +222,7 @@
 
 
 def test_newer_weights_are_preferred_near_the_bound():
-    """Shortly before the expiry a request that starts late would be withdrawn."""
+    """Shortly before the expiry, a late start would cause a needless withdrawal."""
     machine = fleet(entry("old"), entry("new", weights_version=2))
     declare(machine, TWO, at=10.0, now=10.0)
     report(machine, "old", load=0, now=17.3)
--- a/hawthornspoke/placing/tests/test_fleet.py
+++ b/hawthornspoke/placing/tests/test_fleet.py
@@ -227,7 +227,7 @@
 
 
 def test_no_ejection_if_most_endpoints_fail():
-    """All endpoints of a service were ejected, so idle ones got no requests."""
+    """A whole service was ejected: requests were rejected while engines were idle."""
     machine = fleet(entry("one"), entry("two"), entry("three"))
     for name in ("one", "two", "three"):
         machine.step(RequestFinished(endpoint_id=name, outcome="unreachable"), now=1.0)
--- a/hawthornspoke/placing/tests/test_incarnations.py
+++ b/hawthornspoke/placing/tests/test_incarnations.py
@@ -182,7 +182,7 @@
 
 
 def test_end_of_a_request_to_an_unknown_incarnation_is_ignored():
-    """A new incarnation was ejected for failures of one that was never listed."""
+    """The same for a request sent before the list reported any incarnation."""
     machine = fleet(entry("one"))
     assert ask(machine).incarnation == UNKNOWN_START
     machine.step(RequestSent(endpoint_id="one"), now=0.5)
--- a/hawthornspoke/quarantine/_evidence.py
+++ b/hawthornspoke/quarantine/_evidence.py
@@ -33,16 +33,16 @@
 
 
 class EvidenceStore:
-    """Bounded store of evidence by request and endpoint incarnation.
+    """Bounded store of evidence, by request and endpoint incarnation.
 
     Stores of several processes converge once they have exchanged their items, in any
     order: adding an item is idempotent, and a cleared item stays cleared.
     """
 
-    __slots__ = ("_item_by_start_by_fingerprint",)
+    __slots__ = ("_items_by_fingerprint",)
 
     def __init__(self):
-        self._item_by_start_by_fingerprint = {}
+        self._items_by_fingerprint = {}
 
     def add(self, item, *, now):
         """Add an item.
@@ -59,18 +59,18 @@
         """
         if now >= item.deadline:
             return False
-        item_by_start = {
+        item_by_incarnation = {
             known.start: known for known in self.items_of(item.fingerprint, now=now)
         }
-        known = item_by_start.get(item.start)
+        known = item_by_incarnation.get(item.start)
         if known is not None and (known.cleared or not item.cleared):
             return False
-        if known is None and len(item_by_start) >= MAX_ENDS_PER_REQUEST:
+        if known is None and len(item_by_incarnation) >= MAX_ENDS_PER_REQUEST:
             return False
-        item_by_start[item.start] = item
+        item_by_incarnation[item.start] = item
         # Requests are ordered by their latest evidence.
-        self._item_by_start_by_fingerprint.pop(item.fingerprint, None)
-        self._item_by_start_by_fingerprint[item.fingerprint] = item_by_start
+        self._items_by_fingerprint.pop(item.fingerprint, None)
+        self._items_by_fingerprint[item.fingerprint] = item_by_incarnation
         self._evict()
         return True
 
@@ -86,12 +86,12 @@
         -------
         list of Evidence
         """
-        item_by_start = self._item_by_start_by_fingerprint.get(fingerprint)
-        if item_by_start is None:
+        item_by_incarnation = self._items_by_fingerprint.get(fingerprint)
+        if item_by_incarnation is None:
             return []
-        return [item for item in item_by_start.values() if now < item.deadline]
+        return [item for item in item_by_incarnation.values() if now < item.deadline]
 
-    def suspected_starts(self, fingerprint, *, now):
+    def suspected_incarnations(self, fingerprint, *, now):
         """Return the endpoint incarnations that a request may have ended.
 
         Parameters
@@ -111,22 +111,22 @@
 
     def fingerprints(self):
         """Return the requests with evidence, latest last."""
-        return list(self._item_by_start_by_fingerprint)
+        return list(self._items_by_fingerprint)
 
     def sweep(self, *, now):
         """Remove expired evidence."""
         for fingerprint in self.fingerprints():
             if not self.items_of(fingerprint, now=now):
-                del self._item_by_start_by_fingerprint[fingerprint]
+                del self._items_by_fingerprint[fingerprint]
 
     def __contains__(self, fingerprint):
-        return fingerprint in self._item_by_start_by_fingerprint
+        return fingerprint in self._items_by_fingerprint
 
     def __len__(self):
-        return len(self._item_by_start_by_fingerprint)
+        return len(self._items_by_fingerprint)
 
     def _evict(self):
-        by_fingerprint = self._item_by_start_by_fingerprint
+        by_fingerprint = self._items_by_fingerprint
         if len(by_fingerprint) <= MAX_REQUESTS:
             return
         # Many requests run alongside one that ends endpoints: each is seen at one
--- a/hawthornspoke/quarantine/_exchange.py
+++ b/hawthornspoke/quarantine/_exchange.py
@@ -1,4 +1,4 @@
-"""State machine of agents that exchanges evidence between entry hosts."""
+"""State machine of agents through which entry hosts exchange evidence."""
 
 from hawthornspoke.base import MACHINES, Machine
 from hawthornspoke.quarantine._evidence import EvidenceStore
@@ -7,14 +7,14 @@
 #: Messages that the machine handles.
 MESSAGES = (EvidenceReceived,)
 
-#: Number of ends from which evidence of a request is shared with all entry hosts. Most
-#: requests with one end only ran alongside the cause.
+#: Number of ends of endpoints from which the evidence about a request is shared with
+#: all entry hosts. Most requests with one end merely ran alongside the cause.
 SHARE_THRESHOLD = 2
 
 
 @MACHINES.register("evidence_exchange")
 class EvidenceExchange(Machine):
-    """Merges evidence of entry hosts, each of which sees some repeats of a request."""
+    """Merges evidence of entry hosts, each of which gets some repeats of a request."""
 
     __slots__ = ("_store",)
 
@@ -55,12 +55,12 @@
         return {"requests": len(self._store), "told": len(self.evidence(now=now))}
 
     def _shareable(self, fingerprints, now):
-        found = []
+        shareable = []
         for fingerprint in fingerprints:
             items = self._store.items_of(fingerprint, now=now)
             if len(items) >= SHARE_THRESHOLD:
-                found += items
-        return found
+                shareable += items
+        return shareable
 
 
 def _to_messages(items):
--- a/hawthornspoke/quarantine/_fingerprint.py
+++ b/hawthornspoke/quarantine/_fingerprint.py
@@ -11,7 +11,7 @@
 
     Callers repeat a request under new ids and at other entry hosts. A cryptographic
     hash is required, since a caller who finds a collision with a request of another
-    organisation could get that refused.
+    organisation could get that request refused.
 
     Parameters
     ----------
--- a/hawthornspoke/quarantine/_quarantine.py
+++ b/hawthornspoke/quarantine/_quarantine.py
@@ -18,15 +18,15 @@
 #: Messages that the machine handles.
 MESSAGES = (RequestCompleted, EndpointEnded, EvidenceReceived)
 
-#: Ends beyond the threshold at which a request is quarantined even if other requests
-#: ran at each of its ends, since one of those may have been the cause.
+#: A request isn't quarantined while another request that ran at the same ends may be
+#: the cause. Number of ends beyond the threshold at which it is quarantined anyway.
 SHARED_ENDS_MARGIN = 2
 
 #: Window in seconds within which ends of endpoints count as one event.
 SIMULTANEOUS_WINDOW = 0.1
 
-#: Number of endpoints that end together, and their share of those used by a host, from
-#: which the cause isn't a request: no request runs at that many endpoints.
+#: Number of endpoints that end together, and their share of the endpoints in use by a
+#: host, from which the cause isn't a request: no request runs at that many endpoints.
 MIN_MASS_ENDS = 2
 MIN_MASS_SHARE = 0.75
 
@@ -47,8 +47,8 @@
 
     A "query of death" may end each process that starts to run it. The caller repeats it
     under new ids and at other hosts, so that more and more endpoints are lost. A
-    request that was running at enough ends, and whose ends aren't explained by another
-    request, is refused without being sent.
+    request that was running when enough endpoints ended, and whose ends aren't
+    explained by another request, is refused without being sent.
 
     Parameters
     ----------
@@ -57,20 +57,25 @@
 
     Notes
     -----
-    Requests that an endpoint completes don't count, nor do those at the end of most
-    endpoints in use at once, unless they are one end short of the threshold. An end
-    doesn't count against a request if another request that ran there has at least as
-    many ends: the cause gets one more as soon as it is sent again, and is refused at
-    ``SHARED_ENDS_MARGIN`` more in any case.
+    A request that an endpoint completes is cleared. If most endpoints in use end at
+    once, so are the requests that ran at some of them only, unless they were one end
+    short of the threshold. An end doesn't count against a request if another request
+    that ran there has at least as many ends: the cause gets one more as soon as it is
+    sent again, and is refused at ``SHARED_ENDS_MARGIN`` more in any case.
     """
 
-    __slots__ = ("end_threshold", "_store", "_recent_end_by_start", "_quarantined")
+    __slots__ = (
+        "end_threshold",
+        "_store",
+        "_recent_end_by_incarnation",
+        "_quarantined",
+    )
     PARAMS = {"end_threshold": Bounds(kind=int, low=1)}
 
     def __init__(self, *, end_threshold=3):
         self.end_threshold = end_threshold
         self._store = EvidenceStore()
-        self._recent_end_by_start = {}
+        self._recent_end_by_incarnation = {}
         self._quarantined = set()
 
     def on_endpoint_ended(self, message, *, now):
@@ -85,7 +90,9 @@
         -------
         list of EvidenceUpdate, Quarantined or Released
         """
-        end = self._recent_end_by_start.setdefault(message.start, _RecentEnd(at=now))
+        end = self._recent_end_by_incarnation.setdefault(
+            message.start, _RecentEnd(at=now)
+        )
         end.fingerprints.update(message.fingerprints)
         self._expire_ends(now)
         items = [
@@ -144,17 +151,17 @@
         """
         if fingerprint not in self._quarantined:
             return None
-        suspected_starts = [
+        deadlines = [
             item.deadline
             for item in self._store.items_of(fingerprint, now=now)
             if not item.cleared
         ]
-        if len(suspected_starts) < self.end_threshold:
+        if len(deadlines) < self.end_threshold:
             # The evidence has expired, which no message reports.
             self._quarantined.discard(fingerprint)
             return None
         # The quarantine ends as soon as fewer ends than the threshold are left.
-        return sorted(suspected_starts)[-self.end_threshold]
+        return sorted(deadlines)[-self.end_threshold]
 
     def has_evidence(self, fingerprint):
         """Return whether a request ran at the end of an endpoint.
@@ -196,29 +203,31 @@
         }
 
     def _merge(self, items, now):
-        news = tuple(item for item in items if self._store.add(item, now=now))
-        if not news:
+        added = tuple(item for item in items if self._store.add(item, now=now))
+        if not added:
             return []
-        return [EvidenceUpdate(items=news), *self._update_quarantine(now)]
+        return [EvidenceUpdate(items=added), *self._update_quarantine(now)]
 
     def _update_quarantine(self, now):
         """Update the quarantined requests; return the changes."""
-        starts_by_fingerprint = {
-            fingerprint: starts
+        incarnations_by_fingerprint = {
+            fingerprint: incarnations
             for fingerprint in self._store.fingerprints()
-            if len(starts := self._store.suspected_starts(fingerprint, now=now))
+            if len(
+                incarnations := self._store.suspected_incarnations(fingerprint, now=now)
+            )
             >= self.end_threshold
         }
         current = {
             fingerprint
-            for fingerprint, starts in starts_by_fingerprint.items()
-            if self._is_cause(fingerprint, starts, starts_by_fingerprint)
+            for fingerprint, incarnations in incarnations_by_fingerprint.items()
+            if self._is_cause(fingerprint, incarnations, incarnations_by_fingerprint)
         }
         previous, self._quarantined = self._quarantined, current
         quarantined = [
             Quarantined(
                 fingerprint=fingerprint,
-                starts=tuple(sorted(starts_by_fingerprint[fingerprint])),
+                starts=tuple(sorted(incarnations_by_fingerprint[fingerprint])),
             )
             for fingerprint in sorted(current - previous)
         ]
@@ -227,17 +236,17 @@
             for fingerprint in sorted(previous - current)
         ]
 
-    def _is_cause(self, fingerprint, starts, starts_by_fingerprint):
-        if len(starts) >= self.end_threshold + SHARED_ENDS_MARGIN:
+    def _is_cause(self, fingerprint, incarnations, incarnations_by_fingerprint):
+        if len(incarnations) >= self.end_threshold + SHARED_ENDS_MARGIN:
             return True
-        unexplained = set(starts)
-        for other, others in starts_by_fingerprint.items():
-            if other != fingerprint and len(others) >= len(starts):
-                unexplained -= others
+        unexplained = set(incarnations)
+        for other, other_incarnations in incarnations_by_fingerprint.items():
+            if other != fingerprint and len(other_incarnations) >= len(incarnations):
+                unexplained -= other_incarnations
         return len(unexplained) >= self.end_threshold
 
     def _is_mass_failure(self, message, now):
-        ended_together = len(self._recent_end_by_start)
+        ended_together = len(self._recent_end_by_incarnation)
         in_use = ended_together + message.in_use
         return (
             ended_together >= MIN_MASS_ENDS
@@ -245,37 +254,40 @@
         )
 
     def _clear_mass_failure(self, now):
-        """Return clearances for requests that ran at few ends of a mass failure."""
-        starts = self._recent_end_by_start
+        """Clear the requests that ran at only some of the ends of a mass failure."""
+        recent_ends = self._recent_end_by_incarnation
         return [
             Evidence(
                 fingerprint=fingerprint,
-                start=start,
+                start=incarnation,
                 deadline=now + EVIDENCE_LIFETIME,
                 cleared=True,
             )
-            for start, end in starts.items()
+            for incarnation, end in recent_ends.items()
             for fingerprint in end.fingerprints
             if self._count_absences(fingerprint) >= MIN_MASS_ENDS - 1
             and not self._is_near_threshold(fingerprint, now)
         ]
 
     def _is_near_threshold(self, fingerprint, now):
-        """Return whether one end more than before this event reaches the threshold."""
-        suspected_starts = self._store.suspected_starts(fingerprint, now=now)
+        """Return whether the ends before this event are one short of the threshold."""
+        suspected_incarnations = self._store.suspected_incarnations(
+            fingerprint, now=now
+        )
         return (
-            len(suspected_starts - self._recent_end_by_start.keys())
+            len(suspected_incarnations - self._recent_end_by_incarnation.keys())
             >= self.end_threshold - 1
         )
 
     def _count_absences(self, fingerprint):
-        ends = self._recent_end_by_start.values()
+        """Return the number of recent ends at which a request wasn't running."""
+        ends = self._recent_end_by_incarnation.values()
         return sum(fingerprint not in end.fingerprints for end in ends)
 
     def _expire_ends(self, now):
-        for start, end in list(self._recent_end_by_start.items()):
+        for incarnation, end in list(self._recent_end_by_incarnation.items()):
             if now >= end.at + SIMULTANEOUS_WINDOW:
-                del self._recent_end_by_start[start]
+                del self._recent_end_by_incarnation[incarnation]
 
 
 def _cleared(item):
--- a/hawthornspoke/quarantine/tests/test_exchange.py
+++ b/hawthornspoke/quarantine/tests/test_exchange.py
@@ -12,7 +12,7 @@
 def deliver(exchange, *items, now=1.0):
     """Return the incarnations that are shared after delivering some items."""
     outcomes = exchange.step(EvidenceReceived(items=items), now=now)
-    return [shared.start for news in outcomes for shared in news.items]
+    return [shared.start for update in outcomes for shared in update.items]
 
 
 def test_request_with_one_end_is_not_shared():
--- a/hawthornspoke/quarantine/tests/test_quarantine.py
+++ b/hawthornspoke/quarantine/tests/test_quarantine.py
@@ -110,8 +110,8 @@
     machine = Quarantine()
     end(machine, "e1", "popular", now=1.0)
     end(machine, "e2", "popular", now=2.0)
-    (news,) = machine.step(RequestCompleted(fingerprint="popular"), now=2.5)
-    assert {item.start for item in news.items if item.cleared} == {"e1", "e2"}
+    (update,) = machine.step(RequestCompleted(fingerprint="popular"), now=2.5)
+    assert {item.start for item in update.items if item.cleared} == {"e1", "e2"}
     end(machine, "e3", "popular", now=3.0)
     assert not is_refused(machine, "popular")
 
@@ -145,7 +145,7 @@
 
 
 def test_mass_end_does_not_clear_a_request_with_two_earlier_ends():
-    """Guards against taking two poison requests at once for a mass failure."""
+    """Two poison requests at the same time must not count as a mass failure."""
     machine = Quarantine()
     end(machine, "e1", "poison", now=1.0)
     end(machine, "e2", "poison", now=2.0)
@@ -156,7 +156,7 @@
 
 
 def test_mass_end_preceded_by_a_single_end_is_no_evidence():
-    """Guards against missing mass failures while a host uses one endpoint."""
+    """A host that used a single endpoint must still detect later mass failures."""
     machine = Quarantine()
     end(machine, "e1", "usual", now=1.0, in_use=0)
     for round_number in range(2, 6):
@@ -181,14 +181,16 @@
 
 def test_ends_seen_by_several_hosts_add_up():
     hosts = [Quarantine() for _ in range(3)]
-    news = []
+    evidence = []
     for number, host in enumerate(hosts):
         outcomes = end(host, f"e{number}", "poison", now=1.0)
-        news += [
-            item for told in of_kind(outcomes, EvidenceUpdate) for item in told.items
+        evidence += [
+            item
+            for update in of_kind(outcomes, EvidenceUpdate)
+            for item in update.items
         ]
     for host in hosts:
-        host.step(EvidenceReceived(items=tuple(news)), now=1.1)
+        host.step(EvidenceReceived(items=tuple(evidence)), now=1.1)
         assert is_refused(host, "poison")
 
 
--- a/hawthornspoke/routing/_policies.py
+++ b/hawthornspoke/routing/_policies.py
@@ -1,7 +1,7 @@
 """Routing policies, by name.
 
-Each has one method: ``choose(candidates, traits, *, rng)`` returns the name of one
-of the candidates, of which there is at least one.
+Each policy has one method: ``choose(candidates, traits, *, rng)`` returns the name of
+one of the candidates, of which there is at least one.
 """
 
 from hawthornspoke.base import Registry, rendezvous_order
@@ -13,8 +13,8 @@
 #: batch costs more than that.
 AFFINITY_SLACK = 0.5
 
-#: Load per slot from which an endpoint counts as full; once all of a failure domain are
-#: full, others are used.
+#: Load per slot from which an endpoint counts as full; once all endpoints of the own
+#: failure domain are full, those of other failure domains are candidates as well.
 FULL_LOAD = 1.0
 
 
@@ -93,8 +93,9 @@
     -----
     Cache events are delayed and incomplete, so affinity uses a rendezvous hash of the
     prefix: an entry host that received no event still sends a prefix where the others
-    send it. Affinity yields under load: the first endpoint in hash order within
-    ``AFFINITY_SLACK`` of the mean load gets the request.
+    send it. Affinity yields under load: of the first two endpoints in hash order, the
+    first that is within ``AFFINITY_SLACK`` of the mean load and isn't slow gets the
+    request; if neither is, the better of two random candidates gets it.
     """
 
     __slots__ = ("_fallback",)
--- a/hawthornspoke/routing/_router.py
+++ b/hawthornspoke/routing/_router.py
@@ -1,4 +1,4 @@
-"""State machine that routes requests by membership, load and past outcomes."""
+"""State machine that routes requests by load, latency and past outcomes."""
 
 import random
 from dataclasses import dataclass
@@ -61,7 +61,7 @@
     ----------
     node : str
     failed : bool
-        Whether the endpoint failed; rejections due to load or weights are no failures.
+        Whether the endpoint failed; rejections due to load or weights don't count.
     first_byte : float or None
         Time to first byte in seconds, None if none was received.
     """
@@ -134,8 +134,8 @@
     -----
     An endpoint that fails fast always looks idle and would attract all traffic.
     Consecutive failures eject it, and it is readmitted with one trial request at a
-    time. If all endpoints are ejected all of them are tried, since rejecting every
-    request is worse.
+    time. If all endpoints are ejected, all of them are candidates, since rejecting
+    every request is worse.
     """
 
     __slots__ = (
@@ -289,7 +289,8 @@
         -------
         float
             The reported load, corrected by the requests that this entry host sent and
-            completed since, which decays to its own in-flight count with age.
+            completed since. With the age of the report, the estimate decays to this
+            host's in-flight requests.
         """
         endpoint = self._endpoint(node)
         if endpoint.reported_at is None:
@@ -339,7 +340,7 @@
         endpoint = self._endpoint(node)
         if endpoint.failures < self.ejection_threshold:
             return True
-        # After the ejection one trial request at a time.
+        # After the ejection, one trial request at a time is allowed.
         return now >= endpoint.ejected_until and endpoint.in_flight == 0
 
     def _candidate(self, view, failure_domain, now):
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -431,7 +431,7 @@
     Mutation(
         name="poison: concurrent requests are blamed",
         file="quarantine/_quarantine.py",
-        old="                unexplained -= others",
+        old="                unexplained -= other_incarnations",
         new="                pass",
         test="hawthornspoke/quarantine/tests/test_quarantine.py -k beside",
     ),
