--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -117,7 +117,7 @@
         "burst_by_organisation",
         "hosts_by_claimant",
         "demand_by_claimant",
-        "by_organisation",
+        "bucket_by_organisation",
         "admitted",
         "limited",
     )
@@ -129,7 +129,7 @@
         self.burst_by_organisation = {}
         self.hosts_by_claimant = {}
         self.demand_by_claimant = {}
-        self.by_organisation = {}
+        self.bucket_by_organisation = {}
         self.admitted = 0
         self.limited = 0
 
@@ -196,7 +196,7 @@
             Requests per second by organisation.
         """
         demands = {}
-        for name, bucket in self.by_organisation.items():
+        for name, bucket in self.bucket_by_organisation.items():
             self._update_demand(bucket, now=now)
             if bucket.demand > 0.01:
                 demands[name] = round(bucket.demand, 2)
@@ -257,14 +257,14 @@
                     "demand": round(bucket.demand, 2),
                     "tokens": None if bucket.tokens is None else bucket.tokens,
                 }
-                for name, bucket in list(self.by_organisation.items())
+                for name, bucket in list(self.bucket_by_organisation.items())
             },
         }
 
     def _bucket(self, organisation, *, now):
-        bucket = self.by_organisation.get(organisation)
+        bucket = self.bucket_by_organisation.get(organisation)
         if bucket is None:
-            bucket = self.by_organisation[organisation] = _TokenBucket(now=now)
+            bucket = self.bucket_by_organisation[organisation] = _TokenBucket(now=now)
         return bucket
 
     def _update_demand(self, bucket, *, now):
--- a/hawthornspoke/quarantine/_quarantine.py
+++ b/hawthornspoke/quarantine/_quarantine.py
@@ -254,7 +254,7 @@
         )
 
     def _clear_mass_failure(self, now):
-        """Clear the requests that ran at only some of the ends of a mass failure."""
+        """Return evidence that clears requests which ran at some of the ends only."""
         recent_ends = self._recent_end_by_incarnation
         return [
             Evidence(
--- a/hawthornspoke/quarantine/tests/test_quarantine.py
+++ b/hawthornspoke/quarantine/tests/test_quarantine.py
@@ -181,16 +181,14 @@
 
 def test_ends_seen_by_several_hosts_add_up():
     hosts = [Quarantine() for _ in range(3)]
-    evidence = []
+    shared = []
     for number, host in enumerate(hosts):
         outcomes = end(host, f"e{number}", "poison", now=1.0)
-        evidence += [
-            item
-            for update in of_kind(outcomes, EvidenceUpdate)
-            for item in update.items
+        shared += [
+            item for sent in of_kind(outcomes, EvidenceUpdate) for item in sent.items
         ]
     for host in hosts:
-        host.step(EvidenceReceived(items=tuple(evidence)), now=1.1)
+        host.step(EvidenceReceived(items=tuple(shared)), now=1.1)
         assert is_refused(host, "poison")
 
 
--- a/hawthornspoke/routing/_router.py
+++ b/hawthornspoke/routing/_router.py
@@ -145,7 +145,7 @@
         "max_ejection_time",
         "ejection_threshold",
         "seed",
-        "by_id",
+        "endpoint_by_id",
         "_rng",
         "_chooser",
     )
@@ -174,7 +174,7 @@
         self.max_ejection_time = max_ejection_time
         self.ejection_threshold = ejection_threshold
         self.seed = seed
-        self.by_id = {}
+        self.endpoint_by_id = {}
         self._rng = random.Random(seed)
         self._chooser = POLICIES.get(policy)()
 
@@ -264,9 +264,9 @@
         ----------
         node : str
         """
-        endpoint = self.by_id.get(node)
+        endpoint = self.endpoint_by_id.get(node)
         if endpoint is not None and endpoint.in_flight == 0:
-            del self.by_id[node]
+            del self.endpoint_by_id[node]
 
     def in_use(self):
         """Return the number of endpoints with requests of this host.
@@ -275,7 +275,7 @@
         -------
         int
         """
-        return sum(endpoint.in_flight > 0 for endpoint in self.by_id.values())
+        return sum(endpoint.in_flight > 0 for endpoint in self.endpoint_by_id.values())
 
     def load(self, node, *, now):
         """Estimate the load of an endpoint per slot.
@@ -326,14 +326,14 @@
                     "failures": endpoint.failures,
                     "avoided_for": round(max(0.0, endpoint.ejected_until - now), 3),
                 }
-                for name, endpoint in self.by_id.items()
+                for name, endpoint in self.endpoint_by_id.items()
             },
         }
 
     def _endpoint(self, node):
-        endpoint = self.by_id.get(node)
+        endpoint = self.endpoint_by_id.get(node)
         if endpoint is None:
-            endpoint = self.by_id[node] = _Endpoint()
+            endpoint = self.endpoint_by_id[node] = _Endpoint()
         return endpoint
 
     def _is_available(self, node, now):
