--- a/hawthornspoke/routing/_router.py
+++ b/hawthornspoke/routing/_router.py
@@ -1,4 +1,4 @@
-"""State machine that routes requests by membership, load and past outcomes."""
+"""State machine that routes requests by load, latency and past outcomes."""
 
 import random
 from dataclasses import dataclass
@@ -61,7 +61,7 @@
     ----------
     node : str
     failed : bool
-        Whether the endpoint failed; rejections due to load or weights are no failures.
+        Whether the endpoint failed; rejections due to load or weights don't count.
     first_byte : float or None
         Time to first byte in seconds, None if none was received.
     """
@@ -134,8 +134,8 @@
     -----
     An endpoint that fails fast always looks idle and would attract all traffic.
     Consecutive failures eject it, and it is readmitted with one trial request at a
-    time. If all endpoints are ejected all of them are tried, since rejecting every
-    request is worse.
+    time. If all endpoints are ejected, all of them are candidates, since rejecting
+    every request is worse.
     """
 
     __slots__ = (
@@ -145,7 +145,7 @@
         "max_ejection_time",
         "ejection_threshold",
         "seed",
-        "by_id",
+        "endpoint_by_id",
         "_rng",
         "_chooser",
     )
@@ -174,7 +174,7 @@
         self.max_ejection_time = max_ejection_time
         self.ejection_threshold = ejection_threshold
         self.seed = seed
-        self.by_id = {}
+        self.endpoint_by_id = {}
         self._rng = random.Random(seed)
         self._chooser = POLICIES.get(policy)()
 
@@ -264,9 +264,9 @@
         ----------
         node : str
         """
-        endpoint = self.by_id.get(node)
+        endpoint = self.endpoint_by_id.get(node)
         if endpoint is not None and endpoint.in_flight == 0:
-            del self.by_id[node]
+            del self.endpoint_by_id[node]
 
     def in_use(self):
         """Return the number of endpoints with requests of this host.
@@ -275,7 +275,7 @@
         -------
         int
         """
-        return sum(endpoint.in_flight > 0 for endpoint in self.by_id.values())
+        return sum(endpoint.in_flight > 0 for endpoint in self.endpoint_by_id.values())
 
     def load(self, node, *, now):
         """Estimate the load of an endpoint per slot.
@@ -289,7 +289,8 @@
         -------
         float
             The reported load, corrected by the requests that this entry host sent and
-            completed since, which decays to its own in-flight count with age.
+            completed since. With the age of the report, the estimate decays to this
+            host's in-flight requests.
         """
         endpoint = self._endpoint(node)
         if endpoint.reported_at is None:
@@ -325,21 +326,21 @@
                     "failures": endpoint.failures,
                     "avoided_for": round(max(0.0, endpoint.ejected_until - now), 3),
                 }
-                for name, endpoint in self.by_id.items()
+                for name, endpoint in self.endpoint_by_id.items()
             },
         }
 
     def _endpoint(self, node):
-        endpoint = self.by_id.get(node)
+        endpoint = self.endpoint_by_id.get(node)
         if endpoint is None:
-            endpoint = self.by_id[node] = _Endpoint()
+            endpoint = self.endpoint_by_id[node] = _Endpoint()
         return endpoint
 
     def _is_available(self, node, now):
         endpoint = self._endpoint(node)
         if endpoint.failures < self.ejection_threshold:
             return True
-        # After the ejection one trial request at a time.
+        # After the ejection, one trial request at a time is allowed.
         return now >= endpoint.ejected_until and endpoint.in_flight == 0
 
     def _candidate(self, view, failure_domain, now):
