--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -8,8 +8,8 @@
 from hawthornspoke.limits import (
     AdmissionRequest,
     Admitted,
+    ClaimantsUpdated,
     DemandReported,
-    PeersKnown,
     RateShares,
     SetLimits,
 )
@@ -364,7 +364,7 @@
                 continue
             claimant = self._claimant(view.node, view.failure_domain)
             counts[claimant] = counts.get(claimant, 0) + 1
-        self.limits.step(PeersKnown(hosts_by_claimant=counts), now=now)
+        self.limits.step(ClaimantsUpdated(hosts_by_claimant=counts), now=now)
 
     def send_heartbeat(self, *, now):
         """Send gossip to the own failure domain and a summary to the others."""
--- a/hawthornspoke/limits/__init__.py
+++ b/hawthornspoke/limits/__init__.py
@@ -3,8 +3,8 @@
 from hawthornspoke.limits._shares import (
     AdmissionRequest,
     Admitted,
+    ClaimantsUpdated,
     DemandReported,
-    PeersKnown,
     RateLimited,
     RateShares,
     SetLimits,
@@ -14,7 +14,7 @@
     "AdmissionRequest",
     "Admitted",
     "DemandReported",
-    "PeersKnown",
+    "ClaimantsUpdated",
     "RateLimited",
     "RateShares",
     "SetLimits",
--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class PeersKnown:
+class ClaimantsUpdated:
     """The known claimants of a share, and how many entry hosts each represents.
 
     Parameters
@@ -139,7 +139,7 @@
         self.burst_by_organisation = dict(message.burst_by_organisation)
         return []
 
-    def on_peers_known(self, message, *, now):
+    def on_claimants_updated(self, message, *, now):
         """Set the known claimants, whether or not their demand is current."""
         self.hosts_by_claimant = dict(message.hosts_by_claimant)
         for claimant in list(self.demand_by_claimant):
--- a/hawthornspoke/limits/tests/test_shares.py
+++ b/hawthornspoke/limits/tests/test_shares.py
@@ -5,8 +5,8 @@
 from hawthornspoke.limits import (
     AdmissionRequest,
     Admitted,
+    ClaimantsUpdated,
     DemandReported,
-    PeersKnown,
     RateShares,
     SetLimits,
 )
@@ -48,7 +48,7 @@
     def _send_peers(self, name):
         peers = {other: 1 for other in self.names if other != name}
         self.shares_by_name[name].step(
-            PeersKnown(hosts_by_claimant=peers), now=self.now
+            ClaimantsUpdated(hosts_by_claimant=peers), now=self.now
         )
 
     def run(self, seconds):
--- a/hawthornspoke/placing/tests/test_subset.py
+++ b/hawthornspoke/placing/tests/test_subset.py
@@ -11,7 +11,7 @@
     NARROW_COOLDOWN,
     Subset,
 )
-from hawthornspoke.placing.tests.playing import LoadSimulation
+from hawthornspoke.placing.tests.load_simulation import LoadSimulation
 
 #: Entry hosts and engines of one failure domain in typical deployments: few, a
 #: fifth of 99 and of 156, and a ninth of 330 and of 1,600.
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -19,7 +19,7 @@
 from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.placing import EndpointsListed, EngineReported, WeightsDeclared
-from hawthornspoke.relay.tests.endpoint import (
+from hawthornspoke.relay.tests.relay_harness import (
     RelayHarness,
     ScriptedEndpoint,
     answer,
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -13,7 +13,7 @@
 from hawthornspoke.protocol import EngineState, Frame
 from hawthornspoke.protocol.tests.structs import structs
 from hawthornspoke.relay._agents import AgentLinks
-from hawthornspoke.relay.tests.endpoint import ENGINE, make_suspects
+from hawthornspoke.relay.tests.relay_harness import ENGINE, make_suspects
 
 ADDRESSES = ("10.0.0.1:80", "10.0.0.2:80")
 
--- a/hawthornspoke/relay/tests/test_directives.py
+++ b/hawthornspoke/relay/tests/test_directives.py
@@ -7,7 +7,7 @@
 from hawthornspoke.peering import listen
 from hawthornspoke.placing.tests.test_fleet import ENGINE, entry
 from hawthornspoke.protocol import Frame, PeerEndpoint, decode
-from hawthornspoke.relay.tests.endpoint import make_relay
+from hawthornspoke.relay.tests.relay_harness import make_relay
 
 ENDPOINTS = 60
 
--- a/hawthornspoke/relay/tests/test_forward.py
+++ b/hawthornspoke/relay/tests/test_forward.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hawthornspoke.base import monotonic
-from hawthornspoke.relay.tests.endpoint import (
+from hawthornspoke.relay.tests.relay_harness import (
     RelayHarness,
     ScriptedEndpoint,
     answer,
--- a/hawthornspoke/relay/tests/test_incarnations.py
+++ b/hawthornspoke/relay/tests/test_incarnations.py
@@ -7,7 +7,7 @@
 from hawthornspoke.placing import EndpointsListed, Fleet
 from hawthornspoke.protocol import EngineState, Frame
 from hawthornspoke.relay._agents import AgentLinks
-from hawthornspoke.relay.tests.endpoint import (
+from hawthornspoke.relay.tests.relay_harness import (
     RelayHarness,
     ScriptedEndpoint,
     answer,
--- a/hawthornspoke/relay/tests/test_reader_restart.py
+++ b/hawthornspoke/relay/tests/test_reader_restart.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from hawthornspoke.relay.tests.endpoint import make_relay
+from hawthornspoke.relay.tests.relay_harness import make_relay
 
 
 class FailingSource:
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -7,7 +7,7 @@
 from hawthornspoke.protocol import Frame
 from hawthornspoke.quarantine import EndpointEnded, Evidence, encode_evidence
 from hawthornspoke.relay import _suspects
-from hawthornspoke.relay.tests.endpoint import (
+from hawthornspoke.relay.tests.relay_harness import (
     RelayHarness,
     ScriptedEndpoint,
     answer,
--- a/hawthornspoke/relay/tests/test_suspended.py
+++ b/hawthornspoke/relay/tests/test_suspended.py
@@ -5,7 +5,7 @@
 from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.catalog import DeclaredWeights
 from hawthornspoke.placing import Fleet, WeightsDeclared
-from hawthornspoke.relay.tests.endpoint import (
+from hawthornspoke.relay.tests.relay_harness import (
     RelayHarness,
     ScriptedEndpoint,
     answer,
--- a/hawthornspoke/spread/tests/test_far_loads.py
+++ b/hawthornspoke/spread/tests/test_far_loads.py
@@ -10,7 +10,7 @@
     EntryHostsUpdated,
     Fleet,
 )
-from hawthornspoke.placing.tests.playing import ENGINE, SLOTS, LoadSimulation
+from hawthornspoke.placing.tests.load_simulation import ENGINE, SLOTS, LoadSimulation
 from hawthornspoke.spread._entry_links import _EntryHost, _is_due
 
 SEEDS = (3, 4, 5)
