--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -224,7 +224,7 @@
         accept the key. ``not_ready`` makes the caller retry at another host.
         """
         may_reject = self.core.holder.may_reject(
-            propagation_bound=MAX_PROPAGATION_DELAY, contact_now=boottime_clock()
+            propagation_bound=MAX_PROPAGATION_DELAY, boottime_now=boottime_clock()
         )
         if may_reject:
             return failure
--- a/hawthornspoke/httpio/_message.py
+++ b/hawthornspoke/httpio/_message.py
@@ -95,11 +95,11 @@
     body : bytes
     arrived_at : float
         Time of its first byte on the monotonic clock.
-    contact_arrived_at : float
+    boottime_arrived_at : float
         The same on the boot-time clock, which includes suspensions.
     """
 
-    __slots__ = ("method", "target", "arrived_at", "contact_arrived_at")
+    __slots__ = ("method", "target", "arrived_at", "boottime_arrived_at")
 
     def __init__(
         self,
@@ -109,13 +109,13 @@
         headers,
         body=b"",
         arrived_at=0.0,
-        contact_arrived_at=0.0,
+        boottime_arrived_at=0.0,
     ):
         super().__init__(headers=headers, body=body)
         self.method = method
         self.target = target
         self.arrived_at = arrived_at
-        self.contact_arrived_at = contact_arrived_at
+        self.boottime_arrived_at = boottime_arrived_at
 
 
 class Response(Message):
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -316,7 +316,7 @@
             headers=self._headers,
             body=bytes(self._body),
             arrived_at=self._started_at,
-            contact_arrived_at=self._boottime_started_at,
+            boottime_arrived_at=self._boottime_started_at,
         )
         self._parser = None
         keep_alive = self._keep_alive and not self._has_pipelined
--- a/hawthornspoke/httpio/tests/test_pipelined.py
+++ b/hawthornspoke/httpio/tests/test_pipelined.py
@@ -107,7 +107,7 @@
             assert b"Target: /b\r\n" in raw
             second = caller.requests[1]
             assert second.arrived_at < sent_at + 0.15
-            assert second.contact_arrived_at > 0
+            assert second.boottime_arrived_at > 0
 
     asyncio.run(scenario())
 
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -129,7 +129,7 @@
             message.declared,
             at=message.at,
             known_until=message.known_until,
-            report_received_at=_contact_time(message, now),
+            report_received_at=_boottime_received_at(message, now),
         )
         return []
 
@@ -146,7 +146,7 @@
             if endpoint.matches(message.incarnation):
                 self._estimate_remote_prompts(endpoint, message.load, now)
             endpoint.update_state(message, now)
-        report_received_at = _contact_time(message, now)
+        report_received_at = _boottime_received_at(message, now)
         for version, at in message.declared:
             self.declared.add_lower_bound(
                 message.model, version, at=at, report_received_at=report_received_at
@@ -370,11 +370,11 @@
             version_bound=self.version_bound,
             version_margin=self.version_margin,
             failure_domain=self.failure_domain,
-            contact_now=now if request.contact_now is None else request.contact_now,
+            boottime_now=now if request.boottime_now is None else request.boottime_now,
             now=now,
         )
 
 
-def _contact_time(message, now):
+def _boottime_received_at(message, now):
     """Return the time of receipt on the clock that includes suspended time."""
-    return now if message.contact_now is None else message.contact_now
+    return now if message.boottime_now is None else message.boottime_now
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -45,14 +45,14 @@
         time; ``UNKNOWN_TIME`` if there is none.
     known_until : float
         Time until which this process knew all declarations.
-    contact_now : float or None, default=None
+    boottime_now : float or None, default=None
         Time of receipt on the same clock; None if it is the monotonic clock.
     """
 
     declared: object
     at: float
     known_until: float = UNKNOWN_TIME
-    contact_now: float | None = None
+    boottime_now: float | None = None
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -97,7 +97,7 @@
         Round-trip queueing delay in seconds on the link of its host.
     incarnation : Incarnation
         Incarnation of the endpoint that the report describes.
-    contact_now : float or None, default=None
+    boottime_now : float or None, default=None
         Time of receipt on the clock that includes suspended time; None if it is the
         same as the monotonic clock.
     """
@@ -114,7 +114,7 @@
     declared: tuple = ()
     link_delay: float = 0.0
     incarnation: Incarnation = UNKNOWN_START
-    contact_now: float | None = None
+    boottime_now: float | None = None
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -218,7 +218,7 @@
         Ids of endpoints that the request was sent to.
     required_version : int or None
         Restricts the selection to endpoints with this version, to resume a stream.
-    contact_now : float or None
+    boottime_now : float or None
         Current time on the clock that includes suspended time; None if it is the same
         as the monotonic clock.
     """
@@ -230,7 +230,7 @@
     returned: bool = False
     tried: frozenset = field(default_factory=frozenset)
     required_version: int | None = None
-    contact_now: float | None = None
+    boottime_now: float | None = None
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
--- a/hawthornspoke/placing/_weights_eligibility.py
+++ b/hawthornspoke/placing/_weights_eligibility.py
@@ -62,7 +62,7 @@
         Seconds before the bound from which older versions lose precedence.
     failure_domain : str
         Of this host.
-    contact_now : float
+    boottime_now : float
         Current time on the clock that includes suspended time, which is the clock of
         declarations.
     now : float
@@ -73,7 +73,7 @@
         "declared",
         "version_bound",
         "version_margin",
-        "contact_now",
+        "boottime_now",
         "now",
         "failure_domain",
         "_expires_at_by_version",
@@ -86,13 +86,13 @@
         version_bound,
         version_margin,
         failure_domain,
-        contact_now,
+        boottime_now,
         now,
     ):
         self.declared = declared
         self.version_bound = version_bound
         self.version_margin = version_margin
-        self.contact_now = contact_now
+        self.boottime_now = boottime_now
         self.now = now
         self.failure_domain = failure_domain
         self._expires_at_by_version = {}
@@ -135,7 +135,7 @@
         """
         if self._is_newest(endpoint, engine):
             return StartForecast.SURE
-        left = self._expires_at(engine, endpoint.weights_version) - self.contact_now
+        left = self._expires_at(engine, endpoint.weights_version) - self.boottime_now
         if START_FACTOR_SURE * expected < left - self.version_margin:
             return StartForecast.SURE
         factor = START_FACTOR + START_FACTOR_SLOWDOWN * max(0.0, endpoint.pace - 1.0)
@@ -164,7 +164,7 @@
         if expires_at is None:
             return placement
         # Time for which the host was suspended, which the clock of deadlines excludes.
-        suspended = self.contact_now - self.now
+        suspended = self.boottime_now - self.now
         deadline = expires_at - suspended - self._withdraw_margin(endpoint)
         return replace(placement, start_deadline=deadline)
 
--- a/hawthornspoke/placing/tests/test_declared.py
+++ b/hawthornspoke/placing/tests/test_declared.py
@@ -23,9 +23,9 @@
     machine.step(WeightsDeclared(declared=declared, at=at), now=now)
 
 
-def select(machine, *, now, contact_now=None):
+def select(machine, *, now, boottime_now=None):
     request = PlacementRequest(
-        service="llm", prompt_tokens=900, contact_now=contact_now
+        service="llm", prompt_tokens=900, boottime_now=boottime_now
     )
     return machine.step(request, now=now)[0]
 
@@ -96,15 +96,15 @@
     """
     machine = fleet(entry("one"))
     declare(machine, TWO, at=10.0, now=10.0)
-    assert isinstance(select(machine, now=12.0, contact_now=12.0), Placement)
-    assert isinstance(select(machine, now=12.0, contact_now=18.0), Rejection)
+    assert isinstance(select(machine, now=12.0, boottime_now=12.0), Placement)
+    assert isinstance(select(machine, now=12.0, boottime_now=18.0), Rejection)
 
 
 def test_selection_on_old_weights_has_a_start_deadline():
     machine = fleet(entry("one"))
     assert select(machine, now=1.0).start_deadline is None
     declare(machine, TWO, at=10.0, now=10.0)
-    found = select(machine, now=12.0, contact_now=15.0)
+    found = select(machine, now=12.0, boottime_now=15.0)
     # The host was suspended for three of the eight seconds until the expiry.
     assert found.start_deadline == 10.0 + 8.0 - 3.0 - WITHDRAW_MARGIN
     assert found.weights_version == 1
--- a/hawthornspoke/relay/__init__.py
+++ b/hawthornspoke/relay/__init__.py
@@ -1,7 +1,12 @@
 """Reverse proxy of an entry host: forwards requests directly to endpoints."""
 
-from hawthornspoke.relay._contact import Confirmed, Contact, ContactLost, ReadFailed
-from hawthornspoke.relay._dialect import Dialect
+from hawthornspoke.relay._contact import (
+    Confirmed,
+    ContactLost,
+    PlatformContact,
+    ReadFailed,
+)
+from hawthornspoke.relay._dialect import HeaderNames
 from hawthornspoke.relay._events import EventSplitter
 from hawthornspoke.relay._process import Relay
 from hawthornspoke.relay._settings import RelaySettings
@@ -9,9 +14,9 @@
 
 __all__ = [
     "Confirmed",
-    "Contact",
+    "PlatformContact",
     "ContactLost",
-    "Dialect",
+    "HeaderNames",
     "EventSplitter",
     "PoisonRequestTracker",
     "ReadFailed",
--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -28,9 +28,9 @@
 
     Parameters
     ----------
-    dialect : Dialect
+    header_names : HeaderNames
     fleet : Fleet
-    contact : Contact
+    contact : PlatformContact
     suspects : PoisonRequestTracker
     clock : callable
         Clock of request deadlines; includes the time for which the host is suspended.
@@ -40,17 +40,17 @@
         "catalog",
         "clock",
         "_routes",
-        "_dialect",
+        "_header_names",
         "_fleet",
         "_contact",
         "_suspects",
     )
 
-    def __init__(self, *, dialect, fleet, contact, suspects, clock):
+    def __init__(self, *, header_names, fleet, contact, suspects, clock):
         self.catalog = None
         self.clock = clock
         self._routes = None
-        self._dialect = dialect
+        self._header_names = header_names
         self._fleet = fleet
         self._contact = contact
         self._suspects = suspects
@@ -164,7 +164,7 @@
         return self._routes.find(host=request.get("host", ""), target=request.target)
 
     def _find_organisation(self, context):
-        key = context.request.get(self._dialect.key, "")
+        key = context.request.get(self._header_names.key, "")
         return self.catalog.organisation_by_key.get(key)
 
     def _needs_key(self, route):
--- a/hawthornspoke/relay/_agents.py
+++ b/hawthornspoke/relay/_agents.py
@@ -279,7 +279,7 @@
             ),
             link_delay=(state.link_delay_ms or 0) / 1000,
             incarnation=Incarnation.from_value(state.started_ms),
-            contact_now=boottime_clock(),
+            boottime_now=boottime_clock(),
         )
         self._fleet.step(report, now=now)
 
--- a/hawthornspoke/relay/_choosing.py
+++ b/hawthornspoke/relay/_choosing.py
@@ -99,7 +99,7 @@
             returned=is_resumption or context.returned or context.sent > 0,
             tried=frozenset(context.tried),
             required_version=required_version,
-            contact_now=now,
+            boottime_now=now,
         )
 
     def may_retry(self, context):
--- a/hawthornspoke/relay/_contact.py
+++ b/hawthornspoke/relay/_contact.py
@@ -51,7 +51,7 @@
 
 
 @MACHINES.register("contact")
-class Contact(Machine):
+class PlatformContact(Machine):
     """Decides whether API keys may still be trusted.
 
     A key can be revoked while this host is cut off from the platform, and requests
--- a/hawthornspoke/relay/_dialect.py
+++ b/hawthornspoke/relay/_dialect.py
@@ -1,7 +1,7 @@
 """Names of the header fields exchanged with callers and endpoints."""
 
 
-class Dialect:
+class HeaderNames:
     """Header names; the defaults are those of the project's own protocol.
 
     Parameters
--- a/hawthornspoke/relay/_encoding.py
+++ b/hawthornspoke/relay/_encoding.py
@@ -15,15 +15,15 @@
 
     Parameters
     ----------
-    dialect : Dialect
+    header_names : HeaderNames
     clock : callable
         Returns the time on the clock that request deadlines are measured on.
     """
 
-    __slots__ = ("_dialect", "_clock")
+    __slots__ = ("_header_names", "_clock")
 
-    def __init__(self, *, dialect, clock):
-        self._dialect = dialect
+    def __init__(self, *, header_names, clock):
+        self._header_names = header_names
         self._clock = clock
 
     def encode(self, context, place, *, last_event, version):
@@ -43,7 +43,7 @@
         request = context.request
         headers = self._headers(context, place, last_event=last_event)
         if version is not None:
-            headers.append((self._dialect.expected_version, str(version)))
+            headers.append((self._header_names.expected_version, str(version)))
         return encode_request(
             method=request.method,
             target=request.target,
@@ -53,22 +53,22 @@
 
     def response_headers(self, response):
         """Return the header fields of an endpoint's response that callers receive."""
-        return response.end_to_end(without=self._dialect.internal())
+        return response.end_to_end(without=self._header_names.internal())
 
     def _headers(self, context, place, *, last_event=None):
-        dialect = self._dialect
-        without = set(dialect.reserved())
+        header_names = self._header_names
+        without = set(header_names.reserved())
         if last_event is not None:
-            without.add(dialect.last_event.lower())
+            without.add(header_names.last_event.lower())
         headers = context.request.end_to_end(without=without)
         remaining = context.deadline - RESPONSE_RETURN_TIME - self._clock()
-        headers.append((dialect.deadline_ms, str(max(1, int(remaining * 1000)))))
-        headers.append((dialect.expected_endpoint, place.endpoint_id))
+        headers.append((header_names.deadline_ms, str(max(1, int(remaining * 1000)))))
+        headers.append((header_names.expected_endpoint, place.endpoint_id))
         if context.organisation is not None:
-            headers.append((dialect.organisation, context.organisation.name))
-        headers.append((dialect.priority, str(self._priority(context))))
+            headers.append((header_names.organisation, context.organisation.name))
+        headers.append((header_names.priority, str(self._priority(context))))
         if last_event is not None:
-            headers.append((dialect.last_event, str(last_event)))
+            headers.append((header_names.last_event, str(last_event)))
         return headers
 
     def _priority(self, context):
--- a/hawthornspoke/relay/_forward.py
+++ b/hawthornspoke/relay/_forward.py
@@ -29,7 +29,7 @@
     timers : Timers
     fleet : Fleet
     pool : ConnectionPool
-    dialect : Dialect
+    header_names : HeaderNames
     budget_for : callable
         Returns the RetryBudget of a service.
     suspects : PoisonRequestTracker
@@ -38,7 +38,7 @@
 
     __slots__ = (
         "_admission",
-        "_dialect",
+        "_header_names",
         "_log",
         "_encoder",
         "_selector",
@@ -47,12 +47,12 @@
     )
 
     def __init__(
-        self, *, admission, timers, fleet, pool, dialect, budget_for, suspects, log
+        self, *, admission, timers, fleet, pool, header_names, budget_for, suspects, log
     ):
         self._admission = admission
-        self._dialect = dialect
+        self._header_names = header_names
         self._log = log
-        self._encoder = Encoder(dialect=dialect, clock=admission.clock)
+        self._encoder = Encoder(header_names=header_names, clock=admission.clock)
         self._selector = EndpointSelector(
             clock=admission.clock, fleet=fleet, budget_for=budget_for, log=log
         )
@@ -63,7 +63,7 @@
             encoder=self._encoder,
             fleet=fleet,
             pool=pool,
-            dialect=dialect,
+            header_names=header_names,
             suspects=suspects,
             log=log,
         )
@@ -71,7 +71,7 @@
             selector=self._selector,
             sender=self._sender,
             encoder=self._encoder,
-            dialect=dialect,
+            header_names=header_names,
         )
 
     async def run(self, context):
@@ -120,7 +120,10 @@
             context.last_reason = f"{head.code}: {head.reason}"
             context.may_have_run = may_have_run_before or head != NOT_RUN
             return False
-        if head.status in SUCCESS_STATUSES and head.get(self._dialect.seal) is None:
+        if (
+            head.status in SUCCESS_STATUSES
+            and head.get(self._header_names.seal) is None
+        ):
             # The response is from another server that now listens at the address.
             attempt.fail()
             context.last_reason = "the response has no seal"
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -35,7 +35,7 @@
     admission : Admission
     timers : Timers
     suspects : PoisonRequestTracker
-    dialect : Dialect
+    header_names : HeaderNames
     log : EventLog
     metrics : Metrics
     """
@@ -46,21 +46,21 @@
         "_admission",
         "_timers",
         "_suspects",
-        "_dialect",
+        "_header_names",
         "_log",
         "_metrics",
         "_max_deadline_by_route",
     )
 
     def __init__(
-        self, *, forwarder, admission, timers, suspects, dialect, log, metrics
+        self, *, forwarder, admission, timers, suspects, header_names, log, metrics
     ):
         self.refusing = False
         self._forwarder = forwarder
         self._admission = admission
         self._timers = timers
         self._suspects = suspects
-        self._dialect = dialect
+        self._header_names = header_names
         self._log = log
         self._metrics = metrics
         self._max_deadline_by_route = {}
@@ -79,7 +79,7 @@
         context = RequestContext(
             request=request,
             reply=reply,
-            request_id=request.get(self._dialect.request_id, ""),
+            request_id=request.get(self._header_names.request_id, ""),
         )
         refusal = self._admit(context)
         try:
@@ -116,8 +116,8 @@
         return None
 
     def _set_deadlines(self, context):
-        arrived = context.request.contact_arrived_at
-        value = context.request.get(self._dialect.deadline_ms, "")
+        arrived = context.request.boottime_arrived_at
+        value = context.request.get(self._header_names.deadline_ms, "")
         requested_ms = float(value) if value.isdigit() else ASSUMED_DEADLINE * 1000
         max_requested_ms = self._max_deadline_by_route.get(context.route.name, 0.0)
         if requested_ms > max_requested_ms:
@@ -132,7 +132,7 @@
         if context.route.event_timeout is not None:
             abandoned_at = min(context.deadline, arrived + context.route.event_timeout)
             context.resend_deadline = abandoned_at - MIN_RESEND_TIME
-        tokens = context.request.get(self._dialect.tokens, "").partition(",")[0]
+        tokens = context.request.get(self._header_names.tokens, "").partition(",")[0]
         context.prompt_tokens = int(tokens) if tokens.isdigit() else 0
 
     async def _forward(self, context):
@@ -176,7 +176,7 @@
         if retry_after is not None:
             headers.append(("Retry-After", f"{retry_after:g}"))
         if context.request_id:
-            headers.append((self._dialect.request_id, context.request_id))
+            headers.append((self._header_names.request_id, context.request_id))
         context.outcome = f"refused_{status}"
         context.last_reason = reason
         context.retry_after = retry_after
@@ -186,7 +186,7 @@
         if context.outcome != "answered" or first_byte_delay is None:
             return False
         return (
-            context.request.contact_arrived_at + first_byte_delay
+            context.request.boottime_arrived_at + first_byte_delay
             <= context.objective_deadline
         )
 
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -12,8 +12,8 @@
 from hawthornspoke.placing import EntryHostsUpdated, Fleet
 from hawthornspoke.relay._admission import Admission
 from hawthornspoke.relay._budgets import RetryBudgets
-from hawthornspoke.relay._contact import Contact
-from hawthornspoke.relay._dialect import Dialect
+from hawthornspoke.relay._contact import PlatformContact
+from hawthornspoke.relay._dialect import HeaderNames
 from hawthornspoke.relay._forward import Forwarder
 from hawthornspoke.relay._handler import Handler
 from hawthornspoke.relay._sink import Sink
@@ -50,7 +50,7 @@
     settings : RelaySettings
     source : object
         Platform reader: ``await source.run(sink, neighbours)`` updates a ``Sink``.
-    dialect : Dialect or None, default=None
+    header_names : HeaderNames or None, default=None
     reload_settings : callable or None, default=None
         Returns new RelaySettings on SIGHUP; anything else is logged as the error.
     """
@@ -58,7 +58,7 @@
     __slots__ = (
         "settings",
         "source",
-        "dialect",
+        "header_names",
         "reload_settings",
         "log",
         "metrics",
@@ -80,10 +80,10 @@
         "_stopped",
     )
 
-    def __init__(self, *, settings, source, dialect=None, reload_settings=None):
+    def __init__(self, *, settings, source, header_names=None, reload_settings=None):
         self.settings = settings
         self.source = source
-        self.dialect = dialect or Dialect()
+        self.header_names = header_names or HeaderNames()
         self.reload_settings = reload_settings
         self.log = EventLog(node=settings.node)
         self.metrics = Metrics()
@@ -92,12 +92,12 @@
             version_bound=settings.version_bound,
             seed=hash(settings.node) & 0xFFFF,
         )
-        self.contact = Contact(
+        self.contact = PlatformContact(
             keys_valid_for=settings.keys_valid_for,
             changes_bind_after=settings.changes_bind_after,
         )
         self.stopping = False
-        self.pool = ConnectionPool(id_header=self.dialect.request_id)
+        self.pool = ConnectionPool(id_header=self.header_names.request_id)
         self.budgets = RetryBudgets(
             settings=settings,
             reported_entry_hosts=lambda: self.agents.entry_hosts(),
@@ -109,7 +109,7 @@
         self._stop_deadline = None
         self._stopped = None
         admission = Admission(
-            dialect=self.dialect,
+            header_names=self.header_names,
             fleet=self.fleet,
             contact=self.contact,
             suspects=self.suspects,
@@ -121,7 +121,7 @@
                 timers=self.timers,
                 fleet=self.fleet,
                 pool=self.pool,
-                dialect=self.dialect,
+                header_names=self.header_names,
                 budget_for=self.budgets.for_service,
                 suspects=self.suspects,
                 log=self.log,
@@ -129,7 +129,7 @@
             admission=admission,
             timers=self.timers,
             suspects=self.suspects,
-            dialect=self.dialect,
+            header_names=self.header_names,
             log=self.log,
             metrics=self.metrics,
         )
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -15,7 +15,7 @@
     encoder : Encoder
     fleet : Fleet
     pool : ConnectionPool
-    dialect : Dialect
+    header_names : HeaderNames
     suspects : PoisonRequestTracker
     log : EventLog
     """
@@ -27,7 +27,7 @@
         "_encoder",
         "_fleet",
         "_pool",
-        "_dialect",
+        "_header_names",
         "_suspects",
         "_log",
     )
@@ -41,7 +41,7 @@
         encoder,
         fleet,
         pool,
-        dialect,
+        header_names,
         suspects,
         log,
     ):
@@ -51,7 +51,7 @@
         self._encoder = encoder
         self._fleet = fleet
         self._pool = pool
-        self._dialect = dialect
+        self._header_names = header_names
         self._suspects = suspects
         self._log = log
 
@@ -61,7 +61,7 @@
             place=place,
             pool=self._pool,
             fleet=self._fleet,
-            dialect=self._dialect,
+            header_names=self._header_names,
             timers=self._timers,
             on_broken=lambda attempt: self._on_connection_broken(context, attempt),
             on_ended=lambda attempt: self._suspects.ended(context.fingerprint, attempt),
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -21,7 +21,7 @@
     ----------
     settings : RelaySettings
     fleet : Fleet
-    contact : Contact
+    contact : PlatformContact
     pool : ConnectionPool
     handler : Handler
     front : HttpServer
@@ -164,7 +164,7 @@
             declared=declared,
             at=written_at,
             known_until=known_until,
-            contact_now=boottime_clock(),
+            boottime_now=boottime_clock(),
         )
         self._fleet.step(message, now=monotonic())
         if self._fleet.declared.latest(declared.model) == before:
--- a/hawthornspoke/relay/_streams.py
+++ b/hawthornspoke/relay/_streams.py
@@ -22,16 +22,16 @@
     selector : EndpointSelector
     sender : Sender
     encoder : Encoder
-    dialect : Dialect
+    header_names : HeaderNames
     """
 
-    __slots__ = ("_selector", "_sender", "_encoder", "_dialect")
+    __slots__ = ("_selector", "_sender", "_encoder", "_header_names")
 
-    def __init__(self, *, selector, sender, encoder, dialect):
+    def __init__(self, *, selector, sender, encoder, header_names):
         self._selector = selector
         self._sender = sender
         self._encoder = encoder
-        self._dialect = dialect
+        self._header_names = header_names
 
     async def forward(self, context, attempt, head):
         """Forward a stream to the caller, resuming it at other endpoints if needed.
@@ -48,7 +48,9 @@
         bool
             Whether the request needs no further attempt.
         """
-        splitter = EventSplitter(last_id=_last_event_id(context.request, self._dialect))
+        splitter = EventSplitter(
+            last_id=_last_event_id(context.request, self._header_names)
+        )
         try:
             while attempt is not None:
                 if await self._forward_events(context, attempt, head, splitter):
@@ -103,7 +105,7 @@
 
     async def _resume(self, context, head, splitter):
         """Resume at another endpoint with the same weights version."""
-        version = head.get(self._dialect.versions, "")
+        version = head.get(self._header_names.versions, "")
         if not (context.route.repeatable and version.isdigit()):
             return None
         while self._selector.may_retry(context):
@@ -130,8 +132,8 @@
             if isinstance(head, Failure):
                 context.last_reason += f"; {head.code}: {head.reason}"
                 return None
-            is_sealed = head.get(self._dialect.seal) is not None
-            is_same_version = head.get(self._dialect.versions) == version
+            is_sealed = head.get(self._header_names.seal) is not None
+            is_same_version = head.get(self._header_names.versions) == version
             if (
                 head.status not in SUCCESS_STATUSES
                 or not is_sealed
@@ -147,6 +149,6 @@
                 attempt.abandon()
 
 
-def _last_event_id(request, dialect):
-    value = request.get(dialect.last_event, "")
+def _last_event_id(request, header_names):
+    value = request.get(header_names.last_event, "")
     return int(value) if value.isdigit() else None
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -25,7 +25,7 @@
     place : Placement
     pool : ConnectionPool
     fleet : Fleet
-    dialect : Dialect
+    header_names : HeaderNames
     timers : Timers
     on_broken : callable
         Called with the attempt if the endpoint closed the connection early.
@@ -41,14 +41,16 @@
         "sent_at",
         "_pool",
         "_fleet",
-        "_dialect",
+        "_header_names",
         "_timers",
         "_on_broken",
         "_on_ended",
         "_ended",
     )
 
-    def __init__(self, *, place, pool, fleet, dialect, timers, on_broken, on_ended):
+    def __init__(
+        self, *, place, pool, fleet, header_names, timers, on_broken, on_ended
+    ):
         self.place = place
         self.connection = None
         self.exchange = None
@@ -56,7 +58,7 @@
         self.sent_at = None
         self._pool = pool
         self._fleet = fleet
-        self._dialect = dialect
+        self._header_names = header_names
         self._timers = timers
         self._on_broken = on_broken
         self._on_ended = on_ended
@@ -141,7 +143,10 @@
             return MAY_HAVE_RUN.with_reason(f"{head.code}: {head.reason}")
         self.head = head
         self._record_load(head)
-        if head.status == MISDIRECTED or head.get(self._dialect.not_run) is not None:
+        if (
+            head.status == MISDIRECTED
+            or head.get(self._header_names.not_run) is not None
+        ):
             return await self._handle_refusal(head)
         return head
 
@@ -219,7 +224,7 @@
         # many requests, and a new connection costs the engine more than a refusal.
         moved = False
         if head.status == MISDIRECTED:
-            reported = head.get(self._dialect.endpoint_id)
+            reported = head.get(self._header_names.endpoint_id)
             moved = reported is not None and reported != self.place.endpoint_id
         body = await self.exchange.read_whole()
         self._end("moved" if moved else "refused")
@@ -237,7 +242,7 @@
         self.connection = None
 
     def _record_load(self, head):
-        load = head.get(self._dialect.load, "")
+        load = head.get(self._header_names.load, "")
         parts = load.split(",")
         if len(parts) == 3 and parts[0].isdigit() and parts[1].isdigit():
             reported = int(parts[0]) + int(parts[1])
--- a/hawthornspoke/relay/tests/relay_harness.py
+++ b/hawthornspoke/relay/tests/relay_harness.py
@@ -21,7 +21,13 @@
 from hawthornspoke.httpio import ConnectionPool, HttpServer
 from hawthornspoke.metrics import Metrics
 from hawthornspoke.placing import CatalogChanged, EndpointsListed, Fleet
-from hawthornspoke.relay import Confirmed, Contact, Dialect, Relay, RelaySettings
+from hawthornspoke.relay import (
+    Confirmed,
+    HeaderNames,
+    PlatformContact,
+    Relay,
+    RelaySettings,
+)
 from hawthornspoke.relay._admission import Admission
 from hawthornspoke.relay._forward import Forwarder
 from hawthornspoke.relay._handler import Handler
@@ -274,14 +280,14 @@
         self.boottime_clock = SuspendedClock()
         self.timeout = timeout
         self.keys = keys or {}
-        self.dialect = Dialect()
+        self.header_names = HeaderNames()
         self.fleet = fleet or Fleet(failure_domain="a")
-        self.contact = Contact()
+        self.contact = PlatformContact()
         if confirmed:
             now = self.boottime_clock()
             self.contact.step(Confirmed(at=now), now=now)
         self.budget = RetryBudget()
-        self.pool = StallingPool(id_header=self.dialect.request_id)
+        self.pool = StallingPool(id_header=self.header_names.request_id)
         self.metrics = Metrics()
         self.server = None
 
@@ -289,7 +295,7 @@
         self.addresses = [await endpoint.start() for endpoint in self.endpoints]
         self.suspects = make_suspects(self.fleet)
         admission = Admission(
-            dialect=self.dialect,
+            header_names=self.header_names,
             fleet=self.fleet,
             contact=self.contact,
             suspects=self.suspects,
@@ -302,7 +308,7 @@
             timers=self.timers,
             fleet=self.fleet,
             pool=self.pool,
-            dialect=self.dialect,
+            header_names=self.header_names,
             budget_for=lambda service: self.budget,
             suspects=self.suspects,
             log=EventLog(node="test"),
@@ -312,7 +318,7 @@
             admission=admission,
             timers=self.timers,
             suspects=self.suspects,
-            dialect=self.dialect,
+            header_names=self.header_names,
             log=EventLog(node="test"),
             metrics=self.metrics,
         )
--- a/hawthornspoke/relay/tests/test_contact.py
+++ b/hawthornspoke/relay/tests/test_contact.py
@@ -1,10 +1,10 @@
-"""Tests of the Contact state machine, which limits the trust in keys."""
+"""Tests of the PlatformContact state machine, which limits the trust in keys."""
 
-from hawthornspoke.relay import Confirmed, Contact, ContactLost, ReadFailed
+from hawthornspoke.relay import Confirmed, ContactLost, PlatformContact, ReadFailed
 
 
 def test_keys_are_trusted_for_a_time_after_a_confirmation():
-    contact = Contact(keys_valid_for=4.6)
+    contact = PlatformContact(keys_valid_for=4.6)
     assert not contact.keys_trusted(now=0.0)
     contact.step(Confirmed(at=10.0), now=10.2)
     assert contact.keys_trusted(now=14.5)
@@ -17,20 +17,20 @@
     The monotonic clock stops during a suspension, so the state machine gets the time
     of a clock that doesn't.
     """
-    contact = Contact(keys_valid_for=4.6)
+    contact = PlatformContact(keys_valid_for=4.6)
     contact.step(Confirmed(at=10.0), now=10.0)
     assert not contact.keys_trusted(now=20.0)
 
 
 def test_late_older_confirmation_does_not_replace_a_newer_one():
-    contact = Contact(keys_valid_for=4.6)
+    contact = PlatformContact(keys_valid_for=4.6)
     contact.step(Confirmed(at=10.0), now=10.0)
     contact.step(Confirmed(at=8.0), now=10.1)
     assert contact.keys_trusted(now=14.5)
 
 
 def test_host_is_unstable_before_keys_are_refused():
-    contact = Contact(keys_valid_for=5.0)
+    contact = PlatformContact(keys_valid_for=5.0)
     contact.step(Confirmed(at=0.0), now=0.0)
     assert contact.is_stable(now=2.9)
     assert not contact.is_stable(now=3.1)
@@ -38,7 +38,7 @@
 
 
 def test_loss_is_reported_once():
-    contact = Contact()
+    contact = PlatformContact()
     contact.step(Confirmed(at=0.0), now=0.0)
     assert contact.step(ReadFailed(reason="x"), now=1.0) == [ContactLost(reason="x")]
     assert contact.step(ReadFailed(reason="x"), now=1.5) == []
--- a/hawthornspoke/revision/_holder.py
+++ b/hawthornspoke/revision/_holder.py
@@ -226,14 +226,14 @@
         grace_passed = self._grace_deadline is not None and now >= self._grace_deadline
         return self._confirmed or grace_passed
 
-    def may_reject(self, *, propagation_bound, contact_now):
+    def may_reject(self, *, propagation_bound, boottime_now):
         """Return whether requests for missing entries may be rejected permanently.
 
         Parameters
         ----------
         propagation_bound : float
             Seconds within which an accepted revision has to be active.
-        contact_now : float
+        boottime_now : float
             Current time on the boot-time clock, which includes suspensions.
 
         Returns
@@ -244,7 +244,7 @@
             missing.
         """
         is_newest = self.document is not None and self.revision == self.heard_revision
-        return is_newest and contact_now < self._confirmed_at + propagation_bound
+        return is_newest and boottime_now < self._confirmed_at + propagation_bound
 
     def dump(self, *, now):
         """Return the state as plain data.
--- a/hawthornspoke/revision/tests/test_may_reject.py
+++ b/hawthornspoke/revision/tests/test_may_reject.py
@@ -20,9 +20,9 @@
     return holder
 
 
-def may_reject(holder, contact_now):
+def may_reject(holder, boottime_now):
     return holder.may_reject(
-        propagation_bound=PROPAGATION_BOUND, contact_now=contact_now
+        propagation_bound=PROPAGATION_BOUND, boottime_now=boottime_now
     )
 
 
--- a/hawthornspoke/spread/_engine_state.py
+++ b/hawthornspoke/spread/_engine_state.py
@@ -4,7 +4,7 @@
 
 
 def engine_state(
-    *, observed, address, model, upgrade, contact_now, order_pending, links, ages
+    *, observed, address, model, upgrade, boottime_now, order_pending, links, ages
 ):
     """Return the state of an engine as reported to entry hosts.
 
@@ -16,7 +16,7 @@
         Address of the engine.
     model : str or None
     upgrade : Upgrade
-    contact_now : float
+    boottime_now : float
         Current time on the clock of the upgrade machine, ``boottime_clock``.
     order_pending : bool
         Whether an order is about to be sent.
@@ -27,12 +27,12 @@
     -------
     EngineState
     """
-    ready_at = upgrade.ready_at(contact_now)
+    ready_at = upgrade.ready_at(boottime_now)
     state = EngineState(
         endpoint_address=address,
         model=model,
         next_version=upgrade.next_version(),
-        next_ready_ms=-1 if ready_at is None else int((ready_at - contact_now) * 1000),
+        next_ready_ms=-1 if ready_at is None else int((ready_at - boottime_now) * 1000),
         loading=True,
         entry_hosts=len(links),
         link_delay_ms=int(links.delay() * 1000),
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -304,7 +304,7 @@
             address=self.settings.engine_address,
             model=self.delivery.model,
             upgrade=self.upgrade,
-            contact_now=boottime_clock(),
+            boottime_now=boottime_clock(),
             order_pending=self._order_pending,
             links=self.entry_links,
             ages=self.directives.declared_ages(),
