--- a/hawthornspoke/entry/_quarantine_sync.py
+++ b/hawthornspoke/entry/_quarantine_sync.py
@@ -68,7 +68,9 @@
     def record_engine_exit(self, exit_id, fingerprint, *, in_use, now):
         """Record an engine exit during a request of this host."""
         message = EndpointEnded(
-            start=exit_id, fingerprints=(fingerprint,), in_use=in_use
+            incarnation_id=exit_id,
+            fingerprints=(fingerprint,),
+            other_endpoints_in_use=in_use,
         )
         self._step(message, now)
 
@@ -109,7 +111,7 @@
                     "request with fingerprint {} quarantined; "
                     "engines that exited while running it: {}",
                     outcome.fingerprint,
-                    ", ".join(outcome.starts),
+                    ", ".join(outcome.incarnation_ids),
                 )
             else:
                 logger.info(
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -13,10 +13,9 @@
 QUARANTINE_TABLE = "quarantine"
 KEY = "requests"
 
-#: Maximum number of requests in the row, and of endpoint incarnations (starts) for each
-#: request.
+#: Maximum number of requests in the row, and of endpoint incarnations for each request.
 MAX_REQUESTS = 32
-MAX_STARTS_PER_REQUEST = 5
+MAX_INCARNATIONS_PER_REQUEST = 5
 
 #: Bounds of the random delay in seconds between attempts. Hosts that start at the same
 #: time all read the row and would otherwise retry together.
@@ -35,11 +34,11 @@
     ``until`` is the end of the quarantine in seconds on the platform's clock.
     """
 
-    __slots__ = ("fingerprint", "starts", "until")
+    __slots__ = ("fingerprint", "incarnation_ids", "until")
 
-    def __init__(self, *, fingerprint, starts, until):
+    def __init__(self, *, fingerprint, incarnation_ids, until):
         self.fingerprint = fingerprint
-        self.starts = starts
+        self.incarnation_ids = incarnation_ids
         self.until = until
 
 
@@ -73,7 +72,7 @@
         if not self._first_start:
             await self._retry_until_done(self._read)
         while True:
-            items = await self._suspects.next_unrecorded()
+            items = await self._suspects.wait_for_unstored_evidence()
             await self._retry_until_done(lambda items=items: self._write(items))
 
     async def _retry_until_done(self, operation):
@@ -90,11 +89,11 @@
         items = tuple(
             Evidence(
                 fingerprint=entry.fingerprint,
-                start=start,
+                incarnation_id=incarnation_id,
                 deadline=now + min(entry.until - made_at, EVIDENCE_LIFETIME),
             )
             for entry in entries
-            for start in entry.starts
+            for incarnation_id in entry.incarnation_ids
         )
         if items:
             self._suspects.merge_recorded(items)
@@ -154,7 +153,9 @@
     return [
         _Entry(
             fingerprint=fingerprint,
-            starts=[item.start for item in known][:MAX_STARTS_PER_REQUEST],
+            incarnation_ids=[item.incarnation_id for item in known][
+                :MAX_INCARNATIONS_PER_REQUEST
+            ],
             until=made_at + min(item.deadline for item in known) - now,
         )
         for fingerprint, known in items_by_fingerprint.items()
@@ -177,7 +178,7 @@
     items = [
         {
             "fingerprint": entry.fingerprint,
-            "starts": entry.starts,
+            "starts": entry.incarnation_ids,
             "until_ms": int(entry.until * MS),
         }
         for entry in entries
@@ -191,7 +192,7 @@
     return [
         _Entry(
             fingerprint=fields.text(item, "fingerprint"),
-            starts=fields.texts(item, "starts")[:MAX_STARTS_PER_REQUEST],
+            incarnation_ids=fields.texts(item, "starts")[:MAX_INCARNATIONS_PER_REQUEST],
             until=fields.number(item, "until_ms") / MS,
         )
         for item in fields.children(tree, "requests")[:MAX_REQUESTS]
--- a/hawthornspoke/mirror/tests/test_quarantine_record.py
+++ b/hawthornspoke/mirror/tests/test_quarantine_record.py
@@ -13,13 +13,13 @@
 
 MADE_AT = 1000.0
 STORE_DOWN = Failure(code="store_failed", reason="away")
-STARTS = ["e1", "e2", "e3"]
+INCARNATION_IDS = ["e1", "e2", "e3"]
 
 
 def entry(fingerprint, *, left=100.0):
     return {
         "fingerprint": fingerprint,
-        "starts": STARTS,
+        "starts": INCARNATION_IDS,
         "until_ms": int(1000 * (MADE_AT + left)),
     }
 
@@ -41,8 +41,10 @@
 def evidence(fingerprint="new"):
     deadline = monotonic() + EVIDENCE_LIFETIME
     return [
-        Evidence(fingerprint=fingerprint, start=start, deadline=deadline)
-        for start in STARTS
+        Evidence(
+            fingerprint=fingerprint, incarnation_id=incarnation_id, deadline=deadline
+        )
+        for incarnation_id in INCARNATION_IDS
     ]
 
 
@@ -68,7 +70,7 @@
         self.unrecorded = list(unrecorded)
         self.merged = []
 
-    async def next_unrecorded(self):
+    async def wait_for_unstored_evidence(self):
         if self.unrecorded:
             return self.unrecorded.pop(0)
         return await asyncio.Event().wait()
@@ -104,7 +106,7 @@
 def test_recorded_requests_are_loaded_on_start():
     suspects = FakeSuspects()
     run_record(FakeStore(table_update(entry("f"))), suspects)
-    assert {item.start for item in suspects.merged} == set(STARTS)
+    assert {item.incarnation_id for item in suspects.merged} == set(INCARNATION_IDS)
     assert all(90 < item.deadline - monotonic() <= 100 for item in suspects.merged)
 
 
--- a/hawthornspoke/quarantine/_evidence.py
+++ b/hawthornspoke/quarantine/_evidence.py
@@ -18,8 +18,8 @@
     ----------
     fingerprint : str
         Of the request.
-    start : str
-        Of the endpoint's incarnation: its id, with the start time if that is known.
+    incarnation_id : str
+        Id of the endpoint, with the start time of its incarnation if that is known.
     deadline : float
         Expiry on the monotonic clock.
     cleared : bool, default=False
@@ -27,7 +27,7 @@
     """
 
     fingerprint: str
-    start: str
+    incarnation_id: str
     deadline: float
     cleared: bool = False
 
@@ -60,14 +60,15 @@
         if now >= item.deadline:
             return False
         item_by_incarnation = {
-            known.start: known for known in self.items_of(item.fingerprint, now=now)
+            known.incarnation_id: known
+            for known in self.items_of(item.fingerprint, now=now)
         }
-        known = item_by_incarnation.get(item.start)
+        known = item_by_incarnation.get(item.incarnation_id)
         if known is not None and (known.cleared or not item.cleared):
             return False
         if known is None and len(item_by_incarnation) >= MAX_ENDS_PER_REQUEST:
             return False
-        item_by_incarnation[item.start] = item
+        item_by_incarnation[item.incarnation_id] = item
         # Requests are ordered by their latest evidence.
         self._items_by_fingerprint.pop(item.fingerprint, None)
         self._items_by_fingerprint[item.fingerprint] = item_by_incarnation
@@ -104,7 +105,7 @@
         frozenset of str
         """
         return frozenset(
-            item.start
+            item.incarnation_id
             for item in self.items_of(fingerprint, now=now)
             if not item.cleared
         )
--- a/hawthornspoke/quarantine/_messages.py
+++ b/hawthornspoke/quarantine/_messages.py
@@ -9,17 +9,17 @@
 
     Parameters
     ----------
-    start : str
-        Of the endpoint's incarnation; see ``Evidence``.
+    incarnation_id : str
+        Id of the endpoint's incarnation; see ``Evidence``.
     fingerprints : tuple of str
         Of this host's requests that ran there.
-    in_use : int
+    other_endpoints_in_use : int
         Number of endpoints that still run requests of this host.
     """
 
-    start: str
+    incarnation_id: str
     fingerprints: tuple
-    in_use: int = 0
+    other_endpoints_in_use: int = 0
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -65,12 +65,12 @@
     Parameters
     ----------
     fingerprint : str
-    starts : tuple of str
+    incarnation_ids : tuple of str
         Incarnations of the endpoints that ended while running it.
     """
 
     fingerprint: str
-    starts: tuple
+    incarnation_ids: tuple
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
--- a/hawthornspoke/quarantine/_quarantine.py
+++ b/hawthornspoke/quarantine/_quarantine.py
@@ -91,13 +91,15 @@
         list of EvidenceUpdate, Quarantined or Released
         """
         end = self._recent_end_by_incarnation.setdefault(
-            message.start, _RecentEnd(at=now)
+            message.incarnation_id, _RecentEnd(at=now)
         )
         end.fingerprints.update(message.fingerprints)
         self._expire_ends(now)
         items = [
             Evidence(
-                fingerprint=name, start=message.start, deadline=now + EVIDENCE_LIFETIME
+                fingerprint=name,
+                incarnation_id=message.incarnation_id,
+                deadline=now + EVIDENCE_LIFETIME,
             )
             for name in message.fingerprints
         ]
@@ -227,7 +229,7 @@
         quarantined = [
             Quarantined(
                 fingerprint=fingerprint,
-                starts=tuple(sorted(incarnations_by_fingerprint[fingerprint])),
+                incarnation_ids=tuple(sorted(incarnations_by_fingerprint[fingerprint])),
             )
             for fingerprint in sorted(current - previous)
         ]
@@ -247,7 +249,7 @@
 
     def _is_mass_failure(self, message, now):
         ended_together = len(self._recent_end_by_incarnation)
-        in_use = ended_together + message.in_use
+        in_use = ended_together + message.other_endpoints_in_use
         return (
             ended_together >= MIN_MASS_ENDS
             and ended_together >= MIN_MASS_SHARE * in_use
@@ -259,7 +261,7 @@
         return [
             Evidence(
                 fingerprint=fingerprint,
-                start=incarnation,
+                incarnation_id=incarnation,
                 deadline=now + EVIDENCE_LIFETIME,
                 cleared=True,
             )
@@ -293,7 +295,7 @@
 def _cleared(item):
     return Evidence(
         fingerprint=item.fingerprint,
-        start=item.start,
+        incarnation_id=item.incarnation_id,
         deadline=item.deadline,
         cleared=True,
     )
--- a/hawthornspoke/quarantine/_wire.py
+++ b/hawthornspoke/quarantine/_wire.py
@@ -23,7 +23,7 @@
     return [
         EndEvidence(
             fingerprint=item.fingerprint,
-            endpoint_start=item.start,
+            endpoint_start=item.incarnation_id,
             left_ms=int(1000 * (item.deadline - now)),
             cleared=item.cleared,
         )
@@ -46,7 +46,7 @@
     return tuple(
         Evidence(
             fingerprint=item.fingerprint,
-            start=item.endpoint_start,
+            incarnation_id=item.endpoint_start,
             deadline=now + min(item.left_ms / 1000, EVIDENCE_LIFETIME),
             cleared=bool(item.cleared),
         )
--- a/hawthornspoke/quarantine/tests/test_exchange.py
+++ b/hawthornspoke/quarantine/tests/test_exchange.py
@@ -3,16 +3,19 @@
 from hawthornspoke.quarantine import Evidence, EvidenceExchange, EvidenceReceived
 
 
-def item(start, *, fingerprint="f", cleared=False, deadline=100.0):
+def item(incarnation_id, *, fingerprint="f", cleared=False, deadline=100.0):
     return Evidence(
-        fingerprint=fingerprint, start=start, deadline=deadline, cleared=cleared
+        fingerprint=fingerprint,
+        incarnation_id=incarnation_id,
+        deadline=deadline,
+        cleared=cleared,
     )
 
 
 def deliver(exchange, *items, now=1.0):
     """Return the incarnations that are shared after delivering some items."""
     outcomes = exchange.step(EvidenceReceived(items=items), now=now)
-    return [shared.start for update in outcomes for shared in update.items]
+    return [shared.incarnation_id for update in outcomes for shared in update.items]
 
 
 def test_request_with_one_end_is_not_shared():
@@ -38,7 +41,9 @@
     exchange = EvidenceExchange()
     deliver(exchange, item("e1"), item("e2"))
     deliver(exchange, item("e1", cleared=True))
-    shared = {known.start: known.cleared for known in exchange.evidence(now=1.0)}
+    shared = {
+        known.incarnation_id: known.cleared for known in exchange.evidence(now=1.0)
+    }
     assert shared == {"e1": True, "e2": False}
 
 
--- a/hawthornspoke/quarantine/tests/test_quarantine.py
+++ b/hawthornspoke/quarantine/tests/test_quarantine.py
@@ -16,9 +16,13 @@
 from hawthornspoke.quarantine._evidence import MAX_REQUESTS
 
 
-def end(machine, start, *fingerprints, now, in_use=10):
+def end(machine, incarnation_id, *fingerprints, now, in_use=10):
     """End an endpoint that runs some requests."""
-    message = EndpointEnded(start=start, fingerprints=fingerprints, in_use=in_use)
+    message = EndpointEnded(
+        incarnation_id=incarnation_id,
+        fingerprints=fingerprints,
+        other_endpoints_in_use=in_use,
+    )
     return machine.step(message, now=now)
 
 
@@ -37,14 +41,14 @@
     assert not is_refused(machine, "poison")
     outcomes = end(machine, "e3", "poison", now=3.0)
     (quarantined,) = of_kind(outcomes, Quarantined)
-    assert quarantined.starts == ("e1", "e2", "e3")
+    assert quarantined.incarnation_ids == ("e1", "e2", "e3")
     assert is_refused(machine, "poison")
 
 
 def test_end_reported_twice_counts_once():
     machine = Quarantine()
-    for start in ("e1", "e2", "e2", "e2"):
-        end(machine, start, "poison", now=1.0)
+    for incarnation_id in ("e1", "e2", "e2", "e2"):
+        end(machine, incarnation_id, "poison", now=1.0)
     assert not is_refused(machine, "poison")
 
 
@@ -111,7 +115,10 @@
     end(machine, "e1", "popular", now=1.0)
     end(machine, "e2", "popular", now=2.0)
     (update,) = machine.step(RequestCompleted(fingerprint="popular"), now=2.5)
-    assert {item.start for item in update.items if item.cleared} == {"e1", "e2"}
+    assert {item.incarnation_id for item in update.items if item.cleared} == {
+        "e1",
+        "e2",
+    }
     end(machine, "e3", "popular", now=3.0)
     assert not is_refused(machine, "popular")
 
@@ -194,7 +201,7 @@
 
 def test_known_evidence_is_ignored():
     machine = Quarantine()
-    item = Evidence(fingerprint="f", start="e", deadline=100.0)
+    item = Evidence(fingerprint="f", incarnation_id="e", deadline=100.0)
     assert machine.step(EvidenceReceived(items=(item,)), now=1.0)
     assert machine.step(EvidenceReceived(items=(item,)), now=1.0) == []
 
@@ -219,7 +226,7 @@
 ITEMS = strategies.builds(
     Evidence,
     fingerprint=strategies.sampled_from(["a", "b", "c"]),
-    start=strategies.sampled_from(["e1", "e2", "e3", "e4"]),
+    incarnation_id=strategies.sampled_from(["e1", "e2", "e3", "e4"]),
     deadline=strategies.just(100.0),
     cleared=strategies.booleans(),
 )
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -64,7 +64,9 @@
             header_names=self._header_names,
             timers=self._timers,
             on_broken=lambda attempt: self._on_connection_broken(context, attempt),
-            on_ended=lambda attempt: self._suspects.ended(context.fingerprint, attempt),
+            on_ended=lambda attempt: self._suspects.remove_attempt(
+                context.fingerprint, attempt
+            ),
         )
 
     async def send(self, context, attempt, *, last_event=None, version=None):
@@ -104,7 +106,7 @@
         if failure is not None:
             self._log_not_sent(context, attempt, failure)
             return failure
-        self._suspects.sent(context.fingerprint, attempt)
+        self._suspects.add_attempt(context.fingerprint, attempt)
         context.sent += 1
         # From here on the endpoint may run the request, even if it never responds
         # before the deadline; only an explicit refusal by the endpoint clears this.
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -48,8 +48,8 @@
         "_log",
         "_metrics",
         "_attempts_by_fingerprint",
-        "_fingerprints_by_start",
-        "_probe_by_start",
+        "_fingerprints_by_incarnation",
+        "_probe_by_incarnation",
         "_observed_locally",
         "_unrecorded",
         "_has_unrecorded",
@@ -64,8 +64,8 @@
         self._log = log
         self._metrics = metrics
         self._attempts_by_fingerprint = {}
-        self._fingerprints_by_start = {}
-        self._probe_by_start = {}
+        self._fingerprints_by_incarnation = {}
+        self._probe_by_incarnation = {}
         self._observed_locally = collections.deque(maxlen=MAX_OBSERVED)
         self._unrecorded = set()
         self._has_unrecorded = asyncio.Event()
@@ -92,7 +92,7 @@
         """Clear the evidence against a request that an endpoint answered."""
         self._step(RequestCompleted(fingerprint=fingerprint))
 
-    def sent(self, fingerprint, attempt):
+    def add_attempt(self, fingerprint, attempt):
         """Track an attempt of a request, so that a quarantine can cancel it.
 
         Parameters
@@ -102,8 +102,8 @@
         """
         self._attempts_by_fingerprint.setdefault(fingerprint, set()).add(attempt)
 
-    def ended(self, fingerprint, attempt):
-        """Stop tracking an attempt that has ended; see ``sent``."""
+    def remove_attempt(self, fingerprint, attempt):
+        """Stop tracking an attempt that has ended; see ``add_attempt``."""
         attempts = self._attempts_by_fingerprint.get(fingerprint)
         if attempts is None:
             return
@@ -121,13 +121,15 @@
             The endpoint that had the request.
         service : str
         """
-        start = _incarnation_id(place)
-        self._fingerprints_by_start.setdefault(start, set()).add(fingerprint)
-        if start not in self._probe_by_start:
+        incarnation_id = _incarnation_id(place)
+        self._fingerprints_by_incarnation.setdefault(incarnation_id, set()).add(
+            fingerprint
+        )
+        if incarnation_id not in self._probe_by_incarnation:
             probe = asyncio.get_running_loop().create_task(
-                self._probe(start, place, service)
+                self._probe(incarnation_id, place, service)
             )
-            self._probe_by_start[start] = probe
+            self._probe_by_incarnation[incarnation_id] = probe
 
     async def wait_for_probes(self, fingerprint):
         """Wait until it is known which endpoints a suspected request has ended.
@@ -140,8 +142,8 @@
         fingerprint : str
         """
         probes = [
-            self._probe_by_start[start]
-            for start, fingerprints in self._fingerprints_by_start.items()
+            self._probe_by_incarnation[incarnation]
+            for incarnation, fingerprints in self._fingerprints_by_incarnation.items()
             if fingerprint in fingerprints
         ]
         is_suspected = self.quarantine.has_evidence(fingerprint)
@@ -167,7 +169,7 @@
         """
         self._step(EvidenceReceived(items=items))
 
-    async def next_unrecorded(self):
+    async def wait_for_unstored_evidence(self):
         """Wait for quarantined requests whose evidence has yet to be stored.
 
         A host stores it for requests that were its own at an endpoint that ended.
@@ -187,15 +189,15 @@
 
     def close(self):
         """Cancel all probes of endpoints."""
-        for probe in self._probe_by_start.values():
+        for probe in self._probe_by_incarnation.values():
             probe.cancel()
 
-    async def _probe(self, start, place, service):
+    async def _probe(self, incarnation_id, place, service):
         try:
             has_ended = await refuses_connections(place.address, timeout=PROBE_TIMEOUT)
         finally:
-            del self._probe_by_start[start]
-            fingerprints = self._fingerprints_by_start.pop(start)
+            del self._probe_by_incarnation[incarnation_id]
+            fingerprints = self._fingerprints_by_incarnation.pop(incarnation_id)
         if not has_ended:
             return
         self._log.change(
@@ -206,9 +208,9 @@
         )
         self._observed_locally.extend(fingerprints)
         ended = EndpointEnded(
-            start=start,
+            incarnation_id=incarnation_id,
             fingerprints=tuple(sorted(fingerprints)),
-            in_use=self._fleet.endpoints_in_use(service),
+            other_endpoints_in_use=self._fleet.endpoints_in_use(service),
         )
         self._step(ended)
 
@@ -227,7 +229,7 @@
         self._log.change(
             "quarantined",
             fingerprint=outcome.fingerprint,
-            endpoints_ended=list(outcome.starts),
+            endpoints_ended=list(outcome.incarnation_ids),
         )
         # The request may still be queued at other endpoints and would crash them too.
         for attempt in list(self._attempts_by_fingerprint.get(outcome.fingerprint, ())):
--- a/hawthornspoke/relay/tests/test_sharing.py
+++ b/hawthornspoke/relay/tests/test_sharing.py
@@ -46,8 +46,12 @@
         self.sharing.add_agent(address, self.link_by_address[address])
         self.sharing.rebalance()
 
-    def observe_end(self, start, fingerprint="f"):
-        ended = EndpointEnded(start=start, fingerprints=(fingerprint,), in_use=9)
+    def observe_end(self, incarnation_id, fingerprint="f"):
+        ended = EndpointEnded(
+            incarnation_id=incarnation_id,
+            fingerprints=(fingerprint,),
+            other_endpoints_in_use=9,
+        )
         for update in self.quarantine.step(ended, now=monotonic()):
             self.sharing.share(update.items)
 
@@ -109,7 +113,7 @@
 
 def test_evidence_from_agents_is_not_sent_back():
     host = FakeHost(agents=1)
-    item = Evidence(fingerprint="f", start="e1", deadline=monotonic() + 50)
+    item = Evidence(fingerprint="f", incarnation_id="e1", deadline=monotonic() + 50)
     host.quarantine.step(EvidenceReceived(items=(item,)), now=monotonic())
     host.sharing.rebalance()
     assert host.notified_addresses() == set()
--- a/hawthornspoke/relay/tests/test_suspects.py
+++ b/hawthornspoke/relay/tests/test_suspects.py
@@ -41,10 +41,14 @@
     await asyncio.sleep(0.02)
 
 
-def quarantine(harness, fingerprint, *, starts=("x1", "x2", "x3")):
+def quarantine(harness, fingerprint, *, incarnation_ids=("x1", "x2", "x3")):
     """Put a request into quarantine."""
-    for start in starts:
-        message = EndpointEnded(start=start, fingerprints=(fingerprint,), in_use=9)
+    for incarnation_id in incarnation_ids:
+        message = EndpointEnded(
+            incarnation_id=incarnation_id,
+            fingerprints=(fingerprint,),
+            other_endpoints_in_use=9,
+        )
         harness.suspects.quarantine.step(message, now=monotonic())
 
 
@@ -52,8 +56,10 @@
     """Return an agent's frame with evidence against a request from other hosts."""
     now = monotonic()
     items = [
-        Evidence(fingerprint=fingerprint, start=start, deadline=now + 60)
-        for start in ("x1", "x2", "x3")
+        Evidence(
+            fingerprint=fingerprint, incarnation_id=incarnation_id, deadline=now + 60
+        )
+        for incarnation_id in ("x1", "x2", "x3")
     ]
     return Frame(evidence=encode_evidence(items, now=now))
 
