--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -65,7 +65,7 @@
     Mutation(
         name="late callers get free slots",
         file="placing/_choice.py",
-        old="        if request.returned:\n",
+        old="        if request.is_retry:\n",
         new="        if False:\n",
     ),
     Mutation(
@@ -102,7 +102,7 @@
     Mutation(
         name="withdrawal",
         file="relay/_try.py",
-        old="        if self.place.start_deadline is None:\n",
+        old="        if self.placement.start_deadline is None:\n",
         new="        if True:\n",
     ),
     Mutation(
--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -233,7 +233,7 @@
     def _select_late(self, selection):
         """Return the result for a request that no engine serves on time."""
         request = selection.request
-        if request.returned:
+        if request.is_retry:
             for near in (True, False):
                 groups = [item for item in selection.groups if item.near is near]
                 valid = [item for group in groups for item in group.valid]
@@ -245,7 +245,7 @@
         ]
         if not times:
             return None
-        excess = max(0.0, min(times) - max(0.0, request.on_time_left))
+        excess = max(0.0, min(times) - max(0.0, request.time_until_late))
         return self._rejections.full(
             request, max(excess, slot_release_interval(selection.engine))
         )
@@ -286,7 +286,7 @@
         valid = [
             item for item in candidates if item.forecast is not StartForecast.TOO_LATE
         ]
-        on_time = [item for item in valid if item.expected <= request.on_time_left]
+        on_time = [item for item in valid if item.expected <= request.time_until_late]
         group = _CandidateGroup(
             near=near, candidates=candidates, valid=valid, on_time=on_time
         )
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -242,7 +242,7 @@
         -------
         list of Placement or Rejection
         """
-        request, placement = message.ask, message.place
+        request, placement = message.placement_request, message.selected
         service = self.service_by_name.get(request.service)
         endpoint = self.endpoint_by_id.get(placement.endpoint_id)
         is_available = endpoint is not None and endpoint.accepts(now)
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -208,12 +208,12 @@
     ----------
     service : str
     prompt_tokens : int
-    on_time_left : float
+    time_until_late : float
         Seconds until the response is late; negative if it already is.
     time_left : float
         Seconds until the deadline.
-    returned : bool
-        Whether the caller was rejected before and retries.
+    is_retry : bool
+        Whether the request was tried before, by its caller or by this host.
     tried : frozenset of str
         Ids of endpoints that the request was sent to.
     required_version : int or None
@@ -225,9 +225,9 @@
 
     service: str
     prompt_tokens: int = 0
-    on_time_left: float = 1.0
+    time_until_late: float = 1.0
     time_left: float = 1.0
-    returned: bool = False
+    is_retry: bool = False
     tried: frozenset = field(default_factory=frozenset)
     required_version: int | None = None
     boottime_now: float | None = None
@@ -272,13 +272,13 @@
 
     Parameters
     ----------
-    ask : PlacementRequest
+    placement_request : PlacementRequest
         The request with the remaining times as of now.
-    place : Placement
+    selected : Placement
     """
 
-    ask: PlacementRequest
-    place: Placement
+    placement_request: PlacementRequest
+    selected: Placement
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
--- a/hawthornspoke/placing/tests/load_simulation.py
+++ b/hawthornspoke/placing/tests/load_simulation.py
@@ -51,13 +51,13 @@
 
 
 class _Request:
-    __slots__ = ("host", "asked_at", "slot_time", "returned")
+    __slots__ = ("host", "asked_at", "slot_time", "is_retry")
 
     def __init__(self, *, host, asked_at, slot_time):
         self.host = host
         self.asked_at = asked_at
         self.slot_time = slot_time
-        self.returned = False
+        self.is_retry = False
 
 
 class LoadSimulation:
@@ -162,15 +162,15 @@
         placement_request = PlacementRequest(
             service="s",
             prompt_tokens=900,
-            on_time_left=TARGET_LATENCY - waited,
+            time_until_late=TARGET_LATENCY - waited,
             time_left=CALLER_TIMEOUT - waited,
-            returned=request.returned,
+            is_retry=request.is_retry,
         )
         (answer,) = self._fleets[request.host].step(placement_request, now=now)
         if isinstance(answer, Placement):
             self._send(now, request, answer.endpoint_id)
-        elif not request.returned:
-            request.returned = True
+        elif not request.is_retry:
+            request.is_retry = True
             self._at(now + answer.retry_after, self._ask, request)
         elif now > WARM_UP:
             self.refused += 1
--- a/hawthornspoke/placing/tests/test_declared.py
+++ b/hawthornspoke/placing/tests/test_declared.py
@@ -173,8 +173,8 @@
     for name in ("one", "two"):
         report(machine, name, load=15, now=16.5)
     for number in range(20):
-        ask(machine, now=15.75 + number / 20, on_time_left=1.0)
-    answer = ask(machine, now=16.75, on_time_left=1.0)
+        ask(machine, now=15.75 + number / 20, time_until_late=1.0)
+    answer = ask(machine, now=16.75, time_until_late=1.0)
     is_placed = isinstance(answer, Placement)
     assert not is_placed or answer.expected <= answer.start_deadline - 16.75
 
--- a/hawthornspoke/placing/tests/test_fleet.py
+++ b/hawthornspoke/placing/tests/test_fleet.py
@@ -67,7 +67,7 @@
     fields = {
         "service": "llm",
         "prompt_tokens": 900,
-        "on_time_left": 0.4,
+        "time_until_late": 0.4,
         "time_left": 6.0,
     }
     (answer,) = machine.step(PlacementRequest(**{**fields, **changes}), now=now)
@@ -131,7 +131,7 @@
     """
     machine = fleet(entry("one"))
     report(machine, "one", load=15)
-    late = {"returned": True, "on_time_left": -1.0}
+    late = {"is_retry": True, "time_until_late": -1.0}
     assert isinstance(ask(machine, **late), Placement)
     report(machine, "one", load=16)
     assert isinstance(ask(machine, **late), Rejection)
@@ -185,7 +185,7 @@
     declared = WeightsDeclared(declared=DeclaredWeights(model="m", version=2), at=10.0)
     machine.step(declared, now=10.0)
     report(machine, "slow", now=16.4, pace=4.0)
-    assert isinstance(ask(machine, now=16.4, on_time_left=2.0), Rejection)
+    assert isinstance(ask(machine, now=16.4, time_until_late=2.0), Rejection)
     report(machine, "slow", now=16.4, pace=1.0)
     assert isinstance(ask(machine, now=16.4), Placement)
 
--- a/hawthornspoke/placing/tests/test_load_estimate.py
+++ b/hawthornspoke/placing/tests/test_load_estimate.py
@@ -75,8 +75,8 @@
     *,
     seconds,
     start,
-    time_until_late=TARGET_LATENCY,
-    returned=False,
+    seconds_until_late=TARGET_LATENCY,
+    is_retry=False,
 ):
     """Simulate callers at all hosts; return requests by engine, and rejections."""
     rng = random.Random(7)
@@ -89,9 +89,9 @@
         request = PlacementRequest(
             service="s",
             prompt_tokens=900,
-            on_time_left=time_until_late,
+            time_until_late=seconds_until_late,
             time_left=6.0,
-            returned=returned,
+            is_retry=is_retry,
         )
         (answer,) = fleet.step(request, now=now)
         if isinstance(answer, Placement):
@@ -130,7 +130,7 @@
     loads = [3, *[5] * 11]
     report(hosts, loads, now=1.0)
     requests_by_engine, rejections = simulate(
-        hosts, loads, seconds=0.2, start=1.0, time_until_late=-0.2, returned=True
+        hosts, loads, seconds=0.2, start=1.0, seconds_until_late=-0.2, is_retry=True
     )
     assert rejections == 0
     assert requests_by_engine[0] <= 3 * sum(requests_by_engine) / len(
--- a/hawthornspoke/placing/tests/test_prefill_backlog.py
+++ b/hawthornspoke/placing/tests/test_prefill_backlog.py
@@ -39,9 +39,11 @@
     arrivals_by_name = {name: [] for name in names}
     for moment in sorted(rng.uniform(0.0, ARRIVAL_SPAN) for _ in range(CALLERS)):
         now = 1.0 + moment
-        place = ask(machine, now=now, on_time_left=TARGET_LATENCY, prompt_tokens=PROMPT)
-        if isinstance(place, Placement):
-            name = place.endpoint_id
+        placement = ask(
+            machine, now=now, time_until_late=TARGET_LATENCY, prompt_tokens=PROMPT
+        )
+        if isinstance(placement, Placement):
+            name = placement.endpoint_id
             machine.step(RequestSent(endpoint_id=name, prompt_tokens=PROMPT), now=now)
             arrivals_by_name[name].append(moment)
     waits = [
--- a/hawthornspoke/placing/tests/test_recheck.py
+++ b/hawthornspoke/placing/tests/test_recheck.py
@@ -43,15 +43,18 @@
 
 def choose(machine, now=0.0):
     """Return the selected endpoint."""
-    (place,) = machine.step(PlacementRequest(service="s"), now=now)
-    assert isinstance(place, Placement)
-    return place
+    (placement,) = machine.step(PlacementRequest(service="s"), now=now)
+    assert isinstance(placement, Placement)
+    return placement
 
 
-def recheck(machine, place, now=0.0):
+def recheck(machine, placement, now=0.0):
     """Return the answer to a recheck."""
     (answer,) = machine.step(
-        PlacementRecheck(ask=PlacementRequest(service="s"), place=place), now=now
+        PlacementRecheck(
+            placement_request=PlacementRequest(service="s"), selected=placement
+        ),
+        now=now,
     )
     return answer
 
@@ -62,8 +65,8 @@
 
 
 def test_nothing_changed(machine):
-    place = choose(machine)
-    assert recheck(machine, place) == place
+    placement = choose(machine)
+    assert recheck(machine, placement) == placement
 
 
 @pytest.mark.parametrize(
@@ -72,15 +75,15 @@
     ids=["gone", "leaving", "moved"],
 )
 def test_endpoint_changed(machine, entries):
-    place = choose(machine)
+    placement = choose(machine)
     machine.step(EndpointsListed(entries=entries), now=1.0)
-    assert isinstance(recheck(machine, place, now=1.0), Rejection)
+    assert isinstance(recheck(machine, placement, now=1.0), Rejection)
 
 
 def test_service_was_removed(machine):
-    place = choose(machine)
+    placement = choose(machine)
     machine.step(CatalogChanged(service_by_name={}), now=1.0)
-    assert isinstance(recheck(machine, place, now=1.0), Rejection)
+    assert isinstance(recheck(machine, placement, now=1.0), Rejection)
 
 
 def test_recheck_applies_a_declaration_since_the_selection():
@@ -89,10 +92,10 @@
     Cause: its start deadline was computed only once, on selection.
     """
     machine = fleet(ENGINE)
-    place = choose(machine)
-    assert place.start_deadline is None
+    placement = choose(machine)
+    assert placement.start_deadline is None
     declared = DeclaredWeights(model="m", version=2)
     machine.step(WeightsDeclared(declared=declared, at=1.0), now=1.0)
-    again = recheck(machine, place, now=1.0)
+    again = recheck(machine, placement, now=1.0)
     assert again.start_deadline == pytest.approx(1.0 + 8.0 - 0.4)
-    assert isinstance(recheck(machine, place, now=8.5), Rejection)
+    assert isinstance(recheck(machine, placement, now=8.5), Rejection)
--- a/hawthornspoke/placing/tests/test_saturated_links.py
+++ b/hawthornspoke/placing/tests/test_saturated_links.py
@@ -34,10 +34,10 @@
     declare(machine)
     for name in ("one", "two"):
         report(machine, name, now=12.0, link_delay=link_delay)
-    place = ask(machine, now=12.1, on_time_left=4.0)
-    assert isinstance(place, Placement)
+    placement = ask(machine, now=12.1, time_until_late=4.0)
+    assert isinstance(placement, Placement)
     # Timers of a busy process fire 0.1 s late.
-    assert place.start_deadline + 0.1 + link_delay <= EXPIRES_AT
+    assert placement.start_deadline + 0.1 + link_delay <= EXPIRES_AT
 
 
 def test_request_that_cannot_be_on_time_is_rejected_at_once():
@@ -53,4 +53,4 @@
     machine = fleet(entry("one"), entry("two"))
     for name in ("one", "two"):
         report(machine, name, link_delay=HIGH_DELAY)
-    assert isinstance(ask(machine, on_time_left=0.4), Rejection)
+    assert isinstance(ask(machine, time_until_late=0.4), Rejection)
--- a/hawthornspoke/placing/tests/test_selection_cost.py
+++ b/hawthornspoke/placing/tests/test_selection_cost.py
@@ -137,9 +137,9 @@
     machine = fleet(*entries)
     for number in range(0, 6, 2):
         machine.step(reported(number, load=60), now=1.0)
-    place = ask(machine)
-    assert isinstance(place, Placement)
-    assert int(place.endpoint_id[1:]) % 2 == 1
+    placement = ask(machine)
+    assert isinstance(placement, Placement)
+    assert int(placement.endpoint_id[1:]) % 2 == 1
 
 
 UPDATES = {
--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -90,10 +90,10 @@
             return 503, "key_not_confirmed", UNCONFIRMED_RETRY_AFTER
         return None
 
-    def recheck(self, context, *, ask, place):
+    def recheck(self, context, *, placement_request, placement):
         """Check whether a request may still be sent to its selected endpoint.
 
-        The process may have stalled, or waited for a connection, since the place was
+        The process may have stalled, or waited for a connection, since the endpoint was
         selected. The task then resumes before the event loop has processed the
         caller's disconnect, the deadline timer or the loss of the platform, and an
         endpoint would run a request that is abandoned or no longer allowed. So this
@@ -104,9 +104,9 @@
         ----------
         context : RequestContext
             Its ``rejection`` is set if no endpoint may run it any more.
-        ask : PlacementRequest
+        placement_request : PlacementRequest
             With the times left now.
-        place : Placement
+        placement : Placement
             The selection to check.
 
         Returns
@@ -119,7 +119,9 @@
         if failure is None:
             failure = self._suspects.refusal(context.fingerprint)
         if failure is None:
-            message = PlacementRecheck(ask=ask, place=place)
+            message = PlacementRecheck(
+                placement_request=placement_request, selected=placement
+            )
             (decision,) = self._fleet.step(message, now=monotonic())
             if isinstance(decision, Rejection):
                 return ENDPOINT_CHANGED.with_reason(decision.reason)
--- a/hawthornspoke/relay/_choosing.py
+++ b/hawthornspoke/relay/_choosing.py
@@ -51,7 +51,7 @@
             return None
         if context.sent and not self.may_retry(context):
             return None
-        result = self._request_place(context, self.ask(context))
+        result = self._request_placement(context, self.make_placement_request(context))
         if isinstance(result, Rejection):
             context.last_reason = context.last_reason or result.reason
             context.retry_after = result.retry_after
@@ -70,8 +70,8 @@
         -------
         Placement or None
         """
-        result = self._request_place(
-            context, self.ask(context, required_version=version)
+        result = self._request_placement(
+            context, self.make_placement_request(context, required_version=version)
         )
         if isinstance(result, Rejection):
             context.last_reason += (
@@ -80,7 +80,7 @@
             return None
         return result
 
-    def ask(self, context, *, required_version=None):
+    def make_placement_request(self, context, *, required_version=None):
         """Return the request for a placement, with the remaining times as of now.
 
         Parameters
@@ -94,9 +94,9 @@
         return PlacementRequest(
             service=context.service,
             prompt_tokens=context.prompt_tokens,
-            on_time_left=1.0 if is_resumption else context.objective_deadline - now,
+            time_until_late=1.0 if is_resumption else context.objective_deadline - now,
             time_left=context.deadline - now,
-            returned=is_resumption or context.returned or context.sent > 0,
+            is_retry=is_resumption or context.is_caller_retry or context.sent > 0,
             tried=frozenset(context.tried),
             required_version=required_version,
             boottime_now=now,
@@ -134,38 +134,38 @@
         context.outcome = "answered"
         self._budget_for(context.service).step(RequestSucceeded(), now=monotonic())
 
-    def _request_place(self, context, ask):
-        (result,) = self._fleet.step(ask, now=monotonic())
+    def _request_placement(self, context, placement_request):
+        (result,) = self._fleet.step(placement_request, now=monotonic())
         if isinstance(result, Rejection):
-            self._log_declined(context, ask, result)
+            self._log_declined(context, placement_request, result)
         else:
-            self._log_placed(context, ask, result)
+            self._log_placed(context, placement_request, result)
             context.tried.append(result.endpoint_id)
         return result
 
-    def _log_placed(self, context, ask, place):
+    def _log_placed(self, context, placement_request, placement):
         self._log.decision(
             "placed",
             request=context.request_id,
-            endpoint=place.endpoint_id,
-            started_ms=place.incarnation.started_ms,
-            load=place.load,
-            report_age=place.report_age,
-            expected=round(place.expected, 4),
-            on_time_left=round(ask.on_time_left, 3),
-            returned=ask.returned,
-            version=place.weights_version,
-            begin_left=_seconds_until(place.start_deadline),
+            endpoint=placement.endpoint_id,
+            started_ms=placement.incarnation.started_ms,
+            load=placement.load,
+            report_age=placement.report_age,
+            expected=round(placement.expected, 4),
+            on_time_left=round(placement_request.time_until_late, 3),
+            returned=placement_request.is_retry,
+            version=placement.weights_version,
+            begin_left=_seconds_until(placement.start_deadline),
         )
 
-    def _log_declined(self, context, ask, decline):
+    def _log_declined(self, context, placement_request, decline):
         self._log.change(
             "declined",
             request=context.request_id,
-            service=ask.service,
+            service=placement_request.service,
             reason=decline.reason,
-            on_time_left=round(ask.on_time_left, 3),
-            returned=ask.returned,
+            on_time_left=round(placement_request.time_until_late, 3),
+            returned=placement_request.is_retry,
             retry_after=decline.retry_after,
         )
 
--- a/hawthornspoke/relay/_context.py
+++ b/hawthornspoke/relay/_context.py
@@ -25,7 +25,7 @@
         Time by which the first byte has to be sent for the response to be on time.
     resend_deadline : float
         Time after which the request is not sent again, unless its stream has started.
-    returned : bool
+    is_caller_retry : bool
         Whether the caller made an earlier attempt, judged by its shorter deadline.
     tried : list of str
         Ids of the endpoints selected so far.
@@ -49,7 +49,7 @@
         "deadline",
         "objective_deadline",
         "resend_deadline",
-        "returned",
+        "is_caller_retry",
         "prompt_tokens",
         "tried",
         "sent",
@@ -75,7 +75,7 @@
         self.deadline = None
         self.objective_deadline = None
         self.resend_deadline = None
-        self.returned = False
+        self.is_caller_retry = False
         self.prompt_tokens = 0
         self.tried = []
         self.sent = 0
--- a/hawthornspoke/relay/_encoding.py
+++ b/hawthornspoke/relay/_encoding.py
@@ -26,13 +26,13 @@
         self._header_names = header_names
         self._clock = clock
 
-    def encode(self, context, place, *, last_event, version):
+    def encode(self, context, placement, *, last_event, version):
         """Return the bytes of a request for an endpoint.
 
         Parameters
         ----------
         context : RequestContext
-        place : Placement
+        placement : Placement
         last_event, version : int or None
             Id of the last event received and weights version of a stream to resume.
 
@@ -41,7 +41,7 @@
         bytes
         """
         request = context.request
-        headers = self._headers(context, place, last_event=last_event)
+        headers = self._headers(context, placement, last_event=last_event)
         if version is not None:
             headers.append((self._header_names.expected_version, str(version)))
         return encode_request(
@@ -55,7 +55,7 @@
         """Return the header fields of an endpoint's response that callers receive."""
         return response.end_to_end(without=self._header_names.internal())
 
-    def _headers(self, context, place, *, last_event=None):
+    def _headers(self, context, placement, *, last_event=None):
         header_names = self._header_names
         without = set(header_names.reserved())
         if last_event is not None:
@@ -63,7 +63,7 @@
         headers = context.request.end_to_end(without=without)
         remaining = context.deadline - RESPONSE_RETURN_TIME - self._clock()
         headers.append((header_names.deadline_ms, str(max(1, int(remaining * 1000)))))
-        headers.append((header_names.expected_endpoint, place.endpoint_id))
+        headers.append((header_names.expected_endpoint, placement.endpoint_id))
         if context.organisation is not None:
             headers.append((header_names.organisation, context.organisation.name))
         headers.append((header_names.priority, str(self._priority(context))))
@@ -81,5 +81,5 @@
         # A late request gains nothing from being served first, and would delay requests
         # that can still be on time.
         now = self._clock()
-        is_late = context.returned or now > context.objective_deadline
+        is_late = context.is_caller_retry or now > context.objective_deadline
         return min(LOWEST_PRIORITY, base_priority * PRIORITY_STEP + int(is_late))
--- a/hawthornspoke/relay/_forward.py
+++ b/hawthornspoke/relay/_forward.py
@@ -85,10 +85,10 @@
         """
         connection_attempts = 0
         while True:
-            place = self._selector.select(context, connection_attempts)
-            if place is None:
+            placement = self._selector.select(context, connection_attempts)
+            if placement is None:
                 return
-            attempt = self._sender.create_attempt(context, place)
+            attempt = self._sender.create_attempt(context, placement)
             connection_attempts += 1
             try:
                 if await self._run_attempt(context, attempt):
@@ -96,7 +96,7 @@
                 self._log.change(
                     "try_failed",
                     request=context.request_id,
-                    endpoint=place.endpoint_id,
+                    endpoint=placement.endpoint_id,
                     reason=context.last_reason,
                     may_have_run=context.may_have_run,
                 )
@@ -114,7 +114,7 @@
             context.last_reason = f"{failure.code}: {failure.reason}"
             return False
         head = await attempt.read_head(
-            response_timeout=self._response_timeout(context, attempt.place)
+            response_timeout=self._response_timeout(context, attempt.placement)
         )
         if isinstance(head, Failure):
             context.last_reason = f"{head.code}: {head.reason}"
@@ -147,12 +147,14 @@
         context.last_reason = f"the endpoint responded with status {answer.status}"
         return not (context.route.repeatable and answer.status >= 500)
 
-    def _response_timeout(self, context, place):
+    def _response_timeout(self, context, placement):
         remaining = context.deadline - self._admission.clock()
         if not context.route.repeatable:
             return max(0.0, remaining)
         if context.route.kind == STREAM:
-            desired = max(STREAM_READ_TIMEOUT, EXPECTED_TIME_FACTOR * place.expected)
+            desired = max(
+                STREAM_READ_TIMEOUT, EXPECTED_TIME_FACTOR * placement.expected
+            )
         else:
             desired = (
                 remaining * PLAIN_TIMEOUT_SHARE if context.sent == 1 else remaining
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -124,9 +124,11 @@
             self._max_deadline_by_route[context.route.name] = max_requested_ms = (
                 requested_ms
             )
-        context.returned = requested_ms < max_requested_ms - DEADLINE_JITTER_MS
+        context.is_caller_retry = requested_ms < max_requested_ms - DEADLINE_JITTER_MS
         context.deadline = arrived + min(requested_ms / 1000, context.route.timeout)
-        spent = (max_requested_ms - requested_ms) / 1000 if context.returned else 0.0
+        spent = (
+            (max_requested_ms - requested_ms) / 1000 if context.is_caller_retry else 0.0
+        )
         context.objective_deadline = arrived - spent + context.route.objective
         context.resend_deadline = context.deadline
         if context.route.event_timeout is not None:
@@ -213,7 +215,7 @@
             organisation=context.organisation.name if context.organisation else None,
             revision=self.catalog.revision if self.catalog else None,
             contact_age=self._admission.contact_age(),
-            returned=context.returned,
+            returned=context.is_caller_retry,
             endpoints=context.tried,
             first_byte=first_byte_delay,
             on_time=self._is_on_time(context, first_byte_delay),
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -55,10 +55,10 @@
         self._suspects = suspects
         self._log = log
 
-    def create_attempt(self, context, place):
+    def create_attempt(self, context, placement):
         """Return a new Attempt of a request at the selected endpoint."""
         return Attempt(
-            place=place,
+            placement=placement,
             pool=self._pool,
             fleet=self._fleet,
             header_names=self._header_names,
@@ -90,19 +90,23 @@
         # There is no await from here to the write. Encoding takes time and depends on
         # nothing that the recheck decides, so it comes first.
         data = self._encoder.encode(
-            context, attempt.place, last_event=last_event, version=version
+            context, attempt.placement, last_event=last_event, version=version
         )
-        ask = self._selector.ask(context, required_version=version)
-        place = self._admission.recheck(context, ask=ask, place=attempt.place)
-        if not isinstance(place, Failure):
-            attempt.place = place
+        placement_request = self._selector.make_placement_request(
+            context, required_version=version
+        )
+        decision = self._admission.recheck(
+            context, placement_request=placement_request, placement=attempt.placement
+        )
+        if not isinstance(decision, Failure):
+            attempt.placement = decision
             failure = attempt.send(
                 data,
                 expected_id=context.request_id,
                 prompt_tokens=context.prompt_tokens,
             )
         else:
-            failure = place
+            failure = decision
         if failure is not None:
             self._log_not_sent(context, attempt, failure)
             return failure
@@ -119,15 +123,15 @@
 
     def _on_connection_broken(self, context, attempt):
         self._suspects.record_disconnect(
-            context.fingerprint, attempt.place, service=context.service
+            context.fingerprint, attempt.placement, service=context.service
         )
         self._log.change(
             "broken_off",
             request=context.request_id,
             fingerprint=context.fingerprint,
             service=context.service,
-            endpoint=attempt.place.endpoint_id,
-            started_ms=attempt.place.incarnation.started_ms,
+            endpoint=attempt.placement.endpoint_id,
+            started_ms=attempt.placement.incarnation.started_ms,
             began=attempt.head is not None,
             events_passed_on=context.reply.started,
         )
@@ -136,7 +140,7 @@
         self._log.change(
             "not_sent",
             request=context.request_id,
-            endpoint=attempt.place.endpoint_id,
+            endpoint=attempt.placement.endpoint_id,
             reason=f"{failure.code}: {failure.reason}",
             time_left=round(context.deadline - self._admission.clock(), 3),
             contact_age=self._admission.contact_age(),
--- a/hawthornspoke/relay/_streams.py
+++ b/hawthornspoke/relay/_streams.py
@@ -109,16 +109,16 @@
         if not (context.route.repeatable and version.isdigit()):
             return None
         while self._selector.may_retry(context):
-            place = self._selector.select_for_resume(context, int(version))
-            if place is None:
+            placement = self._selector.select_for_resume(context, int(version))
+            if placement is None:
                 return None
-            attempt = await self._attempt_resume(context, place, splitter, version)
+            attempt = await self._attempt_resume(context, placement, splitter, version)
             if attempt is not None:
                 return attempt
         return None
 
-    async def _attempt_resume(self, context, place, splitter, version):
-        attempt = self._sender.create_attempt(context, place)
+    async def _attempt_resume(self, context, placement, splitter, version):
+        attempt = self._sender.create_attempt(context, placement)
         is_resumed = False
         try:
             failure = await self._sender.send(
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -48,7 +48,7 @@
         "_log",
         "_metrics",
         "_attempts_by_fingerprint",
-        "_fingerprints_by_incarnation",
+        "_requests_by_incarnation",
         "_probe_by_incarnation",
         "_observed_locally",
         "_unrecorded",
@@ -64,7 +64,7 @@
         self._log = log
         self._metrics = metrics
         self._attempts_by_fingerprint = {}
-        self._fingerprints_by_incarnation = {}
+        self._requests_by_incarnation = {}
         self._probe_by_incarnation = {}
         self._observed_locally = collections.deque(maxlen=MAX_OBSERVED)
         self._unrecorded = set()
@@ -111,23 +111,21 @@
         if not attempts:
             del self._attempts_by_fingerprint[fingerprint]
 
-    def record_disconnect(self, fingerprint, place, *, service):
+    def record_disconnect(self, fingerprint, placement, *, service):
         """Record a connection closed during a request, and probe the endpoint.
 
         Parameters
         ----------
         fingerprint : str
-        place : Placement
+        placement : Placement
             The endpoint that had the request.
         service : str
         """
-        incarnation_id = _incarnation_id(place)
-        self._fingerprints_by_incarnation.setdefault(incarnation_id, set()).add(
-            fingerprint
-        )
+        incarnation_id = _incarnation_id(placement)
+        self._requests_by_incarnation.setdefault(incarnation_id, set()).add(fingerprint)
         if incarnation_id not in self._probe_by_incarnation:
             probe = asyncio.get_running_loop().create_task(
-                self._probe(incarnation_id, place, service)
+                self._probe(incarnation_id, placement, service)
             )
             self._probe_by_incarnation[incarnation_id] = probe
 
@@ -142,8 +140,8 @@
         fingerprint : str
         """
         probes = [
-            self._probe_by_incarnation[incarnation]
-            for incarnation, fingerprints in self._fingerprints_by_incarnation.items()
+            self._probe_by_incarnation[incarnation_id]
+            for incarnation_id, fingerprints in self._requests_by_incarnation.items()
             if fingerprint in fingerprints
         ]
         is_suspected = self.quarantine.has_evidence(fingerprint)
@@ -192,18 +190,20 @@
         for probe in self._probe_by_incarnation.values():
             probe.cancel()
 
-    async def _probe(self, incarnation_id, place, service):
+    async def _probe(self, incarnation_id, placement, service):
         try:
-            has_ended = await refuses_connections(place.address, timeout=PROBE_TIMEOUT)
+            has_ended = await refuses_connections(
+                placement.address, timeout=PROBE_TIMEOUT
+            )
         finally:
             del self._probe_by_incarnation[incarnation_id]
-            fingerprints = self._fingerprints_by_incarnation.pop(incarnation_id)
+            fingerprints = self._requests_by_incarnation.pop(incarnation_id)
         if not has_ended:
             return
         self._log.change(
             "endpoint_ended",
-            endpoint=place.endpoint_id,
-            started_ms=place.incarnation.started_ms,
+            endpoint=placement.endpoint_id,
+            started_ms=placement.incarnation.started_ms,
             requests=len(fingerprints),
         )
         self._observed_locally.extend(fingerprints)
@@ -239,9 +239,11 @@
             self._has_unrecorded.set()
 
 
-def _incarnation_id(place):
+def _incarnation_id(placement):
     """Return an id of an endpoint's incarnation that is the same on all hosts."""
-    started_ms = place.incarnation.started_ms
+    started_ms = placement.incarnation.started_ms
     return (
-        place.endpoint_id if started_ms is None else f"{place.endpoint_id}@{started_ms}"
+        placement.endpoint_id
+        if started_ms is None
+        else f"{placement.endpoint_id}@{started_ms}"
     )
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    place : Placement
+    placement : Placement
     pool : ConnectionPool
     fleet : Fleet
     header_names : HeaderNames
@@ -34,7 +34,7 @@
     """
 
     __slots__ = (
-        "place",
+        "placement",
         "connection",
         "exchange",
         "head",
@@ -49,9 +49,9 @@
     )
 
     def __init__(
-        self, *, place, pool, fleet, header_names, timers, on_broken, on_ended
+        self, *, placement, pool, fleet, header_names, timers, on_broken, on_ended
     ):
-        self.place = place
+        self.placement = placement
         self.connection = None
         self.exchange = None
         self.head = None
@@ -73,7 +73,9 @@
             ``UNREACHABLE`` if the connection failed; nothing was sent.
         """
         connection = await self._pool.acquire(
-            self.place.endpoint_id, self.place.address, instance=self.place.incarnation
+            self.placement.endpoint_id,
+            self.placement.address,
+            instance=self.placement.incarnation,
         )
         if isinstance(connection, Failure):
             self._end("unreachable")
@@ -104,8 +106,8 @@
         self.exchange = self.connection.send(data, expected_id=expected_id)
         self._notify_fleet(
             RequestSent(
-                endpoint_id=self.place.endpoint_id,
-                incarnation=self.place.incarnation,
+                endpoint_id=self.placement.endpoint_id,
+                incarnation=self.placement.incarnation,
                 prompt_tokens=prompt_tokens,
             )
         )
@@ -152,10 +154,10 @@
 
     def _withdrawal_time(self):
         """Return the time by which the request must have started, None if unlimited."""
-        if self.place.start_deadline is None:
+        if self.placement.start_deadline is None:
             return None
         # The deadline was computed on the monotonic clock just before sending.
-        return self._timers.clock() + self.place.start_deadline - monotonic()
+        return self._timers.clock() + self.placement.start_deadline - monotonic()
 
     def _withdraw_unstarted(self):
         # The request was expected to start in time when it was sent. If a dozen entry
@@ -164,7 +166,7 @@
         # a request that has not started. This doesn't count as a failure of the engine.
         self._end("left")
         self.abort()
-        version = self.place.weights_version
+        version = self.placement.weights_version
         return WITHDRAWN.with_reason(
             f"not started before weights version {version} expired"
         )
@@ -225,7 +227,7 @@
         moved = False
         if head.status == MISDIRECTED:
             reported = head.get(self._header_names.endpoint_id)
-            moved = reported is not None and reported != self.place.endpoint_id
+            moved = reported is not None and reported != self.placement.endpoint_id
         body = await self.exchange.read_whole()
         self._end("moved" if moved else "refused")
         if isinstance(body, Failure) or moved:
@@ -235,9 +237,9 @@
         return NOT_RUN.with_reason(f"status {head.status}")
 
     def _release(self):
-        place = self.place
+        placement = self.placement
         self._pool.return_connection(
-            place.endpoint_id, self.connection, instance=place.incarnation
+            placement.endpoint_id, self.connection, instance=placement.incarnation
         )
         self.connection = None
 
@@ -248,9 +250,9 @@
             reported = int(parts[0]) + int(parts[1])
             self._notify_fleet(
                 LoadObserved(
-                    endpoint_id=self.place.endpoint_id,
+                    endpoint_id=self.placement.endpoint_id,
                     load=reported,
-                    incarnation=self.place.incarnation,
+                    incarnation=self.placement.incarnation,
                 )
             )
 
@@ -264,10 +266,10 @@
         if outcome == "unreachable" or self.sent_at is not None:
             self._notify_fleet(
                 RequestFinished(
-                    endpoint_id=self.place.endpoint_id,
+                    endpoint_id=self.placement.endpoint_id,
                     outcome=outcome,
                     seconds=seconds,
-                    incarnation=self.place.incarnation,
+                    incarnation=self.placement.incarnation,
                 )
             )
 
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -62,8 +62,10 @@
 def test_invalid_frame_of_one_agent_does_not_affect_the_other_engine(frame):
     agent_links, fleet = make_links()
     agent_links._on_frame(ADDRESSES[0], StubLink(), frame)
-    ask = PlacementRequest(service="s", prompt_tokens=10, tried=(ADDRESSES[0],))
-    (answer,) = fleet.step(ask, now=0.1)
+    placement_request = PlacementRequest(
+        service="s", prompt_tokens=10, tried=(ADDRESSES[0],)
+    )
+    (answer,) = fleet.step(placement_request, now=0.1)
     assert isinstance(answer, Placement)
     assert answer.endpoint_id == ADDRESSES[1]
 
