--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -28,9 +28,9 @@
 
     Parameters
     ----------
-    dialect : Dialect
+    header_names : HeaderNames
     fleet : Fleet
-    contact : Contact
+    contact : PlatformContact
     suspects : PoisonRequestTracker
     clock : callable
         Clock of request deadlines; includes the time for which the host is suspended.
@@ -40,17 +40,17 @@
         "catalog",
         "clock",
         "_routes",
-        "_dialect",
+        "_header_names",
         "_fleet",
         "_contact",
         "_suspects",
     )
 
-    def __init__(self, *, dialect, fleet, contact, suspects, clock):
+    def __init__(self, *, header_names, fleet, contact, suspects, clock):
         self.catalog = None
         self.clock = clock
         self._routes = None
-        self._dialect = dialect
+        self._header_names = header_names
         self._fleet = fleet
         self._contact = contact
         self._suspects = suspects
@@ -90,10 +90,10 @@
             return 503, "key_not_confirmed", UNCONFIRMED_RETRY_AFTER
         return None
 
-    def recheck(self, context, *, ask, place):
+    def recheck(self, context, *, placement_request, placement):
         """Check whether a request may still be sent to its selected endpoint.
 
-        The process may have stalled, or waited for a connection, since the place was
+        The process may have stalled, or waited for a connection, since the endpoint was
         selected. The task then resumes before the event loop has processed the
         caller's disconnect, the deadline timer or the loss of the platform, and an
         endpoint would run a request that is abandoned or no longer allowed. So this
@@ -104,9 +104,9 @@
         ----------
         context : RequestContext
             Its ``rejection`` is set if no endpoint may run it any more.
-        ask : PlacementRequest
+        placement_request : PlacementRequest
             With the times left now.
-        place : Placement
+        placement : Placement
             The selection to check.
 
         Returns
@@ -119,7 +119,9 @@
         if failure is None:
             failure = self._suspects.refusal(context.fingerprint)
         if failure is None:
-            message = PlacementRecheck(ask=ask, place=place)
+            message = PlacementRecheck(
+                placement_request=placement_request, selected=placement
+            )
             (decision,) = self._fleet.step(message, now=monotonic())
             if isinstance(decision, Rejection):
                 return ENDPOINT_CHANGED.with_reason(decision.reason)
@@ -164,7 +166,7 @@
         return self._routes.find(host=request.get("host", ""), target=request.target)
 
     def _find_organisation(self, context):
-        key = context.request.get(self._dialect.key, "")
+        key = context.request.get(self._header_names.key, "")
         return self.catalog.organisation_by_key.get(key)
 
     def _needs_key(self, route):
--- a/hawthornspoke/relay/tests/test_agent_frames.py
+++ b/hawthornspoke/relay/tests/test_agent_frames.py
@@ -13,7 +13,7 @@
 from hawthornspoke.protocol import EngineState, Frame
 from hawthornspoke.protocol.tests.structs import structs
 from hawthornspoke.relay._agents import AgentLinks
-from hawthornspoke.relay.tests.endpoint import ENGINE, make_suspects
+from hawthornspoke.relay.tests.relay_harness import ENGINE, make_suspects
 
 ADDRESSES = ("10.0.0.1:80", "10.0.0.2:80")
 
@@ -62,8 +62,10 @@
 def test_invalid_frame_of_one_agent_does_not_affect_the_other_engine(frame):
     agent_links, fleet = make_links()
     agent_links._on_frame(ADDRESSES[0], StubLink(), frame)
-    ask = PlacementRequest(service="s", prompt_tokens=10, tried=(ADDRESSES[0],))
-    (answer,) = fleet.step(ask, now=0.1)
+    placement_request = PlacementRequest(
+        service="s", prompt_tokens=10, tried=(ADDRESSES[0],)
+    )
+    (answer,) = fleet.step(placement_request, now=0.1)
     assert isinstance(answer, Placement)
     assert answer.endpoint_id == ADDRESSES[1]
 
