--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -280,7 +280,7 @@
             )
         running = {}
         for item in self.gate.running_by_id.values():
-            digest = item.admit.digest
+            digest = item.request.digest
             running[digest] = running.get(digest, 0) + 1
         self._step_deployment(DeploymentTick(running_by_digest=running), now)
         self._retry_manifests(now)
@@ -549,7 +549,7 @@
                 states.append(HostState(node=view.node, state=state))
         return may_swap_weights(
             node=node,
-            digest=str(self.core.holder.revision),
+            ranking_key=str(self.core.holder.revision),
             hosts=states,
             max_unavailable=limit,
         )
--- a/hawthornspoke/agent/_engine_actor.py
+++ b/hawthornspoke/agent/_engine_actor.py
@@ -150,7 +150,7 @@
     try:
         run.push(Event(kind=EventKind.STARTED))
         remaining = max(0.05, run.deadline - monotonic())
-        for item in engine.answer(run, timeout=remaining):
+        for item in engine.stream_events(run, timeout=remaining):
             if is_failure(item):
                 run.refuse(item)
                 return
--- a/hawthornspoke/agent/_engines.py
+++ b/hawthornspoke/agent/_engines.py
@@ -38,7 +38,7 @@
 class IncompleteResponse(Exception):
     """The engine received a request, but its response is missing or incomplete.
 
-    Callers get it only while they iterate over :meth:`ModelEngine.answer`.
+    Callers get it only while they iterate over :meth:`ModelEngine.stream_events`.
     """
 
 
@@ -179,7 +179,7 @@
         """
         return self._client.has_ended()
 
-    def answer(self, run, *, timeout):
+    def stream_events(self, run, *, timeout):
         """Run a request.
 
         Parameters
@@ -398,8 +398,8 @@
         """
         return self._client.has_ended()
 
-    def answer(self, run, *, timeout):
-        """Run a request; see :meth:`ModelEngine.answer`."""
+    def stream_events(self, run, *, timeout):
+        """Run a request; see :meth:`ModelEngine.stream_events`."""
         submit = run.submit
         headers = dict(submit.headers or {})
         headers["x-request-id"] = submit.request_id
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -57,7 +57,7 @@
             submit=request,
             deadline=monotonic() + remaining,
             boottime_deadline=boottime_clock() + remaining,
-            is_caller_disconnected=RpcServer.caller_check(),
+            is_caller_disconnected=RpcServer.disconnect_check(),
         )
         if RpcServer.is_caller_disconnected():
             # This process was paused after the request arrived. Meanwhile the entry
--- a/hawthornspoke/agent/tests/test_engine_exits.py
+++ b/hawthornspoke/agent/tests/test_engine_exits.py
@@ -22,7 +22,7 @@
     def __init__(self, *, has_ended):
         self._has_ended = has_ended
 
-    def answer(self, run, *, timeout):
+    def stream_events(self, run, *, timeout):
         raise IncompleteResponse("broken")
 
     def has_ended(self):
--- a/hawthornspoke/catalog/__init__.py
+++ b/hawthornspoke/catalog/__init__.py
@@ -4,14 +4,14 @@
 """
 
 from hawthornspoke.catalog._declared import (
+    EXPIRY_MARGIN,
     FIRST_VERSION,
-    SEND_MARGIN,
     UNKNOWN_TIME,
     DeclaredVersions,
     declaration_age,
 )
 from hawthornspoke.catalog._incarnation import UNKNOWN_START, Incarnation
-from hawthornspoke.catalog._table import RouteTable, choose_share
+from hawthornspoke.catalog._table import RouteTable, choose_service
 from hawthornspoke.catalog._types import (
     AT_MOST_ONCE,
     IDEMPOTENT,
@@ -32,7 +32,7 @@
     "AT_MOST_ONCE",
     "FIRST_VERSION",
     "IDEMPOTENT",
-    "SEND_MARGIN",
+    "EXPIRY_MARGIN",
     "STREAM",
     "UNKNOWN_START",
     "UNKNOWN_TIME",
@@ -48,7 +48,7 @@
     "RouteTable",
     "Service",
     "Share",
-    "choose_share",
+    "choose_service",
     "declaration_age",
     "event_timeout",
 ]
--- a/hawthornspoke/catalog/_declared.py
+++ b/hawthornspoke/catalog/_declared.py
@@ -13,7 +13,7 @@
 #: and they are no longer loaded. A request starts running some time after it is sent:
 #: up to 0.84 s were measured, 0.18 s of them on a link saturated by transfers of pieces
 #: and the rest in the engine.
-SEND_MARGIN = 0.95
+EXPIRY_MARGIN = 0.95
 
 
 class _Declaration:
@@ -165,13 +165,13 @@
             if item.not_before >= declared_after and item.not_before != UNKNOWN_TIME
         ]
 
-    def latest(self, model):
+    def latest_version(self, model):
         """Return the newest version reported by the platform, None if there is none."""
         newest = self._newest_from_platform(model)
         return None if newest is None else newest.version
 
-    def since(self, model):
-        """Return the lower bound of the declaration time of the ``latest`` version.
+    def latest_declared_at(self, model):
+        """Return the lower bound of the declaration time of the latest version.
 
         It is ``UNKNOWN_TIME`` if there is no such version or bound.
         """
--- a/hawthornspoke/catalog/_table.py
+++ b/hawthornspoke/catalog/_table.py
@@ -50,7 +50,7 @@
         return None
 
 
-def choose_share(route, key):
+def choose_service(route, key):
     """Choose the service for a request by hashing, in proportion to the weights.
 
     Parameters
--- a/hawthornspoke/catalog/tests/test_table.py
+++ b/hawthornspoke/catalog/tests/test_table.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from hawthornspoke.catalog import STREAM, Route, RouteTable, Share, choose_share
+from hawthornspoke.catalog import STREAM, Route, RouteTable, Share, choose_service
 
 
 def route(name, host, prefix, *shares):
@@ -54,6 +54,6 @@
         Share(service="new", weight=20),
     )
     keys = [f"id-{number}" for number in range(2000)]
-    count_by_service = Counter(choose_share(split, key) for key in keys)
+    count_by_service = Counter(choose_service(split, key) for key in keys)
     assert 300 < count_by_service["new"] < 500
-    assert all(choose_share(split, key) == choose_share(split, key) for key in keys)
+    assert all(choose_service(split, key) == choose_service(split, key) for key in keys)
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -571,7 +571,7 @@
             for _, node, view in sorted(ranked, key=lambda item: item[:2])[
                 :SUMMARY_ENDPOINTS_PER_SERVICE
             ]:
-                chosen[node] = _full_record(view.member, now - view.received_at)
+                chosen[node] = _full_record(view.member, now - view.sent_at)
         return list(chosen.values())
 
     def _loading_peers(self, sender, now):
@@ -587,7 +587,7 @@
             if view.failure_domain != sender.failure_domain:
                 continue
             if services & set(view.member.progress or {}):
-                members.append(_full_record(view.member, now - view.received_at))
+                members.append(_full_record(view.member, now - view.sent_at))
         return members
 
 
--- a/hawthornspoke/gate/_gate.py
+++ b/hawthornspoke/gate/_gate.py
@@ -106,10 +106,10 @@
 class _TrackedRequest:
     """A queued or running request, and the time at which it was queued or started."""
 
-    __slots__ = ("admit", "since")
+    __slots__ = ("request", "since")
 
-    def __init__(self, *, admit, since):
-        self.admit = admit
+    def __init__(self, *, request, since):
+        self.request = request
         self.since = since
 
 
@@ -185,7 +185,7 @@
         if failure is not None:
             return [self._refuse(message.request_id, failure)]
         self.waiting_by_id[message.request_id] = _TrackedRequest(
-            admit=message, since=now
+            request=message, since=now
         )
         outcomes = self._start_queued(now=now)
         outcomes += self._shed_overflow(now=now)
@@ -244,10 +244,12 @@
             self.live_by_service[message.service] = message.digest
         outcomes = []
         for request_id, tracked in list(self.waiting_by_id.items()):
-            if self._has_wrong_digest(tracked.admit):
+            if self._has_wrong_digest(tracked.request):
                 del self.waiting_by_id[request_id]
                 outcomes.append(
-                    self._refuse(request_id, self._wrong_digest_failure(tracked.admit))
+                    self._refuse(
+                        request_id, self._wrong_digest_failure(tracked.request)
+                    )
                 )
         return outcomes + self._start_queued(now=now)
 
@@ -285,7 +287,7 @@
         """
         outcomes = []
         for request_id, tracked in list(self.waiting_by_id.items()):
-            if now >= tracked.admit.deadline:
+            if now >= tracked.request.deadline:
                 del self.waiting_by_id[request_id]
                 outcomes.append(self._refuse(request_id, self._deadline_failure()))
         return outcomes
@@ -302,7 +304,7 @@
         int
         """
         running = self.running_by_id.values()
-        return sum(1 for item in running if item.admit.digest == digest)
+        return sum(1 for item in running if item.request.digest == digest)
 
     def expected_wait(self):
         """Estimate the waiting time in seconds of a new request.
@@ -361,15 +363,15 @@
             or request_id in self._finished_ids
         )
 
-    def _has_wrong_digest(self, admit):
-        if admit.service not in self.live_by_service:
+    def _has_wrong_digest(self, request):
+        if request.service not in self.live_by_service:
             return True
-        return self.live_by_service[admit.service] != admit.digest
+        return self.live_by_service[request.service] != request.digest
 
-    def _wrong_digest_failure(self, admit):
-        live = self.live_by_service.get(admit.service)
+    def _wrong_digest_failure(self, request):
+        live = self.live_by_service.get(request.service)
         live_text = "nothing" if live is None else repr(live[:12])
-        return WRONG_DIGEST.with_reason(f"{admit.service}: live here is {live_text}")
+        return WRONG_DIGEST.with_reason(f"{request.service}: live here is {live_text}")
 
     def _deadline_failure(self):
         wait = self.expected_wait()
@@ -378,7 +380,7 @@
     def _sort_key(self, tracked, now):
         """Return the sort key: urgency value less waiting time, then arrival time."""
         waited = now - tracked.since
-        return tracked.admit.urgency - waited / self.aging, tracked.since
+        return tracked.request.urgency - waited / self.aging, tracked.since
 
     def _start_queued(self, *, now):
         outcomes = []
@@ -386,18 +388,18 @@
             next_request = min(
                 self.waiting_by_id.values(), key=lambda item: self._sort_key(item, now)
             )
-            admit = next_request.admit
-            del self.waiting_by_id[admit.request_id]
-            if now >= admit.deadline:
+            request = next_request.request
+            del self.waiting_by_id[request.request_id]
+            if now >= request.deadline:
                 outcomes.append(
-                    self._refuse(admit.request_id, self._deadline_failure())
+                    self._refuse(request.request_id, self._deadline_failure())
                 )
                 continue
-            self.running_by_id[admit.request_id] = _TrackedRequest(
-                admit=admit, since=now
+            self.running_by_id[request.request_id] = _TrackedRequest(
+                request=request, since=now
             )
             self.started += 1
-            outcomes.append(Start(request_id=admit.request_id, digest=admit.digest))
+            outcomes.append(Start(request_id=request.request_id, digest=request.digest))
         return outcomes
 
     def _shed_overflow(self, *, now):
@@ -407,7 +409,7 @@
             last_request = max(
                 self.waiting_by_id.values(), key=lambda item: self._sort_key(item, now)
             )
-            request_id = last_request.admit.request_id
+            request_id = last_request.request.request_id
             del self.waiting_by_id[request_id]
             wait = self.expected_wait()
             is_newest = last_request.since == now
@@ -441,11 +443,11 @@
 def _dump_requests(items_by_id, now):
     return {
         request_id: {
-            "service": item.admit.service,
-            "digest": item.admit.digest,
-            "urgency": item.admit.urgency,
+            "service": item.request.service,
+            "digest": item.request.digest,
+            "urgency": item.request.urgency,
             "age": round(now - item.since, 3),
-            "time_left": round(item.admit.deadline - now, 3),
+            "time_left": round(item.request.deadline - now, 3),
         }
         for request_id, item in items_by_id.items()
     }
--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -155,7 +155,7 @@
         """Whether the transport is open, as far as the event loop knows."""
         return self.transport is not None and not self.transport.is_closing()
 
-    def has_ended(self):
+    def is_socket_closed(self):
         """Check the socket itself for a close that the event loop hasn't seen yet."""
         if not self.is_open:
             return True
--- a/hawthornspoke/httpio/_pool.py
+++ b/hawthornspoke/httpio/_pool.py
@@ -9,11 +9,11 @@
 class _IdleConnection:
     """An idle connection and the incarnation of the endpoint it was opened to."""
 
-    __slots__ = ("connection", "instance")
+    __slots__ = ("connection", "incarnation")
 
-    def __init__(self, *, connection, instance):
+    def __init__(self, *, connection, incarnation):
         self.connection = connection
-        self.instance = instance
+        self.incarnation = incarnation
 
 
 class ConnectionPool:
@@ -47,7 +47,9 @@
         self.opened = 0
         self._idle_by_key = {}
 
-    async def acquire(self, key, address, *, instance=None, fresh=False, timeout=None):
+    async def acquire(
+        self, key, address, *, incarnation=None, fresh=False, timeout=None
+    ):
         """Return an idle connection or open a new one.
 
         Parameters
@@ -56,7 +58,7 @@
             A connection is reused only for the same key, as an address can be
             reassigned to another endpoint.
         address : str
-        instance : object, default=None
+        incarnation : object, default=None
             Incarnation of the endpoint. Idle connections to other incarnations are
             closed: after a power loss such a connection still looks open, and a
             request sent on it would have an unknown outcome.
@@ -69,7 +71,7 @@
         -------
         ClientConnection or Failure
         """
-        idle = self._idle_connections(key, instance)
+        idle = self._idle_connections(key, incarnation)
         now = boottime_clock()
         while idle and not fresh:
             connection = idle.pop().connection
@@ -81,13 +83,13 @@
             address, timeout=timeout or self.connect_timeout, id_header=self.id_header
         )
 
-    def return_connection(self, key, connection, *, instance=None):
+    def return_connection(self, key, connection, *, incarnation=None):
         """Return a connection to the pool after a complete response.
 
         It is closed if it can't be reused.
         """
         if connection.release():
-            entry = _IdleConnection(connection=connection, instance=instance)
+            entry = _IdleConnection(connection=connection, incarnation=incarnation)
             self._idle_by_key.setdefault(key, []).append(entry)
             if self.closes_idle:
                 delay = max(0.0, connection.idle_deadline - boottime_clock())
@@ -107,12 +109,12 @@
                 idle.remove(item)
                 item.connection.abort()
 
-    def _idle_connections(self, key, instance):
+    def _idle_connections(self, key, incarnation):
         """Return the idle connections to one incarnation and close all others."""
         idle = self._idle_by_key.get(key)
         if not idle:
             return idle
-        for item in [item for item in idle if item.instance != instance]:
+        for item in [item for item in idle if item.incarnation != incarnation]:
             idle.remove(item)
             item.connection.abort()
         return idle
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -421,7 +421,7 @@
             if connection.task is None:
                 connection.close()
 
-    def running(self):
+    def running_count(self):
         """Return the number of requests in progress."""
         return sum(connection.task is not None for connection in self.connections)
 
--- a/hawthornspoke/httpio/tests/test_pool.py
+++ b/hawthornspoke/httpio/tests/test_pool.py
@@ -39,11 +39,11 @@
     """
 
     async def scenario(pool, address):
-        first = await pool.acquire("one", address, instance=1)
-        second = await pool.acquire("one", address, instance=1)
-        pool.return_connection("one", first, instance=1)
-        pool.return_connection("one", second, instance=1)
-        fresh = await pool.acquire("one", address, instance=2)
+        first = await pool.acquire("one", address, incarnation=1)
+        second = await pool.acquire("one", address, incarnation=1)
+        pool.return_connection("one", first, incarnation=1)
+        pool.return_connection("one", second, incarnation=1)
+        fresh = await pool.acquire("one", address, incarnation=2)
         assert fresh not in (first, second)
         assert first.transport is None or first.transport.is_closing()
         assert second.transport is None or second.transport.is_closing()
@@ -55,20 +55,20 @@
     """Guards against the same for a connection that is in use during the restart."""
 
     async def scenario(pool, address):
-        late = await pool.acquire("one", address, instance=1)
-        fresh = await pool.acquire("one", address, instance=2)
-        pool.return_connection("one", fresh, instance=2)
-        pool.return_connection("one", late, instance=1)
-        assert await pool.acquire("one", address, instance=2) is not late
+        late = await pool.acquire("one", address, incarnation=1)
+        fresh = await pool.acquire("one", address, incarnation=2)
+        pool.return_connection("one", fresh, incarnation=2)
+        pool.return_connection("one", late, incarnation=1)
+        assert await pool.acquire("one", address, incarnation=2) is not late
 
     run_scenario(scenario)
 
 
 def test_connection_to_same_incarnation_is_reused():
     async def scenario(pool, address):
-        first = await pool.acquire("one", address, instance=1)
-        pool.return_connection("one", first, instance=1)
-        assert await pool.acquire("one", address, instance=1) is first
+        first = await pool.acquire("one", address, incarnation=1)
+        pool.return_connection("one", first, incarnation=1)
+        assert await pool.acquire("one", address, incarnation=1) is first
         assert pool.opened == 1
 
     run_scenario(scenario)
--- a/hawthornspoke/membership/_detector.py
+++ b/hawthornspoke/membership/_detector.py
@@ -114,7 +114,7 @@
         self.status = LISTED
         self.incarnation = 0
         self.seq = 0
-        self.received_at = None
+        self.sent_at = None
         self.suspect_deadline = None
         self.dead_deadline = None
         self.listed = False
@@ -226,9 +226,9 @@
         view.address = member.address or view.address
         view.port = member.port or view.port
         view.member = member
-        view.received_at = now - message.age
-        view.suspect_deadline = view.received_at + self.suspect_after
-        view.dead_deadline = view.received_at + self.dead_after
+        view.sent_at = now - message.age
+        view.suspect_deadline = view.sent_at + self.suspect_after
+        view.dead_deadline = view.sent_at + self.dead_after
         return self._update_status(view, now=now)
 
     def on_host_list_updated(self, message, *, now):
@@ -251,7 +251,7 @@
             view = self.by_id.get(name) or self._add(name, entry.role, entry)
             view.listed = True
             view.listed_leaving = entry.leaving
-            if view.received_at is None:
+            if view.sent_at is None:
                 view.address = entry.address
                 view.port = entry.port
             changes += self._update_status(view, now=now)
@@ -335,7 +335,7 @@
             return
         self.pauses += 1
         for view in self.by_id.values():
-            if view.status in (ALIVE, LEAVING) and view.received_at is not None:
+            if view.status in (ALIVE, LEAVING) and view.sent_at is not None:
                 view.suspect_deadline += gap
                 view.dead_deadline += gap
 
@@ -347,7 +347,7 @@
         return [MemberChanged(node=view.node, before=before, after=view.status)]
 
     def _current_status(self, view, *, now):
-        if view.received_at is None:
+        if view.sent_at is None:
             return LEAVING if view.listed_leaving else LISTED
         if now >= view.dead_deadline:
             return DEAD
@@ -360,7 +360,7 @@
     def _should_forget(self, view, *, now):
         if view.listed:
             return False
-        if view.received_at is None:
+        if view.sent_at is None:
             return True
         return now >= view.dead_deadline + self.forget_after
 
@@ -387,7 +387,7 @@
 
 
 def _dump_view(view, now):
-    age = None if view.received_at is None else round(now - view.received_at, 3)
+    age = None if view.sent_at is None else round(now - view.sent_at, 3)
     live = {}
     if view.member is not None:
         live = {item.service_name: item.digest for item in view.member.live or ()}
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
-from hawthornspoke.catalog import SEND_MARGIN, DeclaredVersions
+from hawthornspoke.catalog import EXPIRY_MARGIN, DeclaredVersions
 from hawthornspoke.placing._avoidance import count_outcome, without_ejected
 from hawthornspoke.placing._choice import EndpointSelector
 from hawthornspoke.placing._directory import EndpointDirectory
@@ -86,7 +86,7 @@
         *,
         failure_domain="",
         version_bound=8.0,
-        version_margin=SEND_MARGIN,
+        version_margin=EXPIRY_MARGIN,
         seed=0,
     ):
         self.failure_domain = failure_domain
--- a/hawthornspoke/placing/tests/test_declared.py
+++ b/hawthornspoke/placing/tests/test_declared.py
@@ -81,7 +81,7 @@
     assert declared.add(TWO, at=UNKNOWN_TIME)
     assert not declared.add(TWO, at=4.0)
     assert not declared.add(TWO, at=3.0)
-    assert declared.since("m") == 4.0
+    assert declared.latest_declared_at("m") == 4.0
     assert declared.add(THREE, at=9.0)
     assert not declared.add(TWO, at=11.0)
     assert declared.expires_at("m", 1, bound=8.0) == 12.0
@@ -154,7 +154,7 @@
     """A message with version 0 raised an error at the agent that received it."""
     declared = DeclaredVersions()
     assert not declared.add(DeclaredWeights(model="m", version=0), at=1.0)
-    assert declared.latest("m") is None
+    assert declared.latest_version("m") is None
 
 
 def test_request_expected_to_start_too_late_is_not_sent_to_old_weights():
--- a/hawthornspoke/protocol/_server.py
+++ b/hawthornspoke/protocol/_server.py
@@ -89,7 +89,7 @@
         return connection is not None and is_closed_by_peer(connection)
 
     @staticmethod
-    def caller_check():
+    def disconnect_check():
         """Return a function that checks for a disconnect, callable from any thread.
 
         Must itself be called on the handler's thread.
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from hawthornspoke.base import monotonic
-from hawthornspoke.catalog import choose_share
+from hawthornspoke.catalog import choose_service
 from hawthornspoke.quarantine import fingerprint_of
 from hawthornspoke.relay._admission import CALLER_LEFT, UNCONFIRMED_RETRY_AFTER
 from hawthornspoke.relay._context import RequestContext
@@ -109,7 +109,7 @@
         failure = self._suspects.refusal(context.fingerprint)
         if failure is not None:
             return 503, failure.code, failure.retry_after
-        context.service = choose_share(context.route, context.request_id)
+        context.service = choose_service(context.route, context.request_id)
         self._set_deadlines(context)
         if context.deadline <= self._admission.clock():
             return 503, "no_time", None
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -206,7 +206,7 @@
             self.pool.close()
             for server in (self.front, self.ready, self.operator):
                 server.close()
-            self.log.change("stopped", cut=self.front.running())
+            self.log.change("stopped", cut=self.front.running_count())
             self.log.flush(monotonic() + FLUSH_TIMEOUT)
         return 0
 
@@ -240,7 +240,7 @@
         state = {
             "node": self.settings.node,
             "stopping": self.stopping,
-            "running": self.front.running(),
+            "running": self.front.running_count(),
             "revision": getattr(self.handler.catalog, "revision", None),
             "contact": self.contact.dump(now=boottime_clock()),
             "readers": self.neighbours.readers.dump(now=now),
@@ -274,7 +274,7 @@
             return
         self.stopping = True
         self._stop_deadline = monotonic() + self.settings.grace - ABORT_BEFORE_KILL
-        self.log.change("stopping", running=self.front.running())
+        self.log.change("stopping", running=self.front.running_count())
         asyncio.get_running_loop().create_task(self._stop())
 
     async def _stop(self):
@@ -285,7 +285,7 @@
         self.handler.refusing = True
         self.front.stop_listening()
         self.front.close_idle()
-        while self.front.running() and monotonic() < self._stop_deadline:
+        while self.front.running_count() and monotonic() < self._stop_deadline:
             await asyncio.sleep(0.05)
         if not self._stopped.done():
             self._stopped.set_result(None)
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -159,7 +159,7 @@
         known_until : float, default=UNKNOWN_TIME
             Time on the boot-time clock up to which all declarations were known.
         """
-        before = self._fleet.declared.latest(declared.model)
+        before = self._fleet.declared.latest_version(declared.model)
         message = WeightsDeclared(
             declared=declared,
             at=written_at,
@@ -167,7 +167,7 @@
             contact_now=boottime_clock(),
         )
         self._fleet.step(message, now=monotonic())
-        if self._fleet.declared.latest(declared.model) == before:
+        if self._fleet.declared.latest_version(declared.model) == before:
             return
         self.log.change(
             "weights",
@@ -225,8 +225,10 @@
         declared = self._fleet.declared
         return directive(
             engine=engine,
-            version=declared.latest(engine.model),
-            age=declaration_age(declared.since(engine.model), boottime_clock()),
+            version=declared.latest_version(engine.model),
+            age=declaration_age(
+                declared.latest_declared_at(engine.model), boottime_clock()
+            ),
             peers=self._peers(service),
             origin=next((origin for origin in origins if origin), None),
             bound=self.settings.version_bound,
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -71,7 +71,9 @@
             ``UNREACHABLE`` if the connection failed; nothing was sent.
         """
         connection = await self._pool.acquire(
-            self.place.endpoint_id, self.place.address, instance=self.place.incarnation
+            self.place.endpoint_id,
+            self.place.address,
+            incarnation=self.place.incarnation,
         )
         if isinstance(connection, Failure):
             self._end("unreachable")
@@ -93,7 +95,7 @@
         None or Failure
             ``CONNECTION_LOST`` if the connection had ended; nothing was sent.
         """
-        if self.connection.has_ended():
+        if self.connection.is_socket_closed():
             # The connection was closed between its acquisition and this write. Bytes
             # written to it would be counted as sent.
             self.abort()
@@ -232,7 +234,7 @@
     def _release(self):
         place = self.place
         self._pool.return_connection(
-            place.endpoint_id, self.connection, instance=place.incarnation
+            place.endpoint_id, self.connection, incarnation=place.incarnation
         )
         self.connection = None
 
--- a/hawthornspoke/relay/tests/test_after_a_wait.py
+++ b/hawthornspoke/relay/tests/test_after_a_wait.py
@@ -261,7 +261,7 @@
             await asyncio.sleep(0.2)
             assert harness.pool.actions == []
             assert target.requests == []
-            assert harness.server.running() == 0
+            assert harness.server.running_count() == 0
 
     asyncio.run(scenario())
 
--- a/hawthornspoke/rollout/_changeover.py
+++ b/hawthornspoke/rollout/_changeover.py
@@ -26,16 +26,16 @@
     state: str
 
 
-def may_swap_weights(*, node, digest, hosts, max_unavailable):
+def may_swap_weights(*, node, ranking_key, hosts, max_unavailable):
     """Return whether a host may stop serving to replace its weights in place.
 
     Parameters
     ----------
     node : str
         The host that requests permission.
-    digest : str
-        Key of the order in which hosts are ranked, the same on all hosts; agents pass
-        the revision of the configuration.
+    ranking_key : str
+        Key by which hosts are ranked, the same on all hosts; agents pass the revision
+        of the configuration.
     hosts : list of HostState
         The live hosts of the service in the failure domain, including ``node``.
     max_unavailable : int
@@ -54,10 +54,10 @@
     """
     changing = [item.node for item in hosts if item.state == CHANGING]
     if node in changing:
-        order = rendezvous_order(key=digest, nodes=changing)
+        order = rendezvous_order(key=ranking_key, nodes=changing)
         return order.index(node) < max_unavailable
     waiting = [item.node for item in hosts if item.state == WAITING]
     if node not in waiting:
         return False
-    order = rendezvous_order(key=digest, nodes=waiting)
+    order = rendezvous_order(key=ranking_key, nodes=waiting)
     return len(changing) + order.index(node) < max_unavailable
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -169,7 +169,7 @@
         if current is not None:
             current.weights_version = self._upgrade.next_version()
             age = declaration_age(
-                self.declared.since(self._delivery.model), boottime_clock()
+                self.declared.latest_declared_at(self._delivery.model), boottime_clock()
             )
             current.age_ms = None if age is None else int(1000 * age)
             current.peers = None
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from hawthornspoke.base import MACHINES, Bounds, Machine
-from hawthornspoke.catalog import SEND_MARGIN
+from hawthornspoke.catalog import EXPIRY_MARGIN
 from hawthornspoke.spread._changeover import SWITCH_TIME, order_time
 
 #: Fraction of the transfer time within which a version that is followed by another one
@@ -336,7 +336,7 @@
         """Tell whether requests may no longer begin on a version's weights."""
         for declared in self._declared:
             if declared.version > held_version:
-                return now >= declared.at + self.version_bound - SEND_MARGIN
+                return now >= declared.at + self.version_bound - EXPIRY_MARGIN
         return False
 
     def _newest_arrives_in_time(self, chosen):
--- a/hawthornspoke/spread/tests/test_after_a_wait.py
+++ b/hawthornspoke/spread/tests/test_after_a_wait.py
@@ -214,8 +214,8 @@
             other.send(frame)
             time.sleep(1.0)
             await asyncio.sleep(0.1)
-            assert agent.directives.declared.latest("m") == 1
-            assert agent.directives.declared.since("m") <= sent_at - 1.0
+            assert agent.directives.declared.latest_version("m") == 1
+            assert agent.directives.declared.latest_declared_at("m") <= sent_at - 1.0
 
     asyncio.run(scenario())
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -83,7 +83,7 @@
     Mutation(
         name="weights are not checked again at the start",
         file="gate/_gate.py",
-        old="            if self._has_wrong_digest(tracked.admit):",
+        old="            if self._has_wrong_digest(tracked.request):",
         new="            if False:",
         test="tests/test_traces.py -k switch_while_queued",
     ),
@@ -260,7 +260,7 @@
     Mutation(
         name="connections outlive the incarnation",
         file="httpio/_pool.py",
-        old="[item for item in idle if item.instance != instance]",
+        old="[item for item in idle if item.incarnation != incarnation]",
         new="[]",
         test="hawthornspoke/httpio/tests/test_pool.py -k earlier_incarnation",
     ),
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -25,7 +25,7 @@
     run = Run(submit=submit, deadline=monotonic() + 5)
     try:
         engine = ENGINES.get("model")(url=f"http://{ADDRESS}:{port}")
-        return list(engine.answer(run, timeout=5))
+        return list(engine.stream_events(run, timeout=5))
     finally:
         server.close()
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -20,7 +20,10 @@
 REQUIRED_METHODS = {
     "policy": (POLICIES, ["choose"]),
     "strategy": (STRATEGIES, ["may_read_origin", "holders", "owners_before"]),
-    "engine": (ENGINES, ["state", "answer", "stage", "drop_staged", "load", "unload"]),
+    "engine": (
+        ENGINES,
+        ["state", "stream_events", "stage", "drop_staged", "load", "unload"],
+    ),
 }
 
 
