--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -258,7 +258,7 @@
 
     def on_hosts_changed(self, *, now):
         """Update the participants of running transfers."""
-        for digest in list(self.swarm.by_digest):
+        for digest in list(self.swarm.transfer_by_digest):
             message = ParticipantsChanged(
                 digest=digest,
                 participants=self._participants(digest),
@@ -478,7 +478,7 @@
 
     def _evict(self, digest):
         self.store.drop(digest)
-        self.swarm.by_digest.pop(digest, None)
+        self.swarm.transfer_by_digest.pop(digest, None)
         self.deployment.remove_stored_weights(digest)
 
     def _drop_transfer(self, digest, now):
--- a/hawthornspoke/metrics/_metrics.py
+++ b/hawthornspoke/metrics/_metrics.py
@@ -18,7 +18,7 @@
     --------
     >>> metrics = Metrics()
     >>> metrics.count("requests_total", outcome="done")
-    >>> metrics.value("requests_total", outcome="done")
+    >>> metrics.counter_value("requests_total", outcome="done")
     1
     """
 
@@ -42,7 +42,7 @@
         with self._lock:
             self._counters[key] = self._counters.get(key, 0) + amount
 
-    def value(self, name, **labels):
+    def counter_value(self, name, **labels):
         """Return the value of a counter, 0 if it was never incremented.
 
         Parameters
--- a/hawthornspoke/mirror/__init__.py
+++ b/hawthornspoke/mirror/__init__.py
@@ -4,8 +4,12 @@
 from hawthornspoke.mirror._declaration_recorder import DeclarationRecorder
 from hawthornspoke.mirror._follow import follow_platform
 from hawthornspoke.mirror._neighbours import Neighbours
-from hawthornspoke.mirror._quarantine_record import QuarantineRecord
-from hawthornspoke.mirror._readers import NeighbourListReceived, ReaderFailed, Readers
+from hawthornspoke.mirror._quarantine_record import QuarantineRecorder
+from hawthornspoke.mirror._readers import (
+    NeighbourListReceived,
+    ReaderFailed,
+    ReaderSelector,
+)
 from hawthornspoke.mirror._row_dispatcher import RowDispatcher
 from hawthornspoke.mirror._tables import Mirror
 from hawthornspoke.mirror._types import HISTORY_GONE, Row, RowWritten, TableUpdate
@@ -28,9 +32,9 @@
     "Mirror",
     "NeighbourListReceived",
     "Neighbours",
-    "QuarantineRecord",
+    "QuarantineRecorder",
     "ReaderFailed",
-    "Readers",
+    "ReaderSelector",
     "Row",
     "RowDispatcher",
     "RowWritten",
--- a/hawthornspoke/mirror/_declaration_recorder.py
+++ b/hawthornspoke/mirror/_declaration_recorder.py
@@ -70,9 +70,9 @@
     Parameters
     ----------
     store : object
-        ``await read(table, first=, past=)`` returns TableUpdate or a Failure. ``await
-        write(table, key, data, expected=)`` returns RowWritten, TableUpdate of the row
-        if its revision isn't the expected one, or a Failure.
+        ``await read(table, first_key=, end_key=)`` returns TableUpdate or a Failure.
+        ``await write(table, key, data, expected=)`` returns RowWritten, TableUpdate of
+        the row if its revision isn't the expected one, or a Failure.
     clock : PlatformClock
         To which the platform's answers to this process are added.
     on_declaration_dates : callable
@@ -159,7 +159,7 @@
     async def _read(self, model, pending):
         asked_at = boottime_clock()
         table_update = await self._store.read(
-            RECORD_TABLE, first=model, past=model + "\0"
+            RECORD_TABLE, first_key=model, end_key=model + "\0"
         )
         if is_failure(table_update):
             return table_update
--- a/hawthornspoke/mirror/_follow.py
+++ b/hawthornspoke/mirror/_follow.py
@@ -2,7 +2,7 @@
 
 from hawthornspoke.mirror import pace
 from hawthornspoke.mirror._declaration_recorder import DeclarationRecorder
-from hawthornspoke.mirror._quarantine_record import QuarantineRecord
+from hawthornspoke.mirror._quarantine_record import QuarantineRecorder
 from hawthornspoke.mirror._row_dispatcher import RowDispatcher
 from hawthornspoke.mirror._watch import FollowedTable, TableWatcher
 
@@ -15,7 +15,7 @@
     operators_table,
     endpoints_table,
     decode_entry,
-    operators_decoder,
+    decoder_for_operators_key,
     first_start=False,
     discovery_timeout=0.0,
 ):
@@ -24,12 +24,12 @@
     Parameters
     ----------
     store : object
-        See ``TableWatcher``, ``DeclarationRecorder`` and ``QuarantineRecord``.
+        See ``TableWatcher``, ``DeclarationRecorder`` and ``QuarantineRecorder``.
     sink : Sink
     neighbours : Neighbours
     operators_table, endpoints_table : str
         Names of the tables.
-    decode_entry, operators_decoder : callable
+    decode_entry, decoder_for_operators_key : callable
         See ``RowDispatcher``.
     first_start : bool, default=False
         Whether the whole system starts for the first time.
@@ -44,33 +44,33 @@
         first_start=first_start,
         discovery_timeout=discovery_timeout,
     )
-    record = DeclarationRecorder(
+    recorder = DeclarationRecorder(
         store=store,
         clock=watch.clock,
         on_declaration_dates=sink.on_declaration_dates,
         log=sink.log,
     )
-    quarantine = QuarantineRecord(
+    quarantine = QuarantineRecorder(
         store=store, suspects=sink.suspects, log=sink.log, first_start=first_start
     )
     dispatcher = RowDispatcher(
         sink=sink,
-        record=record,
+        recorder=recorder,
         decode_entry=decode_entry,
-        operators_decoder=operators_decoder,
+        decoder_for_operators_key=decoder_for_operators_key,
     )
     operators = FollowedTable(
         name=operators_table,
         wait=pace.OPERATORS_POLL_WAIT,
         pause=pace.OPERATORS_CHANGE_PAUSE,
-        update=dispatcher.apply_operators,
+        on_update=dispatcher.apply_operators,
         confirms_configuration=True,
     )
     endpoints = FollowedTable(
         name=endpoints_table,
         wait=pace.ENDPOINTS_POLL_WAIT,
         pause=pace.ENDPOINTS_CHANGE_PAUSE,
-        update=dispatcher.apply_endpoints,
+        on_update=dispatcher.apply_endpoints,
     )
     await neighbours.serve(watch)
-    await watch.run((operators, endpoints), background=(record.run, quarantine.run))
+    await watch.run((operators, endpoints), background=(recorder.run, quarantine.run))
--- a/hawthornspoke/mirror/_neighbours.py
+++ b/hawthornspoke/mirror/_neighbours.py
@@ -6,7 +6,11 @@
 
 from hawthornspoke.base import Failure, boottime_clock, is_failure, monotonic
 from hawthornspoke.catalog import UNKNOWN_TIME
-from hawthornspoke.mirror._readers import NeighbourListReceived, ReaderFailed, Readers
+from hawthornspoke.mirror._readers import (
+    NeighbourListReceived,
+    ReaderFailed,
+    ReaderSelector,
+)
 from hawthornspoke.mirror._types import NOT_READING, Row, TableUpdate
 from hawthornspoke.peering import connect, listen
 from hawthornspoke.protocol import Frame, TableAsk, TableNews, TableRow
@@ -71,7 +75,7 @@
     )
 
     def __init__(self, *, address, port, log):
-        self.readers = Readers(address=address)
+        self.readers = ReaderSelector(address=address)
         self._address = address
         self._port = port
         self._log = log
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -43,7 +43,7 @@
         self.until = until
 
 
-class QuarantineRecord:
+class QuarantineRecorder:
     """Reads the row when the process starts, and adds requests that this host finds.
 
     Entry hosts learn of quarantined requests from agents. Without the row, this
@@ -128,7 +128,7 @@
             row, or 0 if there is no row.
         """
         table_update = await self._store.read(
-            QUARANTINE_TABLE, first=KEY, past=KEY + "\0"
+            QUARANTINE_TABLE, first_key=KEY, end_key=KEY + "\0"
         )
         if is_failure(table_update):
             return table_update
--- a/hawthornspoke/mirror/_readers.py
+++ b/hawthornspoke/mirror/_readers.py
@@ -35,7 +35,7 @@
 
 
 @MACHINES.register("readers")
-class Readers(Machine):
+class ReaderSelector(Machine):
     """Selects the host that reads the platform for all hosts of its failure domain.
 
     If every entry host read the platform itself, each configuration would be
--- a/hawthornspoke/mirror/_row_dispatcher.py
+++ b/hawthornspoke/mirror/_row_dispatcher.py
@@ -19,11 +19,11 @@
     ----------
     sink : object
         Has ``on_catalog``, ``on_entries``, ``on_declared``, ``log`` and ``metrics``.
-    record : DeclarationRecorder
+    recorder : DeclarationRecorder
     decode_entry : callable
         Given the id of an endpoint and the data of its row, returns an EndpointEntry or
         a Failure.
-    operators_decoder : callable
+    decoder_for_operators_key : callable
         Given the key of a row of the operators' table, returns its kind
         (``CONFIGURATION``, ``WEIGHTS`` or None) and the function that decodes its data
         to a Catalog, DeclaredWeights or a Failure.
@@ -31,9 +31,9 @@
 
     __slots__ = (
         "_sink",
-        "_record",
+        "_recorder",
         "_decode_entry",
-        "_operators_decoder",
+        "_decoder_for_operators_key",
         "_unusable",
         "_outcome_by_id",
         "_services",
@@ -41,11 +41,11 @@
         "_reason_by_key_by_kind",
     )
 
-    def __init__(self, *, sink, record, decode_entry, operators_decoder):
+    def __init__(self, *, sink, recorder, decode_entry, decoder_for_operators_key):
         self._sink = sink
-        self._record = record
+        self._recorder = recorder
         self._decode_entry = decode_entry
-        self._operators_decoder = operators_decoder
+        self._decoder_for_operators_key = decoder_for_operators_key
         self._unusable = UnusableRows(log=sink.log, metrics=sink.metrics)
         # By endpoint id, the EndpointEntry or the Failure of decoding its row.
         self._outcome_by_id = {}
@@ -91,7 +91,7 @@
         self._publish_entries()
 
     def _apply_operators_row(self, row, table_update):
-        kind, decode = self._operators_decoder(row.key)
+        kind, decode = self._decoder_for_operators_key(row.key)
         if kind is None:
             return
         reason_by_key = self._reason_by_key_by_kind[kind]
@@ -109,7 +109,7 @@
             )
             # Only answers of the platform itself have this time.
             from_platform = table_update.made_at is not None
-            self._record.update(outcome, row, from_platform=from_platform)
+            self._recorder.update(outcome, row, from_platform=from_platform)
 
     def _apply_catalog(self, catalog):
         self._sink.on_catalog(catalog)
--- a/hawthornspoke/mirror/_watch.py
+++ b/hawthornspoke/mirror/_watch.py
@@ -70,19 +70,19 @@
         Long-poll seconds: the platform may wait this long for a change.
     pause : float
         Seconds between an answer with changes and the next query.
-    update : callable
+    on_update : callable
         Called with TableUpdate.
     confirms_configuration : bool, default=False
         Whether an answer confirms that nothing was revoked before it was made.
     """
 
-    __slots__ = ("name", "wait", "pause", "update", "confirms_configuration")
+    __slots__ = ("name", "wait", "pause", "on_update", "confirms_configuration")
 
-    def __init__(self, *, name, wait, pause, update, confirms_configuration=False):
+    def __init__(self, *, name, wait, pause, on_update, confirms_configuration=False):
         self.name = name
         self.wait = wait
         self.pause = pause
-        self.update = update
+        self.on_update = on_update
         self.confirms_configuration = confirms_configuration
 
 
@@ -286,7 +286,7 @@
         # The platform sends every version of a changed row; only the newest is kept.
         answer.rows = list({row.key: row for row in answer.rows}.values())
         answer = self.mirror.update(table.name, answer)
-        table.update(answer)
+        table.on_update(answer)
         if answer.rows:
             self._notify_waiters()
         if table.confirms_configuration:
--- a/hawthornspoke/mirror/tests/test_declaration_recorder.py
+++ b/hawthornspoke/mirror/tests/test_declaration_recorder.py
@@ -112,8 +112,8 @@
         self.answers = list(answers)
         self.written = []
 
-    async def read(self, table, *, first, past):
-        assert (table, first) == (RECORD_TABLE, "m")
+    async def read(self, table, *, first_key, end_key):
+        assert (table, first_key) == (RECORD_TABLE, "m")
         return self.answers.pop(0)
 
     async def write(self, table, key, data, *, expected):
--- a/hawthornspoke/mirror/tests/test_quarantine_record.py
+++ b/hawthornspoke/mirror/tests/test_quarantine_record.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings, strategies as st
 
 from hawthornspoke.base import Failure, monotonic
-from hawthornspoke.mirror import QuarantineRecord, Row, RowWritten, TableUpdate
+from hawthornspoke.mirror import QuarantineRecorder, Row, RowWritten, TableUpdate
 from hawthornspoke.mirror._quarantine_record import KEY, MAX_REQUESTS
 from hawthornspoke.quarantine import EVIDENCE_LIFETIME, Evidence
 
@@ -53,7 +53,7 @@
         self.answers = list(answers)
         self.written = []
 
-    async def read(self, table, *, first, past):
+    async def read(self, table, *, first_key, end_key):
         return self.answers.pop(0)
 
     async def write(self, table, key, data, *, expected):
@@ -88,7 +88,7 @@
 def run_record(store, suspects, *, first_start=False, seconds=0.05):
     """Run a record for some time; return the logged events."""
     log = FakeLog()
-    record = QuarantineRecord(
+    record = QuarantineRecorder(
         store=store, suspects=suspects, log=log, first_start=first_start
     )
 
@@ -180,7 +180,7 @@
 def test_malformed_row_is_ignored(data):
     suspects = FakeSuspects()
     log = FakeLog()
-    record = QuarantineRecord(
+    record = QuarantineRecorder(
         store=FakeStore(table_update(data=data)), suspects=suspects, log=log
     )
     assert asyncio.run(record._read()) is None
--- a/hawthornspoke/mirror/tests/test_readers.py
+++ b/hawthornspoke/mirror/tests/test_readers.py
@@ -1,24 +1,24 @@
 """Selection of the host that reads the platform."""
 
-from hawthornspoke.mirror import NeighbourListReceived, ReaderFailed, Readers
+from hawthornspoke.mirror import NeighbourListReceived, ReaderFailed, ReaderSelector
 
 
 def test_host_without_neighbours_reads_the_platform():
-    assert Readers(address="10.0.0.2").reader(0.0) is None
+    assert ReaderSelector(address="10.0.0.2").reader(0.0) is None
 
 
 def test_all_hosts_choose_the_same_reader():
     hosts = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
     chosen = []
     for host in hosts:
-        readers = Readers(address=host)
+        readers = ReaderSelector(address=host)
         readers.step(NeighbourListReceived(agent="a", addresses=hosts), now=0.0)
         chosen.append(readers.reader(0.0))
     assert chosen == [None, "10.0.0.1", "10.0.0.1"]
 
 
 def test_failed_reader_is_avoided_temporarily():
-    readers = Readers(address="10.0.0.3", avoid_for=3.0)
+    readers = ReaderSelector(address="10.0.0.3", avoid_for=3.0)
     hosts = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
     readers.step(NeighbourListReceived(agent="a", addresses=hosts), now=0.0)
     readers.step(ReaderFailed(address="10.0.0.1"), now=1.0)
@@ -29,7 +29,7 @@
 
 
 def test_lost_agent_removes_its_neighbour_list():
-    readers = Readers(address="10.0.0.3")
+    readers = ReaderSelector(address="10.0.0.3")
     readers.step(NeighbourListReceived(agent="a", addresses=("10.0.0.1",)), now=0.0)
     readers.step(NeighbourListReceived(agent="b", addresses=("10.0.0.2",)), now=0.0)
     readers.step(NeighbourListReceived(agent="a", addresses=()), now=1.0)
--- a/hawthornspoke/mirror/tests/test_watch.py
+++ b/hawthornspoke/mirror/tests/test_watch.py
@@ -107,7 +107,7 @@
             name="t",
             wait=0.5,
             pause=0.05,
-            update=lambda table_update: self.seen.extend(
+            on_update=lambda table_update: self.seen.extend(
                 row.data for row in table_update.rows
             ),
             confirms_configuration=True,
@@ -297,7 +297,7 @@
             return await original(table)
 
         host.store.follow, host.store.read = gone, read
-        table = FollowedTable(name="t", wait=0.5, pause=0.0, update=host.seen.append)
+        table = FollowedTable(name="t", wait=0.5, pause=0.0, on_update=host.seen.append)
         following = asyncio.create_task(host.watch.run([table]))
         await asyncio.sleep(1.0)
         following.cancel()
--- a/hawthornspoke/node/_control.py
+++ b/hawthornspoke/node/_control.py
@@ -190,8 +190,8 @@
             revision=self.core.holder.heard_revision,
             in_force=self.core.holder.revision,
             member=self.own_member(now=now),
-            origin_bytes=self.metrics.value("origin_bytes_total"),
-            peer_bytes=self.metrics.value("peer_bytes_total"),
+            origin_bytes=self.metrics.counter_value("origin_bytes_total"),
+            peer_bytes=self.metrics.counter_value("peer_bytes_total"),
             problem_by_key=self.problems(),
         )
 
--- a/hawthornspoke/peering/_directive.py
+++ b/hawthornspoke/peering/_directive.py
@@ -4,7 +4,7 @@
 from hawthornspoke.protocol import Directive, PeerEndpoint
 
 
-def directive(*, engine, version, age, peers, origin, bound, failure_domain=None):
+def make_directive(*, engine, version, age, peers, origin, bound, failure_domain=None):
     """Build the directive for one model.
 
     Parameters
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -3,7 +3,7 @@
 from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.catalog import UNKNOWN_TIME, declaration_age
 from hawthornspoke.httpio import ServerLimits
-from hawthornspoke.peering import directive
+from hawthornspoke.peering import make_directive
 from hawthornspoke.placing import (
     CatalogChanged,
     DeclarationDatesUpdated,
@@ -223,7 +223,7 @@
         catalog = self._handler.catalog
         origins = [item.origin for item in catalog.service_by_name.values()]
         declared = self._fleet.declared
-        return directive(
+        return make_directive(
             engine=engine,
             version=declared.latest_version(engine.model),
             age=declaration_age(
--- a/hawthornspoke/relay/tests/test_reader_restart.py
+++ b/hawthornspoke/relay/tests/test_reader_restart.py
@@ -56,6 +56,6 @@
         assert len(restarts) == 2
         assert restarts[0]["task"] == "platform"
         assert "rpartition" in restarts[0]["error"]
-        assert relay.metrics.value("tasks_ended_total", task="platform") == 2
+        assert relay.metrics.counter_value("tasks_ended_total", task="platform") == 2
 
     asyncio.run(scenario())
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -52,7 +52,7 @@
     settings : SpreadSettings
     delivery : Delivery
     entry_links : EntryLinks
-    read_platform : coroutine function
+    platform_reader : coroutine function
         See ``Agent``.
     log : EventLog
     earliest_arrival : callable
@@ -70,14 +70,14 @@
         "_exchange",
         "_upgrade",
         "_entry_links",
-        "_read_platform",
+        "_platform_reader",
         "_log",
         "_earliest_arrival",
         "_directive",
     )
 
     def __init__(
-        self, *, settings, delivery, entry_links, read_platform, log, earliest_arrival
+        self, *, settings, delivery, entry_links, platform_reader, log, earliest_arrival
     ):
         self.declared = DeclaredVersions()
         self._settings = settings
@@ -85,7 +85,7 @@
         self._exchange = delivery.exchange
         self._upgrade = delivery.upgrade
         self._entry_links = entry_links
-        self._read_platform = read_platform
+        self._platform_reader = platform_reader
         self._log = log
         self._earliest_arrival = earliest_arrival
         self._directive = None
@@ -125,7 +125,7 @@
             await asyncio.sleep(FIRST_START_DELAY)
         interval = DIRECT_READ_INTERVAL
         while self._directive is None:
-            peers = await self._read_platform.peers()
+            peers = await self._platform_reader.peers()
             if is_failure(peers):
                 self._log.decision("introduction_failed", reason=peers.reason)
                 peers = []
@@ -156,7 +156,7 @@
                 or monotonic() < no_reader_since + DIRECT_READ_AFTER
             ):
                 continue
-            directive = await self._read_platform(self._directive)
+            directive = await self._platform_reader(self._directive)
             if is_failure(directive):
                 self._log.change("platform_lost", reason=directive.reason)
             else:
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -148,8 +148,10 @@
         """
         while True:
             await ticks.next()
-            if any(not item.complete for item in self.swarm.by_digest.values()) or any(
-                item.new_chunks for item in self.swarm.by_digest.values()
+            if any(
+                not item.complete for item in self.swarm.transfer_by_digest.values()
+            ) or any(
+                item.new_chunks for item in self.swarm.transfer_by_digest.values()
             ):
                 self._step(Tick())
 
@@ -187,7 +189,7 @@
         self.swarm.announce_every = max(
             ANNOUNCE_INTERVAL, ANNOUNCE_INTERVAL_PER_HOST * len(self.region_nodes())
         )
-        for name in list(self.swarm.by_digest):
+        for name in list(self.swarm.transfer_by_digest):
             self._step(
                 ParticipantsChanged(
                     digest=name,
--- a/hawthornspoke/spread/_fetches.py
+++ b/hawthornspoke/spread/_fetches.py
@@ -98,7 +98,7 @@
         if isinstance(link, Failure):
             self._fail(fetch, "unreachable")
             return
-        if fetch.digest not in self._swarm.by_digest:
+        if fetch.digest not in self._swarm.transfer_by_digest:
             # The version was dropped while the connection was being made, and the piece
             # would use a peer's link for nothing.
             return
@@ -127,7 +127,7 @@
     async def fetch_from_origin(self, fetch):
         """Fetch a piece from the origin."""
         weights = self._weights_by_name.get(fetch.digest)
-        if fetch.digest not in self._swarm.by_digest:
+        if fetch.digest not in self._swarm.transfer_by_digest:
             return
         if weights is None or self.origin_address is None:
             self._fail(fetch, "failed")
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -47,7 +47,7 @@
         The engine on this host; see ``Installer``.
     origin : object
         Provides ``manifest`` and ``piece``; see ``Manifests`` and ``PieceExchange``.
-    read_platform : coroutine function
+    platform_reader : coroutine function
         Reads the platform once, given the last Directive or None, and returns a
         Directive or a Failure; used only while no entry host that reads the platform
         is connected. Its attribute ``peers``, a coroutine function too, reads only the
@@ -75,7 +75,7 @@
         "_engine_down",
     )
 
-    def __init__(self, *, settings, engine, origin, read_platform):
+    def __init__(self, *, settings, engine, origin, platform_reader):
         self.settings = settings
         self.engine = engine
         self.log = EventLog(node=settings.node)
@@ -102,7 +102,7 @@
             settings=settings,
             delivery=self.delivery,
             entry_links=self.entry_links,
-            read_platform=read_platform,
+            platform_reader=platform_reader,
             log=self.log,
             earliest_arrival=self.stall_detector.earliest_arrival,
         )
@@ -238,7 +238,9 @@
                 loading=observed is not None and (observed.busy or self._order_pending),
                 running=observed and observed.running,
                 waiting=observed and observed.waiting,
-                origin_bytes=self.metrics.value("piece_bytes_total", source="origin"),
+                origin_bytes=self.metrics.counter_value(
+                    "piece_bytes_total", source="origin"
+                ),
             )
 
     async def _observe_engine(self):
--- a/hawthornspoke/spread/tests/test_after_a_wait.py
+++ b/hawthornspoke/spread/tests/test_after_a_wait.py
@@ -14,7 +14,7 @@
 
 from hawthornspoke.base import boottime_clock
 from hawthornspoke.catalog import EngineProfile, Incarnation
-from hawthornspoke.peering import connect, directive
+from hawthornspoke.peering import connect, make_directive
 from hawthornspoke.protocol import Chunk, Frame
 from hawthornspoke.spread._upgrade import PiecesComplete
 from hawthornspoke.spread._uploads import UploadQueue
@@ -161,7 +161,7 @@
 
 def version_directive(hosts, age, engine: EngineProfile = ENGINE):
     """Return an entry host's directive for version 1."""
-    return directive(
+    return make_directive(
         engine=engine,
         version=1,
         age=age,
--- a/hawthornspoke/spread/tests/test_agents.py
+++ b/hawthornspoke/spread/tests/test_agents.py
@@ -6,7 +6,7 @@
 from hawthornspoke.base import digest_of, is_failure
 from hawthornspoke.catalog import EndpointEntry
 from hawthornspoke.catalog.tests.profiles import engine_profile
-from hawthornspoke.peering import connect, directive, peer_endpoints
+from hawthornspoke.peering import connect, make_directive, peer_endpoints
 from hawthornspoke.protocol import ChunkAsk, Frame, ManifestAsk
 from hawthornspoke.spread import (
     ENGINE_CHANGED,
@@ -170,7 +170,7 @@
             ),
             engine=engine,
             origin=self.origin,
-            read_platform=FakePlatform(self),
+            platform_reader=FakePlatform(self),
         )
         self.agents.append(agent)
         self.tasks.append(asyncio.create_task(agent.run()))
@@ -192,7 +192,7 @@
     async def declare(self, version, *, age=0.0, bound=8.0, with_peers=True):
         """Send a declaration of a version from an entry host to all agents."""
         entries = self.entries()
-        declaration = directive(
+        declaration = make_directive(
             engine=ENGINE,
             version=version,
             age=age,
@@ -318,7 +318,7 @@
             hosts.ips[0], PORT, on_frame=record_state, on_closed=_ignore, timeout=1.0
         )
         hosts.links.append(link)
-        declaration = directive(
+        declaration = make_directive(
             engine=ENGINE, version=1, age=None, peers=None, origin=None, bound=8.0
         )
         link.send(Frame(directive=declaration))
--- a/hawthornspoke/spread/tests/test_frames.py
+++ b/hawthornspoke/spread/tests/test_frames.py
@@ -75,7 +75,7 @@
         ),
         engine=None,
         origin=Origin(),
-        read_platform=None,
+        platform_reader=None,
     )
     agent._on_frame(Link(), Frame(directive=directive()))
     agent.exchange.start_transfer(
--- a/hawthornspoke/spread/tests/test_incarnations.py
+++ b/hawthornspoke/spread/tests/test_incarnations.py
@@ -7,7 +7,7 @@
 from hawthornspoke.base import digest_of, is_failure, monotonic
 from hawthornspoke.catalog import UNKNOWN_START, Incarnation
 from hawthornspoke.events import EventLog
-from hawthornspoke.peering import connect, directive
+from hawthornspoke.peering import connect, make_directive
 from hawthornspoke.protocol import Frame
 from hawthornspoke.spread import ENGINE_CHANGED, EngineSnapshot, Upgrade
 from hawthornspoke.spread._installer import Installer
@@ -385,7 +385,7 @@
         hosts.links.append(link)
         await asyncio.sleep(0.2)
         await hosts.declare(1)
-        declaration = directive(
+        declaration = make_directive(
             engine=ENGINE, version=1, age=None, peers=None, origin=None, bound=8.0
         )
         link.send(Frame(directive=declaration))
--- a/hawthornspoke/swarm/_planner.py
+++ b/hawthornspoke/swarm/_planner.py
@@ -80,7 +80,7 @@
         "avoid_for",
         "origin_avoid_for",
         "seed",
-        "by_digest",
+        "transfer_by_digest",
         "_early_announcements",
         "_peer_fetches",
         "_origin_fetches",
@@ -118,7 +118,7 @@
         self.avoid_for = avoid_for
         self.origin_avoid_for = origin_avoid_for
         self.seed = seed
-        self.by_digest = {}
+        self.transfer_by_digest = {}
         self._early_announcements = {}
         self._peer_fetches = 0
         self._origin_fetches = 0
@@ -137,7 +137,7 @@
         -------
         list
         """
-        if message.digest in self.by_digest:
+        if message.digest in self.transfer_by_digest:
             return []
         transfer = Transfer(
             node=self.node,
@@ -152,7 +152,7 @@
             seed=self.seed,
             now=now,
         )
-        self.by_digest[message.digest] = transfer
+        self.transfer_by_digest[message.digest] = transfer
         hosts = _participants(message.participants, message.region_by_domain)
         transfer.set_participants(hosts, now=now)
         for index in message.held:
@@ -166,7 +166,7 @@
 
     def on_participants_changed(self, message, *, now):
         """Update the set of participating hosts."""
-        transfer = self.by_digest.get(message.digest)
+        transfer = self.transfer_by_digest.get(message.digest)
         if transfer is None or self.node not in message.participants:
             return []
         hosts = _participants(message.participants, message.region_by_domain)
@@ -175,7 +175,7 @@
 
     def on_transfer_cancelled(self, message, *, now):
         """Stop a transfer; results of its in-flight fetches are ignored."""
-        transfer = self.by_digest.pop(message.digest, None)
+        transfer = self.transfer_by_digest.pop(message.digest, None)
         if transfer is not None:
             for source in transfer.in_flight_by_index.values():
                 self._release(transfer, source)
@@ -183,7 +183,7 @@
 
     def on_peer_announced(self, message, *, now):
         """Record the chunks a peer has announced and fetch those that are missing."""
-        transfer = self.by_digest.get(message.digest)
+        transfer = self.transfer_by_digest.get(message.digest)
         if transfer is None:
             self._store_early_announcement(message)
             return []
@@ -215,7 +215,7 @@
 
     def on_chunk_verified(self, message, *, now):
         """Mark a received chunk as held and plan further fetches."""
-        transfer = self.by_digest.get(message.digest)
+        transfer = self.transfer_by_digest.get(message.digest)
         if transfer is None:
             return []
         source = self._end_fetch(transfer, message.index)
@@ -236,7 +236,7 @@
         """Record a failed fetch and choose another source immediately."""
         count = self.failed_by_cause.get(message.cause, 0)
         self.failed_by_cause[message.cause] = count + 1
-        transfer = self.by_digest.get(message.digest)
+        transfer = self.transfer_by_digest.get(message.digest)
         if transfer is None:
             return []
         source = self._end_fetch(transfer, message.index)
@@ -249,12 +249,12 @@
     def on_tick(self, message, *, now):
         """Send due announcements, probe silent owners and query peers if idle."""
         outcomes = []
-        for transfer in self.by_digest.values():
+        for transfer in self.transfer_by_digest.values():
             transfer.now = now
             if transfer.new_chunks and now >= transfer.next_announcement_at:
                 outcomes += self._announce(transfer, now=now)
         outcomes += self._plan(now=now)
-        for transfer in self.by_digest.values():
+        for transfer in self.transfer_by_digest.values():
             if transfer.complete:
                 continue
             outcomes += self._probe_owner(transfer, now=now)
@@ -264,7 +264,7 @@
 
     def on_peer_unreachable(self, message, *, now):
         """Mark a peer as unreachable and avoid it for ``avoid_for`` seconds."""
-        transfer = self.by_digest.get(message.digest)
+        transfer = self.transfer_by_digest.get(message.digest)
         if transfer is None or message.node not in transfer.participants:
             return []
         peer = transfer.participants[message.node]
@@ -281,7 +281,7 @@
         """
         return {
             digest: 1000 * len(transfer.held) // max(1, transfer.chunks)
-            for digest, transfer in self.by_digest.items()
+            for digest, transfer in self.transfer_by_digest.items()
             if not transfer.complete
         }
 
@@ -293,7 +293,7 @@
             "failed_by_cause": dict(self.failed_by_cause),
             "by_digest": {
                 digest: self._dump_transfer(transfer, now)
-                for digest, transfer in self.by_digest.items()
+                for digest, transfer in self.transfer_by_digest.items()
             },
         }
 
@@ -321,7 +321,9 @@
     def _plan(self, *, now):
         """Start fetches in free slots, by priority and then size of the transfers."""
         outcomes = []
-        for transfer in sorted(self.by_digest.values(), key=_transfer_sort_key):
+        for transfer in sorted(
+            self.transfer_by_digest.values(), key=_transfer_sort_key
+        ):
             if transfer.complete:
                 continue
             transfer.now = now
--- a/hawthornspoke/swarm/tests/test_origin_backoff.py
+++ b/hawthornspoke/swarm/tests/test_origin_backoff.py
@@ -49,7 +49,7 @@
 def test_known_chunk_does_not_end_origin_backoff():
     swarm, first = refused_swarm()
     other = (first + 1) % CHUNKS
-    swarm.by_digest["d"].record_holdings(NAMES[1], (other,), 1, now=1.5)
+    swarm.transfer_by_digest["d"].record_holdings(NAMES[1], (other,), 1, now=1.5)
     again = PeerAnnounced(digest="d", node=NAMES[2], indices=(other,), held=1)
     assert origin_reads(swarm.step(again, now=1.6)) == []
     assert len(origin_reads(swarm.step(Tick(), now=1.0 + AVOID_FOR))) == 1
--- a/hawthornspoke/swarm/tests/test_regional.py
+++ b/hawthornspoke/swarm/tests/test_regional.py
@@ -240,15 +240,15 @@
         **shared,
     )
     swarm.step(request, now=0.0)
-    group = swarm.by_digest["d"].group_nodes()
+    group = swarm.transfer_by_digest["d"].group_nodes()
     for index in range(CHUNKS):
         swarm.step(ChunkVerified(digest="d", index=index), now=0.1)
     leaving = next(name for name in hosts if name not in group)
     left = {name: entry for name, entry in hosts.items() if name != leaving}
     swarm.step(ParticipantsChanged(participants=left, **shared), now=0.2)
-    assert swarm.by_digest["d"].group_nodes() == group
-    swarm.by_digest["d"].injected = set(range(CHUNKS))
-    swarm.by_digest["d"].new_chunks = list(range(CHUNKS))
+    assert swarm.transfer_by_digest["d"].group_nodes() == group
+    swarm.transfer_by_digest["d"].injected = set(range(CHUNKS))
+    swarm.transfer_by_digest["d"].new_chunks = list(range(CHUNKS))
     announced = swarm.step(Tick(), now=0.3)
     addresses = {address for item in announced for address, _ in item.targets}
     assert leaving not in addresses
