--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -318,56 +318,76 @@
         file="relay/_admission.py",
         old="            failure = self._check_caller(context)\n",
         new="            failure = None\n",
-        test="hawthornspoke/relay/tests/test_after_a_wait.py -k process_stalled",
+        test=(
+            "hawthornspoke/relay/tests/test_checks_after_suspension.py"
+            " -k process_stalled"
+        ),
     ),
     Mutation(
         name="after a wait: configuration not checked",
         file="relay/_admission.py",
         old="        failure = self._check_configuration(context)\n",
         new="        failure = None\n",
-        test="hawthornspoke/relay/tests/test_after_a_wait.py -k removed_before_send",
+        test=(
+            "hawthornspoke/relay/tests/test_checks_after_suspension.py"
+            " -k removed_before_send"
+        ),
     ),
     Mutation(
         name="after a wait: endpoint not checked",
         file="relay/_admission.py",
         old="            if isinstance(decision, Rejection):",
         new="            if False:",
-        test="hawthornspoke/relay/tests/test_after_a_wait.py -k endpoint_that",
+        test=(
+            "hawthornspoke/relay/tests/test_checks_after_suspension.py -k endpoint_that"
+        ),
     ),
     Mutation(
         name="after a wait: orders are not checked",
         file="spread/_installer.py",
         old="        failure = self._check_order(is_order_valid, verified_until)\n",
         new="        failure = None\n",
-        test="hawthornspoke/spread/tests/test_after_a_wait.py -k version_that_expired",
+        test=(
+            "hawthornspoke/spread/tests/test_checks_after_suspension.py"
+            " -k version_that_expired"
+        ),
     ),
     Mutation(
         name="after a wait: pending puts are not cancelled",
         file="spread/_installer.py",
         old="        await self._cancel_puts()\n",
         new="",
-        test="hawthornspoke/spread/tests/test_after_a_wait.py -k pending_put",
+        test=(
+            "hawthornspoke/spread/tests/test_checks_after_suspension.py -k pending_put"
+        ),
     ),
     Mutation(
         name="after a wait: engine calls are not checked",
         file="agent/_engines.py",
         old="        failure = precheck() if precheck is not None else None\n",
         new="        failure = None\n",
-        test="hawthornspoke/agent/tests/test_after_a_wait.py -k agent_stalled",
+        test=(
+            "hawthornspoke/agent/tests/test_checks_after_suspension.py -k agent_stalled"
+        ),
     ),
     Mutation(
         name="after a wait: submits are not checked",
         file="protocol/_connection.py",
         old="        failure = precheck() if precheck is not None else None\n",
         new="        failure = None\n",
-        test="hawthornspoke/entry/tests/test_after_a_wait.py -k caller_disconnects",
+        test=(
+            "hawthornspoke/entry/tests/test_checks_after_suspension.py"
+            " -k caller_disconnects"
+        ),
     ),
     Mutation(
         name="after a wait: calls are sent after their deadline",
         file="httpio/_fetch.py",
         old="            if boottime_clock() >= deadline or not connection.is_open:",
         new="            if not connection.is_open:",
-        test="hawthornspoke/httpio/tests/test_after_a_wait.py -k its_deadline",
+        test=(
+            "hawthornspoke/httpio/tests/test_checks_after_suspension.py -k its_deadline"
+        ),
     ),
     Mutation(
         name="poison: repeats are not recognized",
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -15,9 +15,9 @@
     MODEL,
     PLAIN,
     Engine,
+    FakeStore,
     Origin,
     Proxy,
-    StandinStore,
     configuration,
 )
 
@@ -48,7 +48,7 @@
     def __init__(self, *, seed, seconds, folder):
         self.random = random.Random(seed)
         self.seed, self.seconds, self.folder = seed, seconds, folder
-        self.store = StandinStore()
+        self.store = FakeStore()
         self.origin = Origin()
         self.keys = {"k1", "k2", "k3"}
         self.revoked = {}
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -7,7 +7,7 @@
 from hashlib import sha256
 from urllib.parse import parse_qs, urlsplit
 
-from adapter.tests.standin_store import StandinStore
+from adapter.tests.fake_store import FakeStore
 
 from hawthornspoke.httpio import HttpServer
 
@@ -350,4 +350,4 @@
     }
 
 
-__all__ = ["Engine", "Origin", "Proxy", "StandinStore", "configuration"]
+__all__ = ["Engine", "FakeStore", "Origin", "Proxy", "configuration"]
