--- a/hawthornspoke/settings/_reference.py
+++ b/hawthornspoke/settings/_reference.py
@@ -4,12 +4,12 @@
 
 INTRODUCTION = """# Settings
 
-Made from the schema by `python -m hawthornspoke.settings`; a test compares.
+Generated from the schema by `python -m hawthornspoke.settings`; a test compares both.
 
 A process reads its TOML file, then the environment (`HAWTHORNSPOKE_PORT=7700`,
-`HAWTHORNSPOKE_PLATFORM_TIMEOUT=1.5`), then flags (`--set port=7700`); the later
-wins. Every key is checked at start; all errors are shown at once, and the process
-ends with code 2. Operators' commands need the `[platform]` table only.
+`HAWTHORNSPOKE_PLATFORM_TIMEOUT=1.5`), then flags (`--set port=7700`); later sources
+override earlier ones. All keys are validated at start; the process reports all errors
+and exits with code 2. Operators' commands need only the `[platform]` table.
 """
 
 
--- a/hawthornspoke/settings/_schema.py
+++ b/hawthornspoke/settings/_schema.py
@@ -41,10 +41,12 @@
     "table_url": _setting(TEXT, REQUIRED, "Table service, DynamoDB JSON protocol."),
     "objects_url": _setting(TEXT, REQUIRED, "Object store, S3 REST protocol."),
     "hosts_url": _setting(TEXT, REQUIRED, "Host list, EndpointSlice JSON."),
-    "origin_url": _setting(TEXT, REQUIRED, "Origin of weights, HTTP with ranges."),
-    "timeout": _setting(SECONDS, 2.0, "Seconds without a byte from the platform."),
+    "origin_url": _setting(TEXT, REQUIRED, "Weight origin, HTTP with byte ranges."),
+    "timeout": _setting(
+        SECONDS, 2.0, "Read timeout in seconds of requests to the platform."
+    ),
     "poll_every": _setting(
-        SECONDS, 1.0, "Seconds between table reads of the nodes that poll."
+        SECONDS, 1.0, "Seconds between table reads of each failure domain's pollers."
     ),
     "idle_poll_every": _setting(
         SECONDS, 30.0, "Seconds between table reads of all other nodes."
@@ -55,21 +57,29 @@
 NODE = {
     "node": _setting(TEXT, REQUIRED, "Name of the host, as in the host list."),
     "failure_domain": _setting(TEXT, REQUIRED, "Failure domain of the host."),
-    "address": _setting(TEXT, REQUIRED, "IP address that other nodes reach."),
+    "address": _setting(
+        TEXT, REQUIRED, "IP address at which other nodes reach this one."
+    ),
     "port": _setting(PORT, 7700, "TCP and UDP port for other nodes."),
-    "operator_port": _setting(PORT, 7701, "Port of health, metrics and dump."),
+    "operator_port": _setting(
+        PORT, 7701, "HTTP port for health checks, metrics and the state dump."
+    ),
     "heartbeat_every": _setting(SECONDS, 0.5, "Seconds between heartbeats."),
     "suspect_after": _setting(
-        SECONDS, 2.0, "Seconds of silence after which no new work goes to a node."
+        SECONDS,
+        2.0,
+        "Seconds without a message after which a node gets no new requests.",
     ),
     "dead_after": _setting(
-        SECONDS, 6.0, "Seconds of silence after which a node counts as gone."
+        SECONDS, 6.0, "Seconds without a message after which a node is considered dead."
     ),
     "grace": _setting(
-        SECONDS, 60.0, "Seconds that a shutdown waits for requests in progress."
+        SECONDS, 60.0, "Maximum seconds that a shutdown waits for requests in progress."
     ),
     "allow_faults": _setting(
-        Bounds(kind=bool), False, "For tests: POST /_partition cuts addresses off."
+        Bounds(kind=bool),
+        False,
+        "For tests: accept POST /_partition, which blocks addresses.",
     ),
     "log_level": _setting(
         Bounds(kind=str, choices=("DEBUG", "INFO", "WARNING", "ERROR")),
@@ -82,13 +92,17 @@
     **NODE,
     "http_port": _setting(PORT, 8080, "Port of the callers' API."),
     "threads": _setting(
-        Bounds(kind=int, low=1, high=4096), 128, "Requests handled at once."
+        Bounds(kind=int, low=1, high=4096),
+        128,
+        "Maximum number of concurrent requests.",
     ),
     "max_body": _setting(
-        Bounds(kind=int, low=1), 8 * 1024 * 1024, "Bytes of a request body at most."
+        Bounds(kind=int, low=1),
+        8 * 1024 * 1024,
+        "Maximum size of a request body in bytes.",
     ),
     "default_timeout": _setting(
-        SECONDS, 60.0, "Seconds a request may take if it does not say."
+        SECONDS, 60.0, "Timeout in seconds of a request that sets none."
     ),
     "policy": _setting(
         Bounds(kind=str, choices=tuple(POLICIES.names())),
@@ -96,12 +110,14 @@
         "Routing policy.",
     ),
     "retry_ratio": _setting(
-        Bounds(kind=NUMERIC_TYPES, low=0, high=1), 0.1, "Retries earned by a success."
+        Bounds(kind=NUMERIC_TYPES, low=0, high=1),
+        0.1,
+        "Retries permitted per successful request.",
     ),
     "leave_wait": _setting(
         Bounds(kind=NUMERIC_TYPES, low=0),
         1.0,
-        "Seconds a leaving entry host still takes work while the balancer learns.",
+        "Seconds that a leaving entry host still accepts requests from the balancer.",
     ),
     "attempt_timeout": _setting(
         SECONDS, 5.0, "Seconds without a sign from an endpoint that has a request."
@@ -112,35 +128,55 @@
     **NODE,
     "engine_url": _setting(TEXT, REQUIRED, "Engine or plain service on this host."),
     "engine_kind": _setting(
-        Bounds(kind=str, choices=("model", "plain")), "model", "What runs there."
+        Bounds(kind=str, choices=("model", "plain")),
+        "model",
+        "Kind of service at `engine_url`.",
+    ),
+    "slots": _setting(
+        Bounds(kind=int, low=1),
+        8,
+        "Maximum number of requests that the engine runs concurrently.",
+    ),
+    "queue_limit": _setting(
+        Bounds(kind=int, low=0), 32, "Maximum number of queued requests."
     ),
-    "slots": _setting(Bounds(kind=int, low=1), 8, "Requests the engine runs at once."),
-    "queue_limit": _setting(Bounds(kind=int, low=0), 32, "Requests that wait at most."),
     "memory": _setting(
-        Bounds(kind=int, low=0), 256 * 1024 * 1024, "Bytes of weights held at most."
+        Bounds(kind=int, low=0),
+        256 * 1024 * 1024,
+        "Maximum bytes of weights held by the agent.",
     ),
     "link_rate": _setting(
         Bounds(kind=NUMERIC_TYPES, low=0),
         0,
-        "Bytes of weights a second each way; 0: any.",
+        "Maximum bytes of weights per second in each direction; 0 for no limit.",
     ),
     "peer_slots": _setting(
-        Bounds(kind=int, low=1, high=64), 8, "Chunks fetched from peers at once."
+        Bounds(kind=int, low=1, high=64),
+        8,
+        "Maximum number of chunks fetched from peers concurrently.",
     ),
     "serve_slots": _setting(
-        Bounds(kind=int, low=1, high=256), 16, "Chunks sent to peers at once."
+        Bounds(kind=int, low=1, high=256),
+        16,
+        "Maximum number of chunks sent to peers concurrently.",
     ),
     "origin_slots": _setting(
-        Bounds(kind=int, low=1, high=64), 2, "Chunks fetched from the origin at once."
+        Bounds(kind=int, low=1, high=64),
+        2,
+        "Maximum number of chunks fetched from the origin concurrently.",
     ),
     "announce_every": _setting(
-        SECONDS, 0.25, "Seconds of new chunks in one announcement."
+        SECONDS, 0.25, "Minimum seconds between announcements of new chunks."
     ),
     "stall_after": _setting(
-        SECONDS, 3.0, "Seconds without news after which a chunk's owner is replaced."
+        SECONDS,
+        3.0,
+        "Minimum seconds without progress after which a chunk's owner is replaced.",
     ),
     "settle": _setting(
-        SECONDS, 1.5, "Seconds a host announces a swap in place before it begins."
+        SECONDS,
+        1.5,
+        "Seconds between the announcement and the start of an in-place swap.",
     ),
 }
 
