--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -447,7 +447,7 @@
             self._step_deployment(message, now)
             return
         start_transfer = self.start_transfer_by_digest[digest]
-        request = TransferRequested(
+        transfer_request = TransferRequested(
             digest=digest,
             chunks=len(message.manifest.chunks),
             size=message.manifest.size,
@@ -457,7 +457,7 @@
             priority=start_transfer.priority,
             **transfer_options(self.document),
         )
-        self._step_swarm(request, now)
+        self._step_swarm(transfer_request, now)
 
     def _reserve_memory(self, manifest):
         """Reserve memory, evicting weights that are only kept for a rollback."""
