--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -258,7 +258,7 @@
 
     def on_hosts_changed(self, *, now):
         """Update the participants of running transfers."""
-        for digest in list(self.swarm.by_digest):
+        for digest in list(self.swarm.transfer_by_digest):
             message = ParticipantsChanged(
                 digest=digest,
                 participants=self._participants(digest),
@@ -280,7 +280,7 @@
             )
         running = {}
         for item in self.gate.running_by_id.values():
-            digest = item.admit.digest
+            digest = item.request.digest
             running[digest] = running.get(digest, 0) + 1
         self._step_deployment(DeploymentTick(running_by_digest=running), now)
         self._retry_manifests(now)
@@ -447,7 +447,7 @@
             self._step_deployment(message, now)
             return
         start_transfer = self.start_transfer_by_digest[digest]
-        request = TransferRequested(
+        transfer_request = TransferRequested(
             digest=digest,
             chunks=len(message.manifest.chunks),
             size=message.manifest.size,
@@ -457,7 +457,7 @@
             priority=start_transfer.priority,
             **transfer_options(self.document),
         )
-        self._step_swarm(request, now)
+        self._step_swarm(transfer_request, now)
 
     def _reserve_memory(self, manifest):
         """Reserve memory, evicting weights that are only kept for a rollback."""
@@ -478,7 +478,7 @@
 
     def _evict(self, digest):
         self.store.drop(digest)
-        self.swarm.by_digest.pop(digest, None)
+        self.swarm.transfer_by_digest.pop(digest, None)
         self.deployment.remove_stored_weights(digest)
 
     def _drop_transfer(self, digest, now):
@@ -549,7 +549,7 @@
                 states.append(HostState(node=view.node, state=state))
         return may_swap_weights(
             node=node,
-            digest=str(self.core.holder.revision),
+            ranking_key=str(self.core.holder.revision),
             hosts=states,
             max_unavailable=limit,
         )
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -3,7 +3,7 @@
 from hawthornspoke.base import boottime_clock, monotonic
 from hawthornspoke.catalog import UNKNOWN_TIME, declaration_age
 from hawthornspoke.httpio import ServerLimits
-from hawthornspoke.peering import directive
+from hawthornspoke.peering import make_directive
 from hawthornspoke.placing import (
     CatalogChanged,
     DeclarationDatesUpdated,
@@ -159,7 +159,7 @@
         known_until : float, default=UNKNOWN_TIME
             Time on the boot-time clock up to which all declarations were known.
         """
-        before = self._fleet.declared.latest(declared.model)
+        before = self._fleet.declared.latest_version(declared.model)
         message = WeightsDeclared(
             declared=declared,
             at=written_at,
@@ -167,7 +167,7 @@
             boottime_now=boottime_clock(),
         )
         self._fleet.step(message, now=monotonic())
-        if self._fleet.declared.latest(declared.model) == before:
+        if self._fleet.declared.latest_version(declared.model) == before:
             return
         self.log.change(
             "weights",
@@ -223,10 +223,12 @@
         catalog = self._handler.catalog
         origins = [item.origin for item in catalog.service_by_name.values()]
         declared = self._fleet.declared
-        return directive(
+        return make_directive(
             engine=engine,
-            version=declared.latest(engine.model),
-            age=declaration_age(declared.since(engine.model), boottime_clock()),
+            version=declared.latest_version(engine.model),
+            age=declaration_age(
+                declared.latest_declared_at(engine.model), boottime_clock()
+            ),
             peers=self._peers(service),
             origin=next((origin for origin in origins if origin), None),
             bound=self.settings.version_bound,
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -75,7 +75,7 @@
         connection = await self._pool.acquire(
             self.placement.endpoint_id,
             self.placement.address,
-            instance=self.placement.incarnation,
+            incarnation=self.placement.incarnation,
         )
         if isinstance(connection, Failure):
             self._end("unreachable")
@@ -97,7 +97,7 @@
         None or Failure
             ``CONNECTION_LOST`` if the connection had ended; nothing was sent.
         """
-        if self.connection.has_ended():
+        if self.connection.is_socket_closed():
             # The connection was closed between its acquisition and this write. Bytes
             # written to it would be counted as sent.
             self.abort()
@@ -239,7 +239,7 @@
     def _release(self):
         placement = self.placement
         self._pool.return_connection(
-            placement.endpoint_id, self.connection, instance=placement.incarnation
+            placement.endpoint_id, self.connection, incarnation=placement.incarnation
         )
         self.connection = None
 
--- a/hawthornspoke/spread/tests/test_after_a_wait.py
+++ b/hawthornspoke/spread/tests/test_checks_after_suspension.py
@@ -14,7 +14,7 @@
 
 from hawthornspoke.base import boottime_clock
 from hawthornspoke.catalog import EngineProfile, Incarnation
-from hawthornspoke.peering import connect, directive
+from hawthornspoke.peering import connect, make_directive
 from hawthornspoke.protocol import Chunk, Frame
 from hawthornspoke.spread._upgrade import PiecesComplete
 from hawthornspoke.spread._uploads import UploadQueue
@@ -161,7 +161,7 @@
 
 def version_directive(hosts, age, engine: EngineProfile = ENGINE):
     """Return an entry host's directive for version 1."""
-    return directive(
+    return make_directive(
         engine=engine,
         version=1,
         age=age,
@@ -214,8 +214,8 @@
             other.send(frame)
             time.sleep(1.0)
             await asyncio.sleep(0.1)
-            assert agent.directives.declared.latest("m") == 1
-            assert agent.directives.declared.since("m") <= sent_at - 1.0
+            assert agent.directives.declared.latest_version("m") == 1
+            assert agent.directives.declared.latest_declared_at("m") <= sent_at - 1.0
 
     asyncio.run(scenario())
 
