--- a/tests/callers.py
+++ b/tests/callers.py
@@ -9,7 +9,7 @@
 
 from tests.fleet import auth_headers
 
-TOKENS = 6
+TOKENS_PER_RESPONSE = 6
 
 
 class ClientResult:
@@ -20,6 +20,12 @@
     outcome : str
         ``done``, ``not_run``, ``unknown`` or ``cut`` (connection lost before the
         response was complete).
+    mismatch : str
+        How the response differs from the expected one; empty if it does not.
+    code : str
+        Error code and message, or the name of the exception.
+    at : float
+        Time of the outcome on the monotonic clock.
     """
 
     def __init__(self, request_id, outcome, status, mismatch, seconds, code=""):
@@ -76,15 +82,16 @@
             thread.join(timeout=30)
 
     def wait_results(self, count, seconds=20):
+        """Wait until ``count`` more requests have ended."""
         expected_count = len(self.results) + count
         self.fleet.wait_for(lambda: len(self.results) >= expected_count, seconds)
 
     def mismatches(self):
-        """Return descriptions of all incorrect responses."""
+        """Return a description of each incorrect response."""
         return [item.mismatch for item in self.results if item.mismatch]
 
     def failed_requests(self):
-        """Return time and cause of all requests without a successful response."""
+        """Return time, outcome and cause of all unsuccessful requests."""
         return [
             f"{item.at - self.started_at:.2f} s: {item.outcome} {item.code}"
             for item in self.results
@@ -115,7 +122,7 @@
             if not name.endswith(".engine"):
                 continue
             for item in self.fleet.runs(name.removesuffix(".engine"))["runs"]:
-                request_id = _run_id(item).rpartition("-")[0]
+                request_id = _logged_request_id(item).rpartition("-")[0]
                 counts[request_id] = counts.get(request_id, 0) + 1
         return counts
 
@@ -133,7 +140,7 @@
         body = {
             "model": "redacteur",
             "prompt": prompt,
-            "max_tokens": TOKENS,
+            "max_tokens": TOKENS_PER_RESPONSE,
             "stream": self.stream,
         }
         headers = auth_headers()
@@ -181,7 +188,7 @@
     from hawthornspoke.base import digest_of
 
     name = f"{digest[:12]}:{digest_of(json.dumps(prompt).encode())[:6]}"
-    expected = "".join(f"{name}:{position} " for position in range(TOKENS))
+    expected = "".join(f"{name}:{position} " for position in range(TOKENS_PER_RESPONSE))
     return "" if text == expected else f"expected {expected!r}, got {text!r}"
 
 
@@ -198,5 +205,6 @@
     return "".join(tree["choices"][0]["text"] for tree in trees)
 
 
-def _run_id(item):
+def _logged_request_id(item):
+    """Return the request id of a run; plain services log runs as objects."""
     return item["request_id"] if isinstance(item, dict) else item
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,12 +11,12 @@
 
 
 def weights(seed, chunks=DEFAULT_CHUNK_COUNT):
-    """Return pseudorandom weights for a seed."""
+    """Return pseudorandom weights for a seed; the last chunk is not full."""
     return random.Random(seed).randbytes(chunks * CHUNK_SIZE - 7)
 
 
 def start_fleet(fleet):
-    """Start a fleet with redac-v1 live on all model hosts."""
+    """Start a fleet and wait until redac-v1 is live on all model hosts."""
     fleet.start()
     fleet.publish("redac-v1", weights(1))
     fleet.publish("redac-v2", weights(2))
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -41,7 +41,8 @@
         Number of hosts with a model engine.
     plain : int, default=1
         Number of hosts with a plain service.
-    domains : tuple of str, default=DOMAINS
+    domains : tuple of str, default=FAILURE_DOMAINS
+        Failure domains, assigned to the hosts of each kind in turn.
     platform_options, engine_options : list of str
         Additional command-line options of the simulated platform and engines.
     entry_settings, agent_settings : dict
@@ -116,7 +117,7 @@
 
     def start(self):
         self.start_platform()
-        self.list_hosts()
+        self.publish_host_list()
         if self.engines_per_process:
             self._start_shared_engines()
         else:
@@ -245,7 +246,7 @@
     # Network partitions.
 
     def partition(self, domain, *, from_platform=True, from_domains=True):
-        """Partition a failure domain from the others and from the platform."""
+        """Cut the connections of a failure domain to other domains and the platform."""
         partitioned = [host for host in self.hosts if host["failure_domain"] == domain]
         outside = [host for host in self.hosts if host["failure_domain"] != domain]
         platform = [f"{self.net}.0.1"] if from_platform else []
@@ -267,7 +268,7 @@
 
     # Platform.
 
-    def list_hosts(self, leaving=(), missing=()):
+    def publish_host_list(self, leaving=(), missing=()):
         hosts = [
             {**host, "leaving": host["host"] in leaving}
             for host in self.hosts
@@ -290,7 +291,7 @@
 
     # Operators.
 
-    def command(self, *arguments):
+    def run_command(self, *arguments):
         file = str(self.platform_file())
         return subprocess.run(
             [sys.executable, "-m", "hawthornspoke", *arguments, "--platform", file],
@@ -307,15 +308,15 @@
 
     def apply(self, *options):
         folder = self.folder / "declarations"
-        done = self.command("apply", str(folder), *options)
-        assert done.returncode == 0, done.stderr + done.stdout
-        return done.stdout
+        completed = self.run_command("apply", str(folder), *options)
+        assert completed.returncode == 0, completed.stderr + completed.stdout
+        return completed.stdout
 
     def dump(self, name):
         url = f"http://{self.host(name)['address']}:{self.base_port + 2}/dump"
         return self.get(url)
 
-    def ready(self, name):
+    def is_ready(self, name):
         url = f"http://{self.host(name)['address']}:{self.base_port + 2}/readyz"
         try:
             return self.http.request("GET", url, timeout=2).status == 200
@@ -379,11 +380,11 @@
     def wait_ready(self, names=None, seconds=30.0):
         names = names or [host["host"] for host in self.hosts]
         for name in names:
-            self.wait_for(lambda name=name: self.ready(name), seconds)
+            self.wait_for(lambda name=name: self.is_ready(name), seconds)
         self.wait_for(self.membership_converged, seconds)
 
     def membership_converged(self):
-        """Return whether all running entry hosts know the agents they should know."""
+        """Return whether each running entry host knows enough of the running agents."""
         return all(
             self._has_converged(host["host"])
             for host in self.hosts
@@ -402,7 +403,8 @@
             for host in self.hosts
             if host["role"] == "agent" and self.is_running(host["host"])
         ]
-        # Entry hosts receive only a summary of other failure domains.
+        # Entry hosts know all agents of their own failure domain, but receive only a
+        # summary of the others.
         local = {host["host"] for host in agents if host["failure_domain"] == domain}
         remote = {host["host"] for host in agents} - local
         return local <= known and len(remote & known) >= min(
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,7 @@
 """Run the test suite, tolerating only failures of tests listed in KNOWN-RED.txt.
 
-Each line of KNOWN-RED.txt has a test id, a cause and an issue, separated by `` | ``.
+Each line of KNOWN-RED.txt has a test id, the failure that was seen and an issue,
+separated by `` | ``. Empty lines and lines that start with ``#`` are ignored.
 """
 
 import re
@@ -8,16 +9,16 @@
 import sys
 from pathlib import Path
 
-FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MAX_ENTRIES = 3
 TESTS_FAILED = 1
 
 
 def read_known_red():
     """Print the entries of KNOWN-RED.txt and return their test ids."""
-    if not FILE.exists():
+    if not KNOWN_RED_FILE.exists():
         return []
-    lines = [line.strip() for line in FILE.read_text().splitlines()]
+    lines = [line.strip() for line in KNOWN_RED_FILE.read_text().splitlines()]
     lines = [line for line in lines if line and not line.startswith("#")]
     for line in lines:
         print(f"known red: {line}")
@@ -25,10 +26,10 @@
 
 
 def main():
-    """Run pytest; return 0 if only listed tests failed."""
+    """Run pytest; return 0 if all tests passed or only listed tests failed."""
     listed = read_known_red()
     if len(listed) > MAX_ENTRIES:
-        print(f"KNOWN-RED.txt has {len(listed)} lines; at most {MAX_ENTRIES} may land")
+        print(f"KNOWN-RED.txt has {len(listed)} entries; at most {MAX_ENTRIES} allowed")
         return 1
     pytest = Path(sys.executable).with_name("pytest")
     completed = subprocess.run([pytest, "-rf"], stdout=subprocess.PIPE, text=True)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -1,9 +1,9 @@
 """Mutation tests: disable one mechanism at a time and check that its test fails.
 
-A test that also passes without its mechanism proves nothing. Run by hand::
+A test that also passes without its mechanism does not verify it. Run by hand::
 
     python -m tests.mutations            # all, on scratch copies
-    python -m tests.mutations poison     # those whose name contains this word
+    python -m tests.mutations poison     # mutations whose names contain this text
 """
 
 import shutil
@@ -28,7 +28,7 @@
     old, new : str
         Source text that implements the mechanism, and its replacement.
     also : tuple of str, default=()
-        Second pair of old and new text, for mechanisms with two guards.
+        Second pair of old and new text, for mechanisms in two places.
     test : str, default=""
         pytest arguments of the test that must fail.
     """
@@ -81,7 +81,7 @@
         test="tests/test_promise_weights.py -k one_version",
     ),
     Mutation(
-        name="weights are not checked again at the start",
+        name="queued requests start without a digest check",
         file="gate/_gate.py",
         old="            if self._has_wrong_digest(entry.admit):",
         new="            if False:",
@@ -95,7 +95,7 @@
         test="tests/test_connection.py -k late",
     ),
     Mutation(
-        name="a stream without its end mark is complete",
+        name="a stream without its end marker is accepted",
         file="agent/_engines.py",
         old="        if rest or not ended:",
         new="        if False:",
@@ -123,7 +123,7 @@
         test="tests/test_promise_once.py -k all_entry_hosts_at_once",
     ),
     Mutation(
-        name="a lost claim is not read back",
+        name="a claim without an answer is not read back",
         file="claims/_claim.py",
         old='if message.outcome in ("conflict", "unsure"):',
         new='if message.outcome == "conflict":',
@@ -162,7 +162,7 @@
         test="tests/test_promise_shutdown.py -k entry_host",
     ),
     Mutation(
-        name="agents do not wait for their streams",
+        name="agents exit with running requests",
         file="agent/_process.py",
         old='return self.ask("is_idle") is True',
         new="return True",
@@ -229,7 +229,7 @@
         test="hawthornspoke/placing/tests/test_ask_cost.py -k match_the_latest",
     ),
     Mutation(
-        name="a request's end counts for any incarnation",
+        name="a request end counts for any incarnation",
         file="placing/_directory.py",
         old="if endpoint is None or not endpoint.is_target(message.incarnation):",
         new="if endpoint is None:",
@@ -257,7 +257,7 @@
         test="hawthornspoke/placing/tests/test_incarnations.py -k before_the_list",
     ),
     Mutation(
-        name="connections outlive the incarnation",
+        name="connections outlive their incarnation",
         file="httpio/_pool.py",
         old="[item for item in idle if item.instance != instance]",
         new="[]",
@@ -271,7 +271,7 @@
         test="hawthornspoke/mirror/tests/test_tables.py -k late",
     ),
     Mutation(
-        name="an order's reply counts after a restart",
+        name="an order's reply is used after a restart",
         file="spread/_installer.py",
         old="                if _has_restarted(before, observed):",
         new="                if False:",
@@ -285,7 +285,7 @@
         test="hawthornspoke/spread/tests/test_incarnations.py -k verified_incarnation",
     ),
     Mutation(
-        name="staged pieces count after a restart",
+        name="staged pieces are kept after a restart",
         file="spread/_installer.py",
         old="if not is_failure(result) and generation == self._generation:",
         new="if not is_failure(result):",
@@ -437,25 +437,25 @@
 ]
 
 
-def copy_sources(copy):
+def copy_sources(destination):
     """Copy the sources.
 
     Parameters
     ----------
-    copy : Path
+    destination : Path
         Destination folder.
     """
     ignored = shutil.ignore_patterns(".git", ".venv", "__pycache__", "journal")
-    shutil.copytree(ROOT, copy, ignore=ignored)
+    shutil.copytree(ROOT, destination, ignore=ignored)
 
 
-def copy_mutated(mutation, copy):
+def copy_mutated(mutation, destination):
     """Copy the sources and apply a mutation.
 
     Parameters
     ----------
     mutation : Mutation
-    copy : Path
+    destination : Path
         Destination folder.
 
     Returns
@@ -463,8 +463,8 @@
     bool
         False if the text to replace does not occur exactly once.
     """
-    copy_sources(copy)
-    file = copy / "hawthornspoke" / mutation.file
+    copy_sources(destination)
+    file = destination / "hawthornspoke" / mutation.file
     text = file.read_text()
     pairs = [(mutation.old, mutation.new)]
     if mutation.also:
@@ -480,12 +480,12 @@
 def run_mutation(mutation):
     """Run a mutation's test on a mutated copy; return the result as text."""
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
-        copy = Path(folder) / "copy"
-        if not copy_mutated(mutation, copy):
+        destination = Path(folder) / "copy"
+        if not copy_mutated(mutation, destination):
             return "not applied"
         completed = subprocess.run(
             [sys.executable, "-m", "pytest", "-x", "-q", *mutation.test.split(" ", 2)],
-            cwd=copy,
+            cwd=destination,
             capture_output=True,
             text=True,
             timeout=300,
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,4 +1,4 @@
-"""Randomized soak test of the real programs with externally injected faults.
+"""Randomized soak test of entry hosts and agents with externally injected faults.
 
 ``python -m tests.soak --seed 7 --seconds 20`` runs one seed, ``--seeds 50`` many.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -18,7 +18,7 @@
     Parameters
     ----------
     seed
-        First seed; random by default.
+        First seed; chosen at random by default.
     seeds
         Number of consecutive seeds.
     seconds
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -4,8 +4,8 @@
 import itertools
 import random
 
+from tests.soak.environment import expected_events, expected_response
 from tests.soak.programs import FRONT_PORT
-from tests.soak.world import expected_events, expected_response
 
 #: Response timeout in seconds; longer than the time limit of every route.
 RESPONSE_TIMEOUT_SECONDS = 6.0
@@ -17,7 +17,7 @@
     Attributes
     ----------
     status : int or None
-        None if the connection closed without a response.
+        None if no complete response was received.
     """
 
     __slots__ = ("id", "prefix", "key", "sent_at", "ended_at", "status", "entry")
@@ -35,7 +35,7 @@
     ----------
     entries : list of Program
     keys : set of str
-        API keys in use; shared with the soak test, which revokes some.
+        API keys in use; shared with the soak test, which removes revoked keys.
     seed : int
     """
 
@@ -89,13 +89,13 @@
         try:
             writer.write(("\r\n".join(lines) + "\r\n\r\n").encode())
             async with asyncio.timeout(RESPONSE_TIMEOUT_SECONDS):
-                return await self._read(record, reader)
+                return await self._read_response(record, reader)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             return False
         finally:
             record.ended_at = loop.time()
 
-    async def _read(self, record, reader):
+    async def _read_response(self, record, reader):
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         status = int(head.split(" ")[1])
         if "chunked" in head.lower():
--- a/tests/soak/world.py
+++ b/tests/soak/environment.py
@@ -15,7 +15,7 @@
 MODEL, LLM, PLAIN, ORIGIN = "m1", "llm", "plain", "origin"
 STEP_SECONDS = 0.02
 
-#: Milliseconds by which an engine's clock is set back at some restarts.
+#: Milliseconds by which an engine's clock is set back in some crashes.
 CLOCK_JUMP_MS = 3_600_000
 
 ROUTE_TYPES = {
@@ -68,17 +68,17 @@
         self.server = None
 
     async def start(self):
-        """Start listening."""
+        """Start or restart the server."""
         self.server = HttpServer(
             host=self.ip, port=self.port, handler=self.handle, on_handler_error=print
         )
         await self.server.start()
 
     def crash(self):
-        """Lose the weights and all connections, as in a crash.
+        """Lose the loaded weights and all connections, as in a crash.
 
-        Every other restart keeps the id. Every fourth one also sets the clock back and
-        loses the staged pieces, as after a power failure.
+        Every other crash keeps the id. Every fourth one also sets the clock back and
+        loses the staged pieces, as in a power failure.
         """
         self.server.close()
         self.generation += 1
@@ -91,8 +91,8 @@
         self.version, self.loaded, self.busy, self.sequence = None, {}, False, 0
         self.running = 0
 
-    def entry(self, address):
-        """Return the engine's row in the store."""
+    def store_row(self, address):
+        """Return the engine's row in the store's table of servers."""
         row = {
             "service": self.service,
             "address": address,
@@ -101,8 +101,8 @@
         row |= {"version": "v1", "slots": SLOTS, "sequence": 1, "born": self.born}
         row["state"] = "draining" if self.leaving else "ready"
         if self.service == LLM:
-            held = {"from": 0, "target": LAYERS, "version": self.version}
-            row["layers"] = held if self.version else None
+            layers = {"from": 0, "target": LAYERS, "version": self.version}
+            row["layers"] = layers if self.version else None
         return row
 
     async def handle(self, request, reply):
@@ -117,9 +117,9 @@
         return await self._run(request, reply)
 
     def _report(self, reply):
-        held = {"from": 0, "target": LAYERS, "version": self.version}
+        layers = {"from": 0, "target": LAYERS, "version": self.version}
         body = {
-            "layers": held if self.version else None,
+            "layers": layers if self.version else None,
             "busy": self.busy,
             "sequence": self.sequence,
             "born": self.born,
--- a/tests/soak/programs.py
+++ b/tests/soak/programs.py
@@ -1,4 +1,4 @@
-"""Processes of the real programs: settings, start, signals and termination."""
+"""Entry hosts and agents as processes: settings, start, signals, termination."""
 
 import json
 import os
@@ -50,9 +50,9 @@
 
     def __init__(self, *, role, name, ip, zone, app, store, folder):
         self.role, self.name, self.ip = role, name, ip
-        self.path = folder / f"{name}.toml"
+        self.settings_path = folder / f"{name}.toml"
         self.log_path = folder / f"{name}.log"
-        self.path.write_text(
+        self.settings_path.write_text(
             SETTINGS.format(
                 name=name,
                 ip=ip,
@@ -71,7 +71,7 @@
     def start(self):
         """Start the process, appending its output to the log file."""
         environment = {
-            "HAWTHORNSPOKE_SETTINGS": str(self.path),
+            "HAWTHORNSPOKE_SETTINGS": str(self.settings_path),
             "PATH": os.environ.get("PATH", ""),
         }
         with self.log_path.open("a") as log:
@@ -94,7 +94,7 @@
             os.kill(self.process.pid, number)
 
     def stop(self):
-        """Kill the process and wait for it."""
+        """Kill the process, also if it is suspended, and wait for it."""
         if self.process is not None:
             self.send_signal(signal.SIGCONT)
             self.send_signal(signal.SIGKILL)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""One run of the soak test: start, sequential and overlapping faults, checks."""
+"""One run of the soak test: start, random overlapping faults, checks."""
 
 import asyncio
 import collections
@@ -9,8 +9,7 @@
 from pathlib import Path
 
 from tests.soak.clients import VerifyingClients
-from tests.soak.programs import FIRST_INTERNAL_PORT, Program
-from tests.soak.world import (
+from tests.soak.environment import (
     LLM,
     MODEL,
     PLAIN,
@@ -20,12 +19,13 @@
     StandinStore,
     configuration,
 )
+from tests.soak.programs import FIRST_INTERNAL_PORT, Program
 
 ENTRY_COUNT, ENGINE_COUNT, PLAIN_COUNT, CLIENT_COUNT = 3, 3, 2, 12
 PROXY_PORT, ENGINE_PORT, STORE_PORT = 9100, 9200, 9500
 
-#: Seconds after the revocation of a key from which requests with it must not run, and
-#: seconds after the last fault from which half of the requests must be served again.
+#: Seconds after its revocation from which requests with a key must not run, and seconds
+#: after the last fault from which ``MIN_SERVED_SHARE`` of the requests must be served.
 REVOCATION_SECONDS = 5.0
 RECOVERY_SECONDS = 8.0
 
@@ -62,7 +62,7 @@
         verifying_clients = VerifyingClients(
             entries=self.entries, keys=self.keys, seed=self.seed
         )
-        heartbeat = asyncio.create_task(self._maintain_environment())
+        maintenance_task = asyncio.create_task(self._maintain_environment())
         try:
             await asyncio.sleep(3.0)
             client_task = asyncio.create_task(verifying_clients.run(CLIENT_COUNT))
@@ -73,9 +73,9 @@
             await asyncio.gather(client_task, return_exceptions=True)
             await asyncio.sleep(0.5)
         finally:
-            heartbeat.cancel()
-            self._end()
-            # The proxies' connections close once both peers are gone.
+            maintenance_task.cancel()
+            self._stop_all()
+            # The proxies' connections close only after both of their peers.
             await asyncio.sleep(0.3)
         return self._find_violations(verifying_clients, recovery_start)
 
@@ -129,7 +129,7 @@
         previous_rows = {}
         while True:
             rows = {
-                engine.id: engine.entry(f"{engine.ip}:{PROXY_PORT}")
+                engine.id: engine.store_row(f"{engine.ip}:{PROXY_PORT}")
                 for engine in self.engines
             }
             for key in previous_rows.keys() - rows.keys():
@@ -228,7 +228,7 @@
             await self._fault_configure()
             self.revoked[key] = asyncio.get_running_loop().time()
 
-    def _end(self):
+    def _stop_all(self):
         for program in self.entries + self.agents:
             program.stop()
         for proxy in [*self.proxies, self.store_proxy]:
@@ -278,7 +278,7 @@
 
 
 def run_soak(seed, seconds):
-    """Run one seed; return the violations, the faults and the folder."""
+    """Run one seed; return the violations, the injected faults and the log folder."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     soak = Soak(seed=seed, seconds=seconds, folder=folder)
     violations = asyncio.run(soak.execute())
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -29,10 +29,11 @@
 
 
 def test_demo_runs_from_the_binary_as_one_process(binary, tmp_path):
-    """Guards against child processes and files, and a race of the test itself.
+    """Guards against a demo that starts processes or writes files.
 
-    Under load, the process can exit while its children are listed, which ends the
-    loop. The exit code is None unless the process is waited for before it is read.
+    Under load, the process can exit while its children are listed, which raises
+    OSError and ends the loop. Its exit code is None until ``communicate`` has waited
+    for it.
     """
     port = str(random.randrange(15000, 20000))
     process = subprocess.Popen(
--- a/tests/test_boundary.py
+++ b/tests/test_boundary.py
@@ -1,12 +1,12 @@
-"""Names of the users' platform are confined to platform/ and deploy/."""
+"""The product depends on the users' platform only in its adapter, platform/adapter."""
 
 import re
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
 
-#: Names of the platform's protocol, settings and roles that the product's code must
-#: not depend on.
+#: Names from the platform's protocol, settings and roles that the product's code must
+#: not use.
 PLATFORM_NAMES = (
     "Attempt-Id",
     "Deadline-Ms",
@@ -35,7 +35,8 @@
     "per_seq_ms",
 )
 
-#: The soak test simulates the platform, so it uses the platform's protocol.
+#: Paths that may use these names. The soak test simulates the platform, so it uses the
+#: platform's protocol.
 ALLOWED_PATHS = (
     "platform/",
     "deploy/",
--- a/tests/test_connection.py
+++ b/tests/test_connection.py
@@ -35,7 +35,7 @@
 def test_late_reply_never_answers_the_next_call():
     """Guards against a reply that is matched to the wrong call.
 
-    If a connection with an unread reply is reused after a timeout, the late reply
+    If a connection is reused after a call has timed out, the late reply to that call
     arrives while the next call waits on the same connection.
     """
     server, port = open_server()
@@ -48,14 +48,14 @@
 
 
 def test_a_call_after_its_deadline_is_not_sent():
-    """Guards against a resumed process executing a call that was reported as failed."""
+    """Guards against a resumed process sending a call already reported as failed."""
     server, port = open_server()
     connection = Connection(address=ADDRESS, port=port)
     assert connection.call("document", "0", deadline=monotonic() - 1) == TOO_LATE
     server.close()
 
 
-def test_refused_connection_proves_not_sent_and_a_broken_one_does_not():
+def test_only_a_refused_connection_proves_that_a_call_was_not_sent():
     """Guards against reporting "not run" for a call that a killed process had begun."""
     server, port = open_server()
     connection = Connection(address=ADDRESS, port=port)
--- a/tests/test_dump.py
+++ b/tests/test_dump.py
@@ -1,4 +1,4 @@
-"""Dumps of a process's state by HTTP, by command and by signal."""
+"""State dumps requested by HTTP, by command and by signal."""
 
 import json
 import signal
@@ -14,7 +14,7 @@
         fleet.wait_ready()
         for name, section in (("entry-0", "router"), ("runner-0", "gate")):
             by_http = fleet.dump(name)
-            by_command = json.loads(fleet.command("dump", name).stdout)
+            by_command = json.loads(fleet.run_command("dump", name).stdout)
             fleet.signal(name, signal.SIGUSR1)
             log = fleet.folder / f"{name}.log"
             fleet.wait_for(lambda log=log: logged_dump(log))
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -35,13 +35,13 @@
     return Response(headers=headers, body=iter(chunks))
 
 
-def test_whole_stream_is_passed_on():
+def test_complete_stream_is_forwarded():
     events = run_request(stream(EVENT, EVENT, b"data: [DONE]\n\n"))
     assert events[0].kind == EventKind.HEAD
     assert sum(event.count or 0 for event in events) == 2
 
 
-def test_stream_cut_at_an_events_edge_is_not_finished():
+def test_stream_cut_between_events_is_incomplete():
     """Guards against treating a truncated response as complete.
 
     An engine closes its stream between two events without the end marker, so the
@@ -51,7 +51,7 @@
         run_request(stream(EVENT, EVENT))
 
 
-def test_stream_cut_inside_an_event_is_not_finished():
+def test_stream_cut_inside_an_event_is_incomplete():
     """Guards against delivering a partial event to the client."""
     with pytest.raises(IncompleteResponse):
         run_request(stream(EVENT, EVENT[:10]))
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -54,7 +54,7 @@
 
 
 @each_machine
-def test_wrong_type_is_named(machine_class):
+def test_parameter_of_wrong_type_is_named_in_the_error(machine_class):
     for name in machine_class.PARAMS:
         machine = machine_class()
         setattr(machine, name, object())
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -7,7 +7,8 @@
 
 POISON = "a prompt that ends engines"
 
-#: Engine exits that quarantine a request, and exits allowed beyond that.
+#: Number of engine exits that quarantine a request, and of further exits that the test
+#: accepts.
 QUARANTINE_THRESHOLD = 3
 MAX_EXTRA_EXITS = 3
 
@@ -45,7 +46,7 @@
 
 
 @pytest.mark.parametrize("stream", [False, True], ids=["whole", "stream"])
-def test_poison_request_at_all_entry_hosts_ends_few_engines(fresh_fleet, stream):
+def test_poison_request_at_all_entry_hosts_crashes_few_engines(fresh_fleet, stream):
     """Guards against one request that crashes engines repeatedly."""
     fleet = fresh_fleet
     with EngineRestarter(fleet) as restarter:
--- a/tests/test_promise_answers.py
+++ b/tests/test_promise_answers.py
@@ -9,7 +9,7 @@
 
 
 def open_stream(fleet, entry, *, tokens, prompt="p", non_idempotent=False):
-    """Send a streaming request on a raw socket and return the socket."""
+    """Send a streaming request over a new socket and return the socket."""
     host = fleet.host(entry)
     body = json.dumps(
         {"model": "redacteur", "prompt": prompt, "max_tokens": tokens, "stream": True}
@@ -64,11 +64,11 @@
     assert clients.mismatches() == []
 
 
-def test_stream_that_breaks_off_is_resumed_by_the_same_weights(fleet):
+def test_interrupted_stream_is_resumed_with_the_same_weights(fleet):
     """Guards against a truncated stream that appears complete.
 
-    One engine aborts every stream after three tokens. The end of the data must not
-    be taken for the end of the response.
+    One engine aborts every stream after three tokens. The end of the data does not
+    show that the response is complete.
     """
     fleet.engine_faults("runner-0", die_after_tokens=3)
     with VerifyingClients(
@@ -84,7 +84,7 @@
     assert resumed > 0
 
 
-def test_marked_stream_that_breaks_off_is_not_run_again_and_not_finished(fleet):
+def test_interrupted_non_idempotent_stream_is_neither_rerun_nor_completed(fleet):
     """Guards against repeating a non-idempotent stream or accepting part of it.
 
     Every engine aborts streams after three tokens and the requests are
@@ -138,8 +138,9 @@
 def test_slow_client_gets_the_whole_stream_and_blocks_no_other(fleet):
     """Guards against a slow reader that blocks others or loses data.
 
-    A client reads a long stream in small chunks while others send requests. The
-    faults are shared unbounded buffers and data dropped from a full buffer.
+    A client reads a long stream in small chunks while others send requests. Unbounded
+    buffers that all clients share would delay the others; a full buffer that drops
+    data would truncate the stream.
     """
     connection = open_stream(fleet, "entry-0", tokens=300, prompt="slow")
     with VerifyingClients(fleet, ["entry-0"], thread_count=2) as clients:
--- a/tests/test_promise_config.py
+++ b/tests/test_promise_config.py
@@ -33,7 +33,7 @@
 
 
 def test_changes_are_in_force_within_five_seconds(fleet):
-    """Guards against a host that applies an old limit for a minute."""
+    """Guards against a host that still applies an old limit a minute after a change."""
     for rate in (1000, 2000, 3000):
         declare_rate(fleet, rate)
         fleet.apply()
@@ -48,8 +48,8 @@
 def test_two_operators_on_one_base_get_one_acceptance_and_a_conflict(fleet):
     """Guards against losing an accepted change.
 
-    Three operators concurrently apply different folders with the same base
-    revision. A write that does not compare the base overwrites another change.
+    Three operators concurrently apply different folders with the same base revision.
+    A write that does not compare the base revision overwrites another change.
     """
     base = accepted_revision(fleet)
     results = []
@@ -60,7 +60,7 @@
         extra = f"requests_per_second = {5000 + number}\n"
         (folder / "10.toml").write_text(declarations(extra=extra))
         results.append(
-            fleet.command(
+            fleet.run_command(
                 "apply", str(folder), "--base", str(base), "--author", f"op{number}"
             )
         )
@@ -78,8 +78,8 @@
     assert "organisations.federation.requests_per_second" in loser.stderr
 
 
-def test_lost_answer_of_an_apply_is_read_back(fleet):
-    """Guards against reporting a failure for a change that was applied."""
+def test_apply_with_a_lost_answer_is_read_back(fleet):
+    """Guards against reporting a failure for a change that the table has accepted."""
     before = accepted_revision(fleet)
     declare_rate(fleet, random.randrange(10_000, 20_000))
     fleet.faults(table_lost_answers=1)
@@ -89,7 +89,7 @@
     assert accepted_revision(fleet) == before + 1
 
 
-def test_platform_down_for_long_and_back(fleet):
+def test_nodes_keep_their_configuration_during_a_platform_outage(fleet):
     """Guards against nodes that lose their configuration during a platform outage."""
     before = accepted_revision(fleet)
     fleet.wait_for(
@@ -98,7 +98,7 @@
     fleet.faults(table_down=True, hosts_down=True)
     with VerifyingClients(fleet, fleet.names("entry"), thread_count=4) as clients:
         time.sleep(6)
-    completed = fleet.command("apply", str(fleet.folder / "declarations"))
+    completed = fleet.run_command("apply", str(fleet.folder / "declarations"))
     assert completed.returncode == 4, completed.stderr
     assert clients.failed_requests() == []
     assert clients.mismatches() == []
@@ -116,9 +116,9 @@
     """Guards against a partitioned failure domain that stops serving or reverts.
 
     A domain is partitioned from the other domains and the platform, a revision is
-    accepted and the partition is removed. The faults are to require the platform for
-    serving, and to take the revision heard last, which may come from a stale
-    neighbour of a node that restarted in the partitioned domain.
+    accepted and the partition is removed. The domain stops serving if that requires
+    the platform. A node reverts if it adopts the latest revision received, which may
+    come from a neighbour that is still at an older one.
     """
     fleet = fresh_fleet
     domain = "anderlecht"
@@ -167,9 +167,9 @@
 def test_restarted_node_is_not_ready_with_a_stale_configuration(fresh_fleet):
     """Guards against a restarted entry host that applies outdated limits.
 
-    An entry host that can reach the platform restarts while its neighbours cannot
-    and have an old revision. It must not become ready with the first configuration
-    that it receives.
+    An entry host outside a partition restarts right after the partition is removed,
+    while hosts inside it still have an old revision. It must not become ready with
+    the first configuration that it receives.
     """
     fleet = fresh_fleet
     fleet.partition("gent-noord")
@@ -179,7 +179,7 @@
     fleet.kill("entry-0")
     fleet.heal_partitions()
     fleet.start_node("entry-0")
-    fleet.wait_for(lambda: fleet.ready("entry-0"))
+    fleet.wait_for(lambda: fleet.is_ready("entry-0"))
     assert revisions(fleet, ["entry-0"]) == {"entry-0": expected}
 
 
@@ -192,9 +192,9 @@
 def test_entry_host_without_the_table_rejects_no_key_permanently(fleet):
     """Guards against a permanent rejection (401) of a key that was just added.
 
-    While an entry host cannot read the table, a key may be added; a client that gets
-    401 does not retry. The fault was that the host checked whether its configuration
-    is current only once, at startup.
+    A key may be added while an entry host cannot read the table, and a client that
+    gets 401 does not retry. The failure occurred because the host checked only at
+    startup whether its configuration is current.
     """
     names = fleet.names("entry")
     for name in names:
@@ -221,11 +221,11 @@
         )
 
 
-def test_host_that_reads_the_table_rarely_denies_after_one_more_read(fresh_fleet):
+def test_host_that_rarely_reads_the_table_rejects_after_an_extra_read(fresh_fleet):
     """Guards against answering unknown keys with "retry later" for half a minute.
 
-    An entry host that rarely reads the table itself receives an unknown key up to
-    30 s after its last read. The fault was to wait for its next scheduled read.
+    An entry host that reads the table only every 30 s receives an unknown key. The
+    failure occurred because it waited for its next scheduled read.
     """
     fleet = fresh_fleet
     name = fleet.names("entry")[0]
--- a/tests/test_promise_not_run.py
+++ b/tests/test_promise_not_run.py
@@ -42,12 +42,13 @@
     ) as clients:
         clients.wait_results(80)
     assert clients.mismatches() == []
-    # Requests running at the kill are unknown; later ones go to other engines.
+    # Only requests that were running when the engine was killed have an unknown
+    # outcome; later ones go to other engines.
     assert clients.count("unknown") + clients.count("cut") <= 4
     assert clients.count("done") >= 70
 
 
-def test_plain_service_whose_answer_is_lost_is_unknown(fleet):
+def test_lost_response_of_a_plain_service_is_reported_as_unknown(fleet):
     """Guards against reporting an executed call as not run.
 
     The service executes the call and its response is truncated. An error while
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -28,7 +28,7 @@
     return uuid.uuid4().hex
 
 
-def test_stored_answer_is_given_again_at_any_entry_host(fleet, key):
+def test_stored_response_is_returned_by_any_entry_host(fleet, key):
     """Guards against a second execution when the client retries with the same key."""
     first = post_invoice(fleet, "entry-0", key)
     second = post_invoice(fleet, "entry-1", key)
@@ -73,11 +73,11 @@
         assert set(statuses) <= {201, 409}
 
 
-def test_lost_answer_of_the_claim_is_read_back(fleet, key):
+def test_claim_with_a_lost_answer_is_read_back(fleet, key):
     """Guards against a request that blocks itself or runs twice.
 
-    The claim is written and the table's response is lost. The writer must read the
-    row back and compare its token instead of assuming success or failure.
+    The claim is written, but the table's response is lost. The entry host must read
+    the row back and compare its token instead of assuming success or failure.
     """
     fleet.faults(table_lost_answers=1)
     response = post_invoice(fleet, "entry-0", key)
@@ -87,19 +87,19 @@
     assert post_invoice(fleet, "entry-1", key).headers["X-Stored-Answer"] == "true"
 
 
-def test_platform_down_refuses_marked_requests_at_once_and_serves_the_rest(fleet, key):
+def test_platform_outage_rejects_keyed_requests_at_once_and_serves_others(fleet, key):
     """Guards against a full outage or unclaimed runs while the table is down."""
     fleet.faults(table_down=True)
     started = time.monotonic()
     refused = post_invoice(fleet, "entry-0", key)
     seconds = time.monotonic() - started
-    unmarked = fleet.complete("entry-0")
+    request_without_key = fleet.complete("entry-0")
     fleet.faults(table_down=False)
     assert refused.status == 503, refused.data
     assert json.loads(refused.data)["error"]["outcome"] == "not_run"
     assert int(refused.headers["Retry-After"]) >= 1
     assert seconds < 1.0
-    assert unmarked.status == 200
+    assert request_without_key.status == 200
     assert run_count(fleet, key) == 0
     # The key was released, so the client can retry with it.
     fleet.wait_for(
@@ -108,7 +108,7 @@
     assert run_count(fleet, key) == 1
 
 
-def test_slow_table_does_not_outlast_the_deadline(fleet, key):
+def test_slow_table_does_not_delay_the_response_past_the_deadline(fleet, key):
     """Guards against a rejection that arrives long after the client's deadline."""
     fleet.faults(table_delay=5)
     started = time.monotonic()
@@ -125,8 +125,8 @@
     """Guards against running a request after its client retried elsewhere.
 
     An entry host is suspended past the deadline of its requests, their clients retry
-    at another host with the same keys, and the first host resumes. The faults are
-    claims that expire and allow a second run, and a send after the deadline.
+    at another host with the same keys, and the first host resumes. A request runs
+    twice if its claim expires, or if the resumed host sends it after the deadline.
     """
     fleet = fresh_fleet
     fleet.faults(table_delay=0.4)
@@ -154,11 +154,11 @@
     for key, response in zip(keys, retried, strict=True):
         if response.status != 201:
             error = json.loads(response.data)["error"]
-            # "Not run" is allowed only if the request has not run and never will.
+            # "not_run" is allowed only if the request has not run and never will.
             assert error["outcome"] == "unknown" or run_count(fleet, key) == 0
 
 
-def test_post_to_a_plain_service_is_not_repeated_without_a_mark(fleet):
+def test_post_to_a_plain_service_is_not_repeated_by_default(fleet):
     """Guards against repeating a POST on another host after a lost response."""
     for name in fleet.names("billing"):
         fleet.post(fleet.engine_url(name) + "/_faults", {"drop_answers": 5})
@@ -171,7 +171,7 @@
     assert after - before == 4
 
 
-def test_marked_request_is_not_run_again_after_a_server_error(fleet):
+def test_non_idempotent_request_is_not_rerun_after_a_server_error(fleet):
     """Guards against repeating a non-idempotent request after a server error.
 
     Every engine runs the request and then fails. An error must not be retried like
--- a/tests/test_promise_shutdown.py
+++ b/tests/test_promise_shutdown.py
@@ -9,6 +9,7 @@
 
 
 def read_all(connection):
+    """Read to the end of a chunked response or of the connection."""
     data = b""
     while True:
         chunk = connection.recv(65536)
@@ -22,17 +23,17 @@
 
 
 def test_entry_host_finishes_its_streams(fresh_fleet):
-    """Guards against an entry host deployment that aborts streams.
+    """Guards against streams that are aborted when an entry host is redeployed.
 
-    SIGTERM is sent twice while streams are running. The process must exit
-    immediately on neither the first nor the second signal.
+    SIGTERM is sent twice while streams are running. Neither signal must make the
+    process exit immediately.
     """
     fleet = fresh_fleet
     streams = [open_stream(fleet, "entry-0", tokens=TOKENS) for _ in range(5)]
     for stream in streams:
-        assert stream.recv(1024, 2)
+        assert stream.recv(1024, 2)  # 2 is MSG_PEEK; read_all needs the data.
     fleet.signal("entry-0", signal.SIGTERM)
-    fleet.wait_for(lambda: not fleet.ready("entry-0"), seconds=2)
+    fleet.wait_for(lambda: not fleet.is_ready("entry-0"), seconds=2)
     fleet.signal("entry-0", signal.SIGTERM)
     assert all(is_complete(read_all(stream)) for stream in streams)
     fleet.wait_for(lambda: not fleet.is_running("entry-0"))
@@ -54,7 +55,7 @@
         for number in range(3)
     ]
     for stream in streams:
-        assert stream.recv(1024, 2)
+        assert stream.recv(1024, 2)  # 2 is MSG_PEEK; read_all needs the data.
     for name in fleet.names("runner"):
         fleet.engine_faults(name, load_seconds=3.0)
     fleet.declare(
--- a/tests/test_promise_weights.py
+++ b/tests/test_promise_weights.py
@@ -26,12 +26,12 @@
 
 
 def switch_to(fleet, version, source):
-    fleet.declare("20-version.toml", _version(version, source))
+    fleet.declare("20-version.toml", _version_toml(version, source))
     fleet.apply("--wait", "20")
     return declared_digest(fleet)
 
 
-def _version(version, source):
+def _version_toml(version, source):
     return (
         f'[models.redac.versions.{version}]\nsource = "{source}"\n'
         f'[services.redacteur]\nversion = "{version}"\n'
@@ -42,15 +42,15 @@
     """Guards against responses from partially loaded or mixed weights.
 
     A new version is distributed under load, every tenth chunk from the origin is
-    corrupted, and an agent is killed and restarted during a load. The faults are
-    loading unverified chunks and switching before all chunks are present. Each
+    corrupted, and an agent is killed and restarted during a load. Loading unverified
+    chunks, or switching before all chunks are present, would corrupt responses. Each
     response must be generated entirely from the digest in its header.
     """
     fleet = fresh_fleet
     with VerifyingClients(fleet, fleet.names("entry"), thread_count=8) as clients:
         clients.wait_results(50)
         fleet.faults(origin_corrupt_share=0.1)
-        fleet.declare("20-version.toml", _version("v2", "redac-v2"))
+        fleet.declare("20-version.toml", _version_toml("v2", "redac-v2"))
         fleet.apply()
         fleet.kill("runner-1")
         clients.wait_results(50)
@@ -73,7 +73,7 @@
     """Guards against permanent failures on a host whose engine was restarted.
 
     The engine is killed while its agent keeps running, and restarts without weights.
-    The agent must not rely on its earlier orders.
+    The agent must not assume that weights which it loaded earlier are still loaded.
     """
     fleet = fresh_fleet
     with VerifyingClients(fleet, fleet.names("entry")) as clients:
@@ -89,7 +89,7 @@
     assert state["loaded"] == [declared_digest(fleet)]
 
 
-def test_origin_bytes_that_change_during_the_spread_are_never_loaded():
+def test_origin_bytes_changed_during_distribution_are_never_loaded():
     """Guards against a version that mixes bytes from before and after a change.
 
     The origin's bytes of a declared source change during the distribution. Chunks
@@ -103,7 +103,7 @@
         fleet.apply("--wait", "20")
         fleet.wait_ready()
         before = declared_digest(fleet)
-        fleet.declare("20-version.toml", _version("v2", "redac-v2"))
+        fleet.declare("20-version.toml", _version_toml("v2", "redac-v2"))
         fleet.apply()
         fleet.wait_for(lambda: fleet.counts()["origin_bytes"] > 20 * 16384)
         fleet.publish("redac-v2", weights(3, chunks=80))
@@ -119,11 +119,12 @@
         fleet.wait_for(lambda: all_live(fleet, expected))
 
 
-def test_engine_with_room_for_one_version_changes_over_without_a_failed_request():
+def test_engine_with_memory_for_one_version_switches_without_a_failed_request():
     """Guards against a loss of capacity or mixed responses during a swap.
 
-    Engines can hold only one version and a new one is declared under load. The faults
-    are all hosts swapping at the same time and a swap with running requests.
+    Engines can hold only one version and a new one is declared under load. Capacity is
+    lost if all hosts swap at the same time; responses are mixed if an engine swaps
+    while it runs requests.
     """
     size = len(weights(1))
     with Fleet(
@@ -140,7 +141,7 @@
         fleet.wait_ready()
         min_live = 3
         with VerifyingClients(fleet, fleet.names("entry"), thread_count=4) as clients:
-            fleet.declare("20-version.toml", _version("v2", "redac-v2"))
+            fleet.declare("20-version.toml", _version_toml("v2", "redac-v2"))
             fleet.apply("--wait", "20")
             expected = declared_digest(fleet)
             while not all_live(fleet, expected):
@@ -152,11 +153,11 @@
         assert min_live >= 2
 
 
-def test_adapter_answers_only_on_its_own_base(fleet):
+def test_adapter_is_served_only_on_its_own_base(fleet):
     """Guards against an adapter applied to weights it was not trained for.
 
-    An adapter is declared for a base that the service does not run. Declarations
-    must be validated across keys before they are accepted.
+    The service is declared with a version that is not the adapter's base. Declarations
+    that refer to each other must be validated together before they are accepted.
     """
     fleet.publish("grades", weights(5, chunks=2))
     adapter = (
@@ -171,9 +172,9 @@
     digest = response.headers["X-Weights-Digest"]
     assert json.loads(response.data)["choices"][0]["text"].count(digest[:12]) == 3
 
-    fleet.declare("40-wrong.toml", _version("v2", "redac-v2"))
-    done = fleet.command("check", str(fleet.folder / "declarations"))
-    refused = fleet.command("apply", str(fleet.folder / "declarations"))
-    assert "is for base 'v1', not 'v2'" in refused.stderr
-    assert refused.returncode == 1
-    assert done.returncode != 0
+    fleet.declare("40-wrong.toml", _version_toml("v2", "redac-v2"))
+    checked = fleet.run_command("check", str(fleet.folder / "declarations"))
+    applied = fleet.run_command("apply", str(fleet.folder / "declarations"))
+    assert "is for base 'v1', not 'v2'" in applied.stderr
+    assert applied.returncode == 1
+    assert checked.returncode != 0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soak test with a fixed seed and all seeds that failed before."""
+"""Short soak test with one fixed seed and all seeds that have failed before."""
 
 import shutil
 
@@ -6,14 +6,14 @@
 
 from tests.soak.soak import run_soak
 
-#: Seeds that failed before, with the cause, as regression tests.
+#: Causes of earlier failures by seed; the seeds are kept as regression tests.
 FAILED_BEFORE = {}
 
 SECONDS = 6.0
 
 
 @pytest.mark.parametrize("seed", [1, *FAILED_BEFORE])
-def test_promises_hold_under_faults(seed):
+def test_guarantees_hold_under_faults(seed):
     violations, faults, folder = run_soak(seed, SECONDS)
     assert violations == [], f"faults: {faults}, logs: {folder}"
     shutil.rmtree(folder)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""End-to-end path: declare, apply, distribute weights, serve requests."""
+"""End-to-end test: declare, apply, distribute weights and serve requests."""
 
 import json
 import random
@@ -8,7 +8,7 @@
 WEIGHTS = random.Random(7).randbytes(40 * 16384 + 5)
 
 
-def test_a_declared_model_answers_and_a_plain_service_is_called():
+def test_declared_model_and_plain_service_serve_requests():
     with Fleet() as fleet:
         fleet.publish("redac-v1", WEIGHTS)
         fleet.declare("10-all.toml", declarations())
@@ -31,5 +31,5 @@
         assert call.status == 201, call.data
         assert len(fleet.runs("billing-0")["runs"]) == 1
 
-        # About one copy was read from the origin for all five model hosts.
+        # The five model hosts together read only about one copy from the origin.
         assert fleet.counts()["origin_bytes"] <= 1.2 * len(WEIGHTS)
