--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -4,8 +4,8 @@
 import itertools
 import random
 
-from tests.soak.environment import expected_events, expected_response
 from tests.soak.programs import FRONT_PORT
+from tests.soak.simulation import expected_events, expected_response
 
 #: Response timeout in seconds; longer than the time limit of every route.
 RESPONSE_TIMEOUT_SECONDS = 6.0
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 
 from tests.soak.clients import VerifyingClients
-from tests.soak.environment import (
+from tests.soak.programs import FIRST_INTERNAL_PORT, Program
+from tests.soak.simulation import (
     LLM,
     MODEL,
     PLAIN,
@@ -19,7 +20,6 @@
     StandinStore,
     configuration,
 )
-from tests.soak.programs import FIRST_INTERNAL_PORT, Program
 
 ENTRY_COUNT, ENGINE_COUNT, PLAIN_COUNT, CLIENT_COUNT = 3, 3, 2, 12
 PROXY_PORT, ENGINE_PORT, STORE_PORT = 9100, 9200, 9500
