--- a/tests/test_promise_config.py
+++ b/tests/test_promise_config.py
@@ -117,8 +117,8 @@
 
     A domain is partitioned from the other domains and the platform, a revision is
     accepted and the partition is removed. The domain stops serving if that requires
-    the platform. A node reverts if it adopts the latest revision received, which may
-    come from a neighbour that is still at an older one.
+    the platform. A node that restarted in the partitioned domain reverts if it adopts
+    the latest revision received, which may come from a neighbour with an older one.
     """
     fleet = fresh_fleet
     domain = "anderlecht"
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -93,13 +93,13 @@
     started = time.monotonic()
     refused = post_invoice(fleet, "entry-0", key)
     seconds = time.monotonic() - started
-    request_without_key = fleet.complete("entry-0")
+    response_without_key = fleet.complete("entry-0")
     fleet.faults(table_down=False)
     assert refused.status == 503, refused.data
     assert json.loads(refused.data)["error"]["outcome"] == "not_run"
     assert int(refused.headers["Retry-After"]) >= 1
     assert seconds < 1.0
-    assert request_without_key.status == 200
+    assert response_without_key.status == 200
     assert run_count(fleet, key) == 0
     # The key was released, so the client can retry with it.
     fleet.wait_for(
