--- a/hawthornspoke/membership/_detector.py
+++ b/hawthornspoke/membership/_detector.py
@@ -81,7 +81,7 @@
 
     Attributes
     ----------
-    received_at : float or None
+    sent_at : float or None
         Estimated time at which the node sent its newest known state; None if the node
         is known only from the host list.
     listed, listed_leaving : bool
@@ -97,7 +97,7 @@
         "status",
         "incarnation",
         "seq",
-        "received_at",
+        "sent_at",
         "suspect_deadline",
         "dead_deadline",
         "listed",
