--- a/hawthornspoke/base/_machine.py
+++ b/hawthornspoke/base/_machine.py
@@ -10,9 +10,10 @@
     """Base class of pure state machines.
 
     A machine has no socket, thread or clock. It takes messages together with the
-    time and returns outcomes, so a failure can be replayed exactly from a trace of
-    messages. Subclasses list their parameters in ``PARAMS``; their constructor takes
-    them as keyword-only arguments, stores them and initialises the state.
+    time and returns outcomes: decisions, and actions for the caller to perform. So a
+    failure can be replayed exactly from a trace of messages. Subclasses list their
+    parameters in ``PARAMS``; their constructor takes them as keyword-only arguments,
+    stores them and initialises the state.
 
     Notes
     -----
--- a/hawthornspoke/catalog/_declared.py
+++ b/hawthornspoke/catalog/_declared.py
@@ -1,4 +1,4 @@
-"""Declared weight versions and the time until which older ones may answer."""
+"""Declared weight versions, and until when requests may start on older ones."""
 
 #: Declarations kept per model. Older ones have no effect once the newest is mandatory.
 MAX_DECLARATIONS = 4
@@ -45,7 +45,7 @@
     """Declared versions by model, with the earliest possible time of each declaration.
 
     A declared version becomes mandatory a fixed time after its declaration was
-    accepted: from then on, older versions may not begin to answer. A process that
+    accepted: from then on, no request may start on older versions. A process that
     counted from when it learned of the declaration would extend this time by the
     propagation delay, and after a restart by its whole length. So each declaration has
     a lower bound of its time, and one whose time is unknown is mandatory at once.
@@ -179,14 +179,15 @@
         return UNKNOWN_TIME if newest is None else newest.not_before
 
     def expires_at(self, model, version, *, bound):
-        """Return the time from which a version may no longer begin to answer.
+        """Return the time from which no request may start on a version.
 
         Parameters
         ----------
         model : str
         version : int
         bound : float
-            Seconds after a declaration during which older versions may begin to answer.
+            Seconds after a declaration during which requests may start on older
+            versions.
 
         Returns
         -------
--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -1,4 +1,7 @@
-"""State machine, without I/O, that issues an agent's orders to its engine."""
+"""State machine, without I/O, that decides which orders an agent gives its engine.
+
+An order makes the engine load or unload weights.
+"""
 
 from dataclasses import dataclass, field
 
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -217,9 +217,9 @@
         return organisation
 
     def _denial(self, failure, now):
-        """Return a final failure only if the configuration is known to be recent.
+        """Return a permanent failure only if the configuration is known to be recent.
 
-        Callers do not retry after a final failure such as 401. A host that was
+        Callers do not retry after a permanent failure such as 401. A host that was
         partitioned while a key was added would return it wrongly, while other hosts
         accept the key. ``not_ready`` makes the caller retry at another host.
         """
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -54,7 +54,7 @@
 
 
 class Reply:
-    """Sends the only response to one request, either at once or in chunks.
+    """Sends the response to one request, either whole or in chunks.
 
     Parameters
     ----------
--- a/hawthornspoke/mirror/_declaration_times.py
+++ b/hawthornspoke/mirror/_declaration_times.py
@@ -65,8 +65,8 @@
 
     Any client of the platform may have written the row. A time later than the answer
     that contains it, or a row older than a declaration it records, would extend the
-    time for which old weights may answer requests beyond the permitted bound. If one of
-    the times is impossible, the whole row is rejected.
+    time during which requests may start on old weights beyond the permitted bound. If
+    one of the times is impossible, the whole row is rejected.
 
     Parameters
     ----------
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -29,7 +29,7 @@
 
 
 class _Entry:
-    """A request in quarantine, with the endpoint incarnations that ended running it.
+    """A request in quarantine, with the incarnations that ended while running it.
 
     ``until`` is the end of the quarantine in seconds on the platform's clock.
     """
@@ -46,7 +46,7 @@
     """Reads the row when the process starts, and adds requests that this host finds.
 
     Entry hosts learn of quarantined requests from agents. Without the row, this
-    information would be lost when all processes end at the same time, and the requests
+    information would be lost if all processes ended at the same time, and the requests
     would crash as many endpoints again.
 
     Parameters
--- a/hawthornspoke/peering/_directive.py
+++ b/hawthornspoke/peering/_directive.py
@@ -19,7 +19,7 @@
     origin : str or None
         Address of the origin.
     bound : float
-        Seconds after the declaration from which no request may begin on older versions.
+        Seconds after the declaration from which no request may start on older versions.
     failure_domain : str or None, default=None
         Failure domain of the sender.
 
--- a/hawthornspoke/quarantine/_evidence.py
+++ b/hawthornspoke/quarantine/_evidence.py
@@ -1,11 +1,14 @@
-"""Evidence of which requests ran at which endpoints that ended."""
+"""Evidence of which requests were running at endpoints when these ended.
+
+The end of an endpoint is the exit of its process, usually by a crash.
+"""
 
 from dataclasses import dataclass
 
 #: Lifetime of evidence in seconds.
 EVIDENCE_LIFETIME = 900.0
 
-#: Maximum number of requests with evidence, and of ends for each.
+#: Maximum number of requests with evidence, and of endpoint ends for each.
 MAX_REQUESTS = 512
 MAX_ENDS_PER_REQUEST = 8
 
@@ -93,7 +96,7 @@
         return [item for item in item_by_incarnation.values() if now < item.deadline]
 
     def suspected_incarnations(self, fingerprint, *, now):
-        """Return the endpoint incarnations that a request may have ended.
+        """Return the endpoint incarnations that a request may have crashed.
 
         Parameters
         ----------
@@ -130,7 +133,7 @@
         by_fingerprint = self._items_by_fingerprint
         if len(by_fingerprint) <= MAX_REQUESTS:
             return
-        # Many requests run alongside one that ends endpoints: each is seen at one
+        # Many requests run alongside one that crashes endpoints: each is seen at one
         # end, and together they must not evict the one that was seen at several.
         oldest = next(iter(by_fingerprint))
         seen_at_one_end = (
--- a/hawthornspoke/quarantine/_exchange.py
+++ b/hawthornspoke/quarantine/_exchange.py
@@ -7,8 +7,8 @@
 #: Messages that the machine handles.
 MESSAGES = (EvidenceReceived,)
 
-#: Number of ends of endpoints from which the evidence about a request is shared with
-#: all entry hosts. Most requests with one end merely ran alongside the cause.
+#: Number of endpoint ends from which the evidence about a request is shared with all
+#: entry hosts. Most requests with one end merely ran alongside the cause.
 SHARE_THRESHOLD = 2
 
 
--- a/hawthornspoke/quarantine/_quarantine.py
+++ b/hawthornspoke/quarantine/_quarantine.py
@@ -22,7 +22,7 @@
 #: the cause. Number of ends beyond the threshold at which it is quarantined anyway.
 SHARED_ENDS_MARGIN = 2
 
-#: Window in seconds within which ends of endpoints count as one event.
+#: Window in seconds within which endpoint ends count as one event.
 SIMULTANEOUS_WINDOW = 0.1
 
 #: Number of endpoints that end together, and their share of the endpoints in use by a
@@ -43,17 +43,17 @@
 
 @MACHINES.register("quarantine")
 class Quarantine(Machine):
-    """Separates requests that end endpoints from those that ran alongside.
+    """Separates requests that crash endpoints from those that ran alongside.
 
-    A "query of death" may end each process that starts to run it. The caller repeats it
-    under new ids and at other hosts, so that more and more endpoints are lost. A
+    A "query of death" may crash each process that starts to run it. The caller repeats
+    it under new ids and at other hosts, so that more and more endpoints are lost. A
     request that was running when enough endpoints ended, and whose ends aren't
     explained by another request, is refused without being sent.
 
     Parameters
     ----------
     end_threshold : int, default=3
-        Number of ends of endpoints from which a request is quarantined.
+        Number of endpoint ends from which a request is quarantined.
 
     Notes
     -----
@@ -166,7 +166,7 @@
         return sorted(deadlines)[-self.end_threshold]
 
     def has_evidence(self, fingerprint):
-        """Return whether a request ran at the end of an endpoint.
+        """Return whether a request was running at an endpoint that ended.
 
         Parameters
         ----------
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -13,8 +13,8 @@
 #: caller has spent the difference on an earlier attempt.
 DEADLINE_JITTER_MS = 150
 
-#: Deadline in seconds of a request that gives none. It also counts for the longest
-#: deadline of the route.
+#: Deadline in seconds of a request that gives none. It is also taken into account for
+#: the longest deadline of the route.
 ASSUMED_DEADLINE = 30.0
 
 #: Minimum seconds for which the caller of a stream still waits if its request is sent
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -21,8 +21,8 @@
 #: Timeout in seconds of the check whether an endpoint still accepts connections.
 PROBE_TIMEOUT = 0.3
 
-#: Number of fingerprints kept of requests from this host that were at an endpoint when
-#: it ended.
+#: Maximum number of fingerprints kept of requests that this host had sent to an
+#: endpoint and that were running there when it ended.
 MAX_OBSERVED = 512
 
 
@@ -130,7 +130,7 @@
             self._probe_by_incarnation[incarnation_id] = probe
 
     async def wait_for_probes(self, fingerprint):
-        """Wait until it is known which endpoints a suspected request has ended.
+        """Wait until it is known which endpoints a suspected request has crashed.
 
         Otherwise the request would be sent to another endpoint in the meantime. A
         request with one broken connection and no other evidence doesn't wait.
@@ -170,7 +170,8 @@
     async def wait_for_unstored_evidence(self):
         """Wait for quarantined requests whose evidence has yet to be stored.
 
-        A host stores it for requests that were its own at an endpoint that ended.
+        Each host stores it only for requests that it had itself sent to an endpoint
+        that ended.
 
         Returns
         -------
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -156,7 +156,8 @@
         """Return the time by which the request must have started, None if unlimited."""
         if self.placement.start_deadline is None:
             return None
-        # The deadline was computed on the monotonic clock just before sending.
+        # Converts the deadline from the monotonic clock to the clock of the timers. It
+        # was computed just before sending, so the remaining time is the same on both.
         return self._timers.clock() + self.placement.start_deadline - monotonic()
 
     def _withdraw_unstarted(self):
--- a/hawthornspoke/spread/_changeover.py
+++ b/hawthornspoke/spread/_changeover.py
@@ -11,7 +11,7 @@
 SWITCH_TIME = 2.0
 
 #: Seconds before its weights expire from which an engine receives no new requests.
-#: Requests that have not begun are withdrawn then, and entry hosts allow for the time
+#: Requests that have not started are withdrawn then, and entry hosts allow for the time
 #: to the first token before it.
 DISPATCH_CUTOFF = 0.6
 
@@ -31,7 +31,7 @@
     complete_at : float
         When all pieces of the version were held.
     expires_at : float
-        When requests may no longer begin on the engine's current weights.
+        From when requests may no longer start on the engine's current weights.
     position : int
         Zero-based position of this host in its failure domain.
 
--- a/hawthornspoke/spread/_client_types.py
+++ b/hawthornspoke/spread/_client_types.py
@@ -25,8 +25,9 @@
     busy : bool
         Whether an order is in progress.
     sequence : int
-        Number of orders begun since the engine started. The next order carries it, so
-        that the engine rejects an order of an agent with an outdated snapshot.
+        Number of orders that the engine has begun since it started. The next order
+        carries it, so that the engine rejects an order of an agent with an outdated
+        snapshot.
     running, waiting : int
         Number of running and of queued requests.
     pace : float
--- a/hawthornspoke/spread/_delivery.py
+++ b/hawthornspoke/spread/_delivery.py
@@ -32,7 +32,7 @@
 
 
 class Delivery:
-    """Carries out the outcomes of the upgrade machine.
+    """Performs the actions that the upgrade machine returns.
 
     Parameters
     ----------
@@ -111,7 +111,7 @@
         return self._tasks.get("install")
 
     def step(self, message):
-        """Step the upgrade machine and carry out its outcomes."""
+        """Pass a message to the upgrade machine and perform the returned actions."""
         # This clock includes suspension of the host, during which weights expire too.
         for outcome in self.upgrade.step(message, now=boottime_clock()):
             if isinstance(outcome, StartTransfer):
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -179,8 +179,8 @@
         """Return the ages of recently declared versions, for entry hosts.
 
         An entry host that has just started doesn't know when a version was declared.
-        It needs to know only within the version bound, while the preceding version
-        may still be used.
+        It needs the time only until the version bound has passed, since requests may
+        still start on the preceding version until then.
         """
         now = boottime_clock()
         declared_after = now - self._upgrade.version_bound - REPORT_BEYOND_BOUND
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -1,4 +1,4 @@
-"""Piece transfer: carries out the outcomes of the swarm machine."""
+"""Piece transfer: performs the actions that the swarm machine returns."""
 
 import asyncio
 
--- a/hawthornspoke/spread/_fetches.py
+++ b/hawthornspoke/spread/_fetches.py
@@ -37,7 +37,7 @@
     ----------
     swarm : Swarm
     step : callable
-        Steps the machine with a message and carries out its outcomes.
+        Passes a message to the machine and performs the returned actions.
     weights_by_name : dict of str to Weights
     links : PeerLinks
     source_label : callable
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -37,7 +37,8 @@
 ORDER_FAILED = Failure(code="order_failed")
 PROCESS_STALLED = Failure(code="stood_still")
 
-#: The pieces were staged or the order sent for an earlier incarnation of the engine.
+#: The pieces were staged at, or the order was sent to, an earlier incarnation of the
+#: engine.
 ENGINE_RESTARTED = Failure(code="restarted", reason="the engine has restarted")
 
 
@@ -51,7 +52,8 @@
         ``snapshot``.
     log : EventLog
     on_order_pending : callable
-        Called with True just before an order is sent and with False after it ended.
+        Called with True shortly before the engine is ordered to load weights, and with
+        False when that order has ended.
     """
 
     __slots__ = (
--- a/hawthornspoke/spread/_settings.py
+++ b/hawthornspoke/spread/_settings.py
@@ -29,7 +29,7 @@
     origin_copies : int, default=1
         Number of copies of a version that the origin sends to all hosts together.
     strategy : str, default="regional"
-        Name in the registry of burst strategies.
+        Name of a distribution strategy in ``STRATEGIES`` of the swarm package.
     first_start : bool, default=False
         Whether all hosts start for the first time, so that no host has a directive yet.
     """
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -1,7 +1,7 @@
 """State machine, without I/O, that plans which version an engine loads, and when.
 
 A version expires once the version bound has passed since the declaration of the next
-one: no request may begin on its weights from then on.
+one: no request may start on its weights from then on.
 """
 
 from dataclasses import dataclass
@@ -120,7 +120,7 @@
     transfer_time : float, default=5.7
         Seconds until all hosts hold all pieces of a version.
     version_bound : float, default=8.0
-        Seconds after a declaration from which no request may begin on older versions.
+        Seconds after a declaration from which no request may start on older versions.
     """
 
     __slots__ = (
@@ -333,7 +333,7 @@
         return chosen.version
 
     def _is_expired(self, held_version, now):
-        """Tell whether requests may no longer begin on a version's weights."""
+        """Tell whether requests may no longer start on a version's weights."""
         for declared in self._declared:
             if declared.version > held_version:
                 return now >= declared.at + self.version_bound - EXPIRY_MARGIN
--- a/hawthornspoke/swarm/_strategies.py
+++ b/hawthornspoke/swarm/_strategies.py
@@ -16,7 +16,8 @@
 #: itself is unreachable.
 OWNERS_PER_CHUNK = 8
 
-#: Number of leading owners of a chunk that probe the owners before them.
+#: Number of owners, from the first in a chunk's order, that query the owners ranked
+#: before them if these have announced nothing so far.
 PROBING_OWNERS = 2
 
 
