--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -277,7 +277,7 @@
 
 
 def _has_restarted(before, after):
-    """Tell whether two snapshots are of different incarnations of an engine.
+    """Return whether two snapshots are of different incarnations of an engine.
 
     Parameters
     ----------
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -129,7 +129,7 @@
         return readers
 
     def _may_read_origin(self, name, preceding, failure):
-        """Tell whether this host reads the origin after readers gave no manifest."""
+        """Return whether this host reads the origin after readers gave no manifest."""
         if len(preceding) < READERS_PER_REGION or name in self._rejected:
             return True
         if failure == UNANSWERED:
--- a/hawthornspoke/spread/_piece_store.py
+++ b/hawthornspoke/spread/_piece_store.py
@@ -41,7 +41,7 @@
         return self._piece_by_index.get(index)
 
     def matches_digest(self, index, data):
-        """Tell whether data matches the digest of a piece."""
+        """Return whether data matches the digest of a piece."""
         return digest_of(data) == self.digests[index]
 
     def put(self, index, data):
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -201,7 +201,7 @@
         return []
 
     def is_order_valid(self, version, *, now):
-        """Tell whether an order for a version would still be valid.
+        """Return whether an order for a version would still be valid.
 
         Parameters
         ----------
@@ -333,14 +333,14 @@
         return chosen.version
 
     def _is_expired(self, held_version, now):
-        """Tell whether requests may no longer start on a version's weights."""
+        """Return whether requests may no longer start on a version's weights."""
         for declared in self._declared:
             if declared.version > held_version:
                 return now >= declared.at + self.version_bound - EXPIRY_MARGIN
         return False
 
     def _newest_arrives_in_time(self, chosen):
-        """Tell whether the newest version is usable before the engine's expires."""
+        """Return whether the newest version is usable before the engine's expires."""
         usable_at = self._declared[-1].at + self.transfer_time + SWITCH_TIME
         return self._engine.is_complete and usable_at < chosen.at + self.version_bound
 
--- a/hawthornspoke/spread/tests/test_agents.py
+++ b/hawthornspoke/spread/tests/test_agents.py
@@ -115,7 +115,7 @@
         self.busy = False
 
     def has_loaded(self, version):
-        """Tell whether exactly the correct bytes of a version are loaded."""
+        """Return whether exactly the correct bytes of a version are loaded."""
         right = {index: piece(version, index) for index in range(PIECES)}
         return self.version == version and self.loaded == right
 
--- a/hawthornspoke/swarm/_messages.py
+++ b/hawthornspoke/swarm/_messages.py
@@ -14,8 +14,9 @@
     size : int
     held : tuple of int
         Chunks that this host already holds.
-    participants : dict of str to HostEntry
-        All hosts that load these weights, including this one, with their addresses.
+    participants : dict of str to object
+        All hosts that load these weights, including this one, by name. Each object has
+        ``failure_domain``, ``address`` and ``port``.
     region_by_domain : dict of str to str
         Region of each failure domain.
     priority : int
