--- a/hawthornspoke/entry/_quarantine_sync.py
+++ b/hawthornspoke/entry/_quarantine_sync.py
@@ -78,15 +78,15 @@
         """Record that an engine completed a request."""
         self._step(RequestCompleted(fingerprint=fingerprint), now)
 
-    def merge_evidence(self, message, *, now):
+    def merge_evidence(self, news, *, now):
         """Merge evidence from another entry host.
 
         Parameters
         ----------
-        message : EvidenceNews
+        news : EvidenceNews
         now : float
         """
-        items = decode_evidence(message.items, now=now)
+        items = decode_evidence(news.items, now=now)
         self._step(EvidenceReceived(items=items), now, is_local=False)
 
     def resend_recent(self, *, now):
@@ -123,9 +123,9 @@
         items = encode_evidence(evidence, now=now)
         targets = [(view.address, view.port) for view in views]
         for first in range(0, len(items), MAX_ITEMS_PER_DATAGRAM):
-            message = EvidenceNews(
+            news = EvidenceNews(
                 version=PROTOCOL_VERSION,
                 revision=self._core.holder.heard_revision,
                 items=items[first : first + MAX_ITEMS_PER_DATAGRAM],
             )
-            self._socket.send(Datagram(evidence=message), targets)
+            self._socket.send(Datagram(evidence=news), targets)
--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -10,8 +10,8 @@
 from hawthornspoke.placing._subset import Subset
 from hawthornspoke.placing._weights_eligibility import StartForecast
 
-#: Maximum queue length of an engine that may still get a request that is already late.
-#: With a longer queue, late requests take the slots of requests that could still be on
+#: Queue length from which an engine gets no request that is already late; 0 requires a
+#: free slot. Otherwise late requests take the slots of requests that could still be on
 #: time, so that these become late as well.
 MAX_LATE_QUEUE = 0
 
