--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -109,22 +109,22 @@
             f'[rollout]\nstrategy = "{self.strategy}"\n'
             f'origin_copies = {self.copies}\norigin_scope = "{self.scope}"\n'
         )
-        fleet.declare("10-all.toml", declarations())
-        fleet.declare("15-rollout.toml", rollout)
+        fleet.write_declaration("10-all.toml", declarations())
+        fleet.write_declaration("15-rollout.toml", rollout)
         fleet.apply("--wait", "60")
         fleet.wait_ready(seconds=120)
 
     def _distribute(self, fleet):
-        names = fleet.names("runner")
+        names = fleet.host_names("runner")
         late = names[-1] if "late" in self.faults else None
         if late:
             fleet.kill(late)
         cpu = {name: self._cpu(name) for name in names if name != late}
         sent = {name: fleet.dump(name)["datagram_bytes_sent"] for name in cpu}
-        origin_bytes_before = fleet.counts()["origin_bytes"]
+        origin_bytes_before = fleet.platform_counts()["origin_bytes"]
         if "corrupt" in self.faults:
-            fleet.faults(origin_corrupt_share=0.01)
-        fleet.declare(
+            fleet.set_platform_faults(origin_corrupt_share=0.01)
+        fleet.write_declaration(
             "20-version.toml",
             '[models.redac.versions.v2]\nsource = "redac-v2"\n'
             '[services.redacteur]\nversion = "v2"\n',
@@ -202,7 +202,7 @@
         ]
         cpu_used = [self._cpu(name) - cpu[name] for name in states if name in cpu]
         memory = [memory_bytes(fleet.process_by_name[name].pid) for name in states]
-        read = fleet.counts()["origin_bytes"] - origin_bytes_before
+        read = fleet.platform_counts()["origin_bytes"] - origin_bytes_before
         return {
             "time": (live_at - started) / self.window,
             "complete": (complete_at - started) / self.window,
@@ -244,7 +244,7 @@
     def _start_load(self):
         """Start clients that stream responses at a low constant rate."""
         self._load_enabled.set()
-        for entry in self.fleet.names("entry"):
+        for entry in self.fleet.host_names("entry"):
             threading.Thread(
                 target=self._stream_responses, args=(entry,), daemon=True
             ).start()
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -41,16 +41,16 @@
         agent_settings={"heartbeat_every": 1.0, "suspect_after": 3.0},
     ) as fleet:
         fleet.publish("redac-v1", weights(1, chunks=2))
-        fleet.declare("10-all.toml", declarations())
+        fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "60")
         fleet.wait_ready(seconds=120)
         time.sleep(3)
-        names = fleet.names("entry")[:6] + fleet.names("runner")[:12]
+        names = fleet.host_names("entry")[:6] + fleet.host_names("runner")[:12]
         before = {name: sample(fleet, name) for name in names}
-        reads = fleet.counts()["reads"]
+        reads = fleet.platform_counts()["reads"]
         time.sleep(seconds)
         after = {name: sample(fleet, name) for name in names}
-        reads = (fleet.counts()["reads"] - reads) / seconds
+        reads = (fleet.platform_counts()["reads"] - reads) / seconds
     cost_by_role = {}
     for prefix in ("entry", "runner"):
         chosen = [name for name in names if name.startswith(prefix)]
@@ -199,7 +199,7 @@
         agent_settings={"slots": 32},
     ) as fleet:
         fleet.publish("redac-v1", weights(1, chunks=2))
-        fleet.declare("10-all.toml", declarations())
+        fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "60")
         fleet.wait_ready()
         deadline = time.monotonic() + seconds
@@ -226,7 +226,7 @@
 def stream_until(fleet, deadline, token_counts):
     """Stream responses until a deadline (monotonic clock), counting their tokens."""
     while time.monotonic() < deadline:
-        response = fleet.complete("entry-0", stream=True, max_tokens=80)
+        response = fleet.send_completion("entry-0", stream=True, max_tokens=80)
         token_counts.append(response.data.count(b"data: {"))
 
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -41,7 +41,7 @@
 
     def run(self):
         """Send all requests and wait for their completion; return self."""
-        entries = self.fleet.names("entry")
+        entries = self.fleet.host_names("entry")
         threads = []
         started = time.monotonic()
         count = int(self.rate * self.seconds)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -86,7 +86,7 @@
 def engine_requests(fleet):
     """Return the number of requests that engines have received so far."""
     total = 0
-    for name in fleet.names("runner"):
+    for name in fleet.host_names("runner"):
         total += fleet.get(fleet.engine_url(name) + "/state")["requests"]
     return total
 
@@ -111,7 +111,7 @@
         ],
     ) as fleet:
         fleet.publish("redac-v1", weights(1, chunks=2))
-        fleet.declare("10-all.toml", declarations())
+        fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "30")
         fleet.wait_ready()
         full_rate = capacity()
@@ -121,7 +121,7 @@
                 fleet, name, full_rate * factor, options.seconds
             )
             rows.append(row)
-        fleet.engine_faults("runner-0", fail_share=1.0)
+        fleet.set_engine_faults("runner-0", fail_share=1.0)
         row, by_name["third fails"] = run_case(
             fleet, "one of three fails", full_rate * 0.5, options.seconds
         )
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -30,13 +30,13 @@
 def run_case(fleet, case, *, rate, seconds):
     """Run one case; return the load, prefix hit rate and share of ``runner-0``."""
     if case == "one slow":
-        fleet.engine_faults("runner-0", slow_factor=5.0)
+        fleet.set_engine_faults("runner-0", slow_factor=5.0)
     if case == "one fails fast":
-        fleet.engine_faults("runner-0", fail_share=1.0)
+        fleet.set_engine_faults("runner-0", fail_share=1.0)
     before = engine_counts(fleet)
     load = Load(fleet, rate=rate, seconds=seconds, prompts=64).run()
     after = engine_counts(fleet)
-    fleet.engine_faults("runner-0", slow_factor=1.0, fail_share=0.0)
+    fleet.set_engine_faults("runner-0", slow_factor=1.0, fail_share=0.0)
     engine_requests = [after[name][0] - before[name][0] for name in after]
     hits = sum(after[name][1] - before[name][1] for name in after)
     return (
@@ -49,7 +49,7 @@
 def engine_counts(fleet):
     """Return the number of requests and prefix hits by engine."""
     counts = {}
-    for name in fleet.names("runner"):
+    for name in fleet.host_names("runner"):
         state = fleet.get(fleet.engine_url(name) + "/state")
         counts[name] = (state["requests"], state["prefix_hits"])
     return counts
@@ -66,7 +66,7 @@
         engine_options=["--prefill-seconds", "0.05", "--slots", "8"],
     ) as fleet:
         fleet.publish("redac-v1", weights(1, chunks=2))
-        fleet.declare("10-all.toml", declarations())
+        fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "30")
         fleet.wait_ready()
         for case in CASES:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
     fleet.start()
     fleet.publish("redac-v1", weights(1))
     fleet.publish("redac-v2", weights(2))
-    fleet.declare("10-all.toml", declarations())
+    fleet.write_declaration("10-all.toml", declarations())
     fleet.apply("--wait", "20")
     fleet.wait_ready()
     return fleet
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -110,7 +110,7 @@
     def host(self, name):
         return next(item for item in self.hosts if item["host"] == name)
 
-    def names(self, prefix):
+    def host_names(self, prefix):
         return [item["host"] for item in self.hosts if item["host"].startswith(prefix)]
 
     # Process control.
@@ -142,7 +142,7 @@
 
     def _start_shared_engines(self):
         """Start several engines per process, to save resources in large benchmarks."""
-        names = self.names("runner")
+        names = self.host_names("runner")
         size = self.engines_per_process
         for start_index in range(0, len(names), size):
             group = names[start_index : start_index + size]
@@ -151,7 +151,7 @@
             self._start(
                 f"engines-{start_index}", "standin", "engines", *addresses, *port
             )
-        for name in self.names("billing"):
+        for name in self.host_names("billing"):
             self.start_engine(name)
 
     def start_engine(self, name):
@@ -276,17 +276,17 @@
         ]
         self.post(f"{self.platform_url}/endpointslices", hosts)
 
-    def faults(self, **changes):
+    def set_platform_faults(self, **changes):
         self.post(f"{self.platform_url}/_faults", changes)
 
-    def engine_faults(self, name, **changes):
+    def set_engine_faults(self, name, **changes):
         self.post(self.engine_url(name) + "/_faults", changes)
 
     def publish(self, source, data):
         url = f"{self.platform_url}/origin/{source}/weights"
         assert self.http.request("PUT", url, body=data).status == 200
 
-    def counts(self):
+    def platform_counts(self):
         return self.get(f"{self.platform_url}/_counts")
 
     # Operators.
@@ -300,7 +300,7 @@
             timeout=60,
         )
 
-    def declare(self, name, text):
+    def write_declaration(self, name, text):
         folder = self.folder / "declarations"
         folder.mkdir(exist_ok=True)
         (folder / name).write_text(text)
@@ -331,7 +331,9 @@
     def entry_url(self, name):
         return f"http://{self.host(name)['address']}:{self.base_port + 3}"
 
-    def complete(self, entry="entry-0", *, model="redacteur", headers=None, **body):
+    def send_completion(
+        self, entry="entry-0", *, model="redacteur", headers=None, **body
+    ):
         tree = {"model": model, "prompt": "grade this laptop", **body}
         return self.http.request(
             "POST",
@@ -474,7 +476,7 @@
     options = parser.parse_args()
     with Fleet(entries=options.entries, agents=options.agents, log=True) as fleet:
         fleet.publish("redac-v1", random.Random(1).randbytes(400 * 16384))
-        fleet.declare("10-all.toml", declarations())
+        fleet.write_declaration("10-all.toml", declarations())
         print(fleet.apply("--wait", "20"))
         fleet.wait_ready()
         url = fleet.entry_url("entry-0")
--- a/tests/test_dump.py
+++ b/tests/test_dump.py
@@ -9,7 +9,7 @@
 def test_dump_by_http_command_and_signal():
     with Fleet(entries=1, agents=1, plain=0, log=True) as fleet:
         fleet.publish("redac-v1", b"w" * 20000)
-        fleet.declare("10-all.toml", declarations())
+        fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "20")
         fleet.wait_ready()
         for name, section in (("entry-0", "router"), ("runner-0", "gate")):
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -23,8 +23,8 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def __enter__(self):
-        for name in self.fleet.names("runner"):
-            self.fleet.engine_faults(name, exit_on_prompt=POISON)
+        for name in self.fleet.host_names("runner"):
+            self.fleet.set_engine_faults(name, exit_on_prompt=POISON)
         self._thread.start()
         return self
 
@@ -34,15 +34,15 @@
 
     def _run(self):
         while not self._stopping.wait(0.2):
-            for name in self.fleet.names("runner"):
+            for name in self.fleet.host_names("runner"):
                 if not self.fleet.is_running(f"{name}.engine"):
                     self.exit_count += 1
                     self.fleet.start_engine(name)
-                    self.fleet.engine_faults(name, exit_on_prompt=POISON)
+                    self.fleet.set_engine_faults(name, exit_on_prompt=POISON)
 
 
 def send_poison_request(fleet, entry, **body):
-    return fleet.complete(entry, prompt=POISON, max_tokens=5, **body)
+    return fleet.send_completion(entry, prompt=POISON, max_tokens=5, **body)
 
 
 @pytest.mark.parametrize("stream", [False, True], ids=["whole", "stream"])
@@ -52,7 +52,7 @@
     with EngineRestarter(fleet) as restarter:
         stop_at = time.monotonic() + 12.0
         while time.monotonic() < stop_at:
-            for entry in fleet.names("entry"):
+            for entry in fleet.host_names("entry"):
                 send_poison_request(fleet, entry, stream=stream)
             time.sleep(0.2)
         assert (
@@ -64,4 +64,6 @@
         assert response.status == 503
         assert b'"code": "quarantined"' in response.data
         assert float(response.headers["Retry-After"]) > 60
-        fleet.wait_for(lambda: fleet.complete("entry-2", max_tokens=5).status == 200)
+        fleet.wait_for(
+            lambda: fleet.send_completion("entry-2", max_tokens=5).status == 200
+        )
--- a/tests/test_promise_answers.py
+++ b/tests/test_promise_answers.py
@@ -33,9 +33,11 @@
     must not remain on a connection that is returned to the pool.
     """
     with (
-        VerifyingClients(fleet, fleet.names("entry"), thread_count=10) as plain_clients,
         VerifyingClients(
-            fleet, fleet.names("entry"), thread_count=10, stream=True
+            fleet, fleet.host_names("entry"), thread_count=10
+        ) as plain_clients,
+        VerifyingClients(
+            fleet, fleet.host_names("entry"), thread_count=10, stream=True
         ) as streaming_clients,
     ):
         plain_clients.wait_results(150)
@@ -52,13 +54,13 @@
     immediately through the same entry host. A connection with an unread response
     must not be reused.
     """
-    for name in fleet.names("runner"):
-        fleet.engine_faults(name, slow_factor=30.0)
+    for name in fleet.host_names("runner"):
+        fleet.set_engine_faults(name, slow_factor=30.0)
     for _ in range(6):
-        late = fleet.complete("entry-0", headers={"X-Request-Timeout": "0.3"})
+        late = fleet.send_completion("entry-0", headers={"X-Request-Timeout": "0.3"})
         assert late.status in (408, 504, 503), late.data
-    for name in fleet.names("runner"):
-        fleet.engine_faults(name, slow_factor=1.0)
+    for name in fleet.host_names("runner"):
+        fleet.set_engine_faults(name, slow_factor=1.0)
     with VerifyingClients(fleet, ["entry-0"], thread_count=4) as clients:
         clients.wait_results(40)
     assert clients.mismatches() == []
@@ -70,16 +72,16 @@
     One engine aborts every stream after three tokens. The end of the data does not
     show that the response is complete.
     """
-    fleet.engine_faults("runner-0", die_after_tokens=3)
+    fleet.set_engine_faults("runner-0", die_after_tokens=3)
     with VerifyingClients(
-        fleet, fleet.names("entry"), thread_count=6, stream=True
+        fleet, fleet.host_names("entry"), thread_count=6, stream=True
     ) as clients:
         clients.wait_results(120)
-    fleet.engine_faults("runner-0", die_after_tokens=0)
+    fleet.set_engine_faults("runner-0", die_after_tokens=0)
     assert clients.mismatches() == []
     resumed = sum(
         fleet.dump(name)["counters"].get("retries_total", 0)
-        for name in fleet.names("entry")
+        for name in fleet.host_names("entry")
     )
     assert resumed > 0
 
@@ -90,13 +92,13 @@
     Every engine aborts streams after three tokens and the requests are
     non-idempotent, so they must be neither resumed nor ended as complete.
     """
-    for name in fleet.names("runner"):
-        fleet.engine_faults(name, die_after_tokens=3)
-    before = sum(len(fleet.runs(name)["runs"]) for name in fleet.names("runner"))
+    for name in fleet.host_names("runner"):
+        fleet.set_engine_faults(name, die_after_tokens=3)
+    before = sum(len(fleet.runs(name)["runs"]) for name in fleet.host_names("runner"))
     connection = open_stream(fleet, "entry-0", tokens=6)
     connection.sendall(b"")
     connection.close()
-    response = fleet.complete(
+    response = fleet.send_completion(
         "entry-1", headers={"X-Idempotent": "false"}, max_tokens=6
     )
     tree = json.loads(response.data)
@@ -107,9 +109,9 @@
     ) as clients:
         clients.wait_results(3)
     assert clients.count("done") == 0
-    for name in fleet.names("runner"):
-        fleet.engine_faults(name, die_after_tokens=0)
-    after = sum(len(fleet.runs(name)["runs"]) for name in fleet.names("runner"))
+    for name in fleet.host_names("runner"):
+        fleet.set_engine_faults(name, die_after_tokens=0)
+    after = sum(len(fleet.runs(name)["runs"]) for name in fleet.host_names("runner"))
     assert after - before <= 1 + 1 + len(clients.results) + 2
 
 
@@ -124,12 +126,12 @@
     connection.close()
 
     def cancelled():
-        return any(fleet.runs(name)["cancelled"] for name in fleet.names("runner"))
+        return any(fleet.runs(name)["cancelled"] for name in fleet.host_names("runner"))
 
     fleet.wait_for(cancelled, seconds=10)
 
     def idle():
-        states = [fleet.dump(name)["gate"] for name in fleet.names("runner")]
+        states = [fleet.dump(name)["gate"] for name in fleet.host_names("runner")]
         return not any(state["running_by_id"] for state in states)
 
     fleet.wait_for(idle, seconds=10)
--- a/tests/test_promise_config.py
+++ b/tests/test_promise_config.py
@@ -12,7 +12,7 @@
 
 
 def declare_rate(fleet, rate):
-    fleet.declare(
+    fleet.write_declaration(
         "50-rate.toml", f"[organisations.federation]\nrequests_per_second = {rate}\n"
     )
 
@@ -82,9 +82,9 @@
     """Guards against reporting a failure for a change that the table has accepted."""
     before = accepted_revision(fleet)
     declare_rate(fleet, random.randrange(10_000, 20_000))
-    fleet.faults(table_lost_answers=1)
+    fleet.set_platform_faults(table_lost_answers=1)
     printed = fleet.apply()
-    fleet.faults(table_lost_answers=0)
+    fleet.set_platform_faults(table_lost_answers=0)
     assert f"revision {before + 1} accepted" in printed
     assert accepted_revision(fleet) == before + 1
 
@@ -95,15 +95,15 @@
     fleet.wait_for(
         lambda: set(revisions(fleet).values()) == {before}, MAX_PROPAGATION_SECONDS
     )
-    fleet.faults(table_down=True, hosts_down=True)
-    with VerifyingClients(fleet, fleet.names("entry"), thread_count=4) as clients:
+    fleet.set_platform_faults(table_down=True, hosts_down=True)
+    with VerifyingClients(fleet, fleet.host_names("entry"), thread_count=4) as clients:
         time.sleep(6)
     completed = fleet.run_command("apply", str(fleet.folder / "declarations"))
     assert completed.returncode == 4, completed.stderr
     assert clients.failed_requests() == []
     assert clients.mismatches() == []
     assert set(revisions(fleet).values()) == {before}
-    fleet.faults(table_down=False, hosts_down=False)
+    fleet.set_platform_faults(table_down=False, hosts_down=False)
     declare_rate(fleet, 777)
     fleet.apply()
     expected = accepted_revision(fleet)
@@ -185,7 +185,9 @@
 
 def unknown_key_error(fleet, entry):
     """Return status and error code of a request with an unknown key."""
-    response = fleet.complete(entry, headers={"Authorization": "Bearer none-of-ours"})
+    response = fleet.send_completion(
+        entry, headers={"Authorization": "Bearer none-of-ours"}
+    )
     return response.status, json.loads(response.data)["error"]["code"]
 
 
@@ -196,7 +198,7 @@
     gets 401 does not retry. The failure occurred because the host checked only at
     startup whether its configuration is current.
     """
-    names = fleet.names("entry")
+    names = fleet.host_names("entry")
     for name in names:
         fleet.wait_for(
             lambda name=name: (
@@ -204,14 +206,14 @@
             ),
             5.0,
         )
-    fleet.faults(table_down=True)
+    fleet.set_platform_faults(table_down=True)
     try:
         time.sleep(MAX_PROPAGATION_SECONDS + 1.0)
         for name in names:
             assert unknown_key_error(fleet, name) == (503, "not_ready")
-            assert fleet.complete(name).status == 200
+            assert fleet.send_completion(name).status == 200
     finally:
-        fleet.faults(table_down=False)
+        fleet.set_platform_faults(table_down=False)
     for name in names:
         fleet.wait_for(
             lambda name=name: (
@@ -228,7 +230,7 @@
     failure occurred because it waited for its next scheduled read.
     """
     fleet = fresh_fleet
-    name = fleet.names("entry")[0]
+    name = fleet.host_names("entry")[0]
     default_platform_toml = fleet.platform_toml()
     fleet.platform_toml = lambda: default_platform_toml + "poll_every = 30.0\n"
     fleet.kill(name)
--- a/tests/test_promise_leaving.py
+++ b/tests/test_promise_leaving.py
@@ -11,7 +11,7 @@
 
 def runs_started_after(fleet, name, seconds, start_leaving):
     """Return the number of runs started on a host after a delay, and the clients."""
-    with VerifyingClients(fleet, fleet.names("entry"), thread_count=6) as clients:
+    with VerifyingClients(fleet, fleet.host_names("entry"), thread_count=6) as clients:
         clients.wait_results(60)
         start_leaving()
         time.sleep(seconds)
@@ -66,7 +66,7 @@
     queued in its sockets must not run if their connections have been closed.
     """
     fleet = fresh_fleet
-    with VerifyingClients(fleet, fleet.names("entry"), thread_count=6) as clients:
+    with VerifyingClients(fleet, fleet.host_names("entry"), thread_count=6) as clients:
         clients.wait_results(60)
         fleet.suspend("runner-0")
         fleet.publish_host_list(leaving=("runner-0",))
--- a/tests/test_promise_not_run.py
+++ b/tests/test_promise_not_run.py
@@ -13,7 +13,7 @@
     """
     fleet = fresh_fleet
     with VerifyingClients(
-        fleet, fleet.names("entry"), thread_count=8, non_idempotent=True
+        fleet, fleet.host_names("entry"), thread_count=8, non_idempotent=True
     ) as clients:
         clients.wait_results(50)
         fleet.kill("runner-0")
@@ -38,7 +38,7 @@
     fleet = fresh_fleet
     fleet.kill("runner-0.engine")
     with VerifyingClients(
-        fleet, fleet.names("entry"), thread_count=4, non_idempotent=True
+        fleet, fleet.host_names("entry"), thread_count=4, non_idempotent=True
     ) as clients:
         clients.wait_results(80)
     assert clients.mismatches() == []
@@ -54,16 +54,16 @@
     The service executes the call and its response is truncated. An error while
     reading the response must not be treated as a rejection.
     """
-    for name in fleet.names("billing"):
+    for name in fleet.host_names("billing"):
         fleet.post(fleet.engine_url(name) + "/_faults", {"drop_answers": 1})
     before = total_runs(fleet)
     response = fleet.call("entry-0", "/services/billing/invoices")
     assert response.status == 502, response.data
     assert b'"outcome": "unknown"' in response.data
-    for name in fleet.names("billing"):
+    for name in fleet.host_names("billing"):
         fleet.post(fleet.engine_url(name) + "/_faults", {"drop_answers": 0})
     assert total_runs(fleet) - before == 1
 
 
 def total_runs(fleet):
-    return sum(len(fleet.runs(name)["runs"]) for name in fleet.names("billing"))
+    return sum(len(fleet.runs(name)["runs"]) for name in fleet.host_names("billing"))
--- a/tests/test_promise_once.py
+++ b/tests/test_promise_once.py
@@ -17,7 +17,7 @@
 def run_count(fleet, key):
     return sum(
         1
-        for name in fleet.names("billing")
+        for name in fleet.host_names("billing")
         for run in fleet.runs(name)["runs"]
         if run["key"] == key
     )
@@ -61,7 +61,7 @@
 
         threads = [
             threading.Thread(target=send_request, args=(name,))
-            for name in fleet.names("entry")
+            for name in fleet.host_names("entry")
         ]
         for thread in threads:
             thread.start()
@@ -79,9 +79,9 @@
     The claim is written, but the table's response is lost. The entry host must read
     the row back and compare its token instead of assuming success or failure.
     """
-    fleet.faults(table_lost_answers=1)
+    fleet.set_platform_faults(table_lost_answers=1)
     response = post_invoice(fleet, "entry-0", key)
-    fleet.faults(table_lost_answers=0)
+    fleet.set_platform_faults(table_lost_answers=0)
     assert response.status == 201, response.data
     assert run_count(fleet, key) == 1
     assert post_invoice(fleet, "entry-1", key).headers["X-Stored-Answer"] == "true"
@@ -89,12 +89,12 @@
 
 def test_platform_outage_rejects_keyed_requests_at_once_and_serves_others(fleet, key):
     """Guards against a full outage or unclaimed runs while the table is down."""
-    fleet.faults(table_down=True)
+    fleet.set_platform_faults(table_down=True)
     started = time.monotonic()
     refused = post_invoice(fleet, "entry-0", key)
     seconds = time.monotonic() - started
-    response_without_key = fleet.complete("entry-0")
-    fleet.faults(table_down=False)
+    response_without_key = fleet.send_completion("entry-0")
+    fleet.set_platform_faults(table_down=False)
     assert refused.status == 503, refused.data
     assert json.loads(refused.data)["error"]["outcome"] == "not_run"
     assert int(refused.headers["Retry-After"]) >= 1
@@ -110,11 +110,11 @@
 
 def test_slow_table_does_not_delay_the_response_past_the_deadline(fleet, key):
     """Guards against a rejection that arrives long after the client's deadline."""
-    fleet.faults(table_delay=5)
+    fleet.set_platform_faults(table_delay=5)
     started = time.monotonic()
     response = post_invoice(fleet, "entry-0", key, headers={"X-Request-Timeout": "0.5"})
     seconds = time.monotonic() - started
-    fleet.faults(table_delay=0)
+    fleet.set_platform_faults(table_delay=0)
     assert response.status in (408, 503), response.data
     assert seconds < 2.0
     time.sleep(5.5)
@@ -129,7 +129,7 @@
     twice if its claim expires, or if the resumed host sends it after the deadline.
     """
     fleet = fresh_fleet
-    fleet.faults(table_delay=0.4)
+    fleet.set_platform_faults(table_delay=0.4)
     keys = [uuid.uuid4().hex for _ in range(6)]
 
     def send_request(key):
@@ -144,7 +144,7 @@
     time.sleep(0.3)
     fleet.suspend("entry-0")
     time.sleep(1.5)
-    fleet.faults(table_delay=0)
+    fleet.set_platform_faults(table_delay=0)
     retried = [post_invoice(fleet, "entry-1", key) for key in keys]
     fleet.resume("entry-0")
     for thread in threads:
@@ -160,13 +160,13 @@
 
 def test_post_to_a_plain_service_is_not_repeated_by_default(fleet):
     """Guards against repeating a POST on another host after a lost response."""
-    for name in fleet.names("billing"):
+    for name in fleet.host_names("billing"):
         fleet.post(fleet.engine_url(name) + "/_faults", {"drop_answers": 5})
-    before = sum(len(fleet.runs(name)["runs"]) for name in fleet.names("billing"))
+    before = sum(len(fleet.runs(name)["runs"]) for name in fleet.host_names("billing"))
     for _ in range(4):
         assert fleet.call("entry-0", "/services/billing/x").status == 502
-    after = sum(len(fleet.runs(name)["runs"]) for name in fleet.names("billing"))
-    for name in fleet.names("billing"):
+    after = sum(len(fleet.runs(name)["runs"]) for name in fleet.host_names("billing"))
+    for name in fleet.host_names("billing"):
         fleet.post(fleet.engine_url(name) + "/_faults", {"drop_answers": 0})
     assert after - before == 4
 
@@ -177,19 +177,19 @@
     Every engine runs the request and then fails. An error must not be retried like
     a rejection.
     """
-    for name in fleet.names("runner"):
-        fleet.engine_faults(name, die_after_tokens=2)
-    response = fleet.complete(
+    for name in fleet.host_names("runner"):
+        fleet.set_engine_faults(name, die_after_tokens=2)
+    response = fleet.send_completion(
         "entry-0", headers={"X-Idempotent": "false"}, max_tokens=6
     )
-    for name in fleet.names("runner"):
-        fleet.engine_faults(name, die_after_tokens=0)
+    for name in fleet.host_names("runner"):
+        fleet.set_engine_faults(name, die_after_tokens=0)
     error = json.loads(response.data)["error"]
     assert response.status == 502
     assert error["outcome"] == "unknown"
     ran = [
         run
-        for name in fleet.names("runner")
+        for name in fleet.host_names("runner")
         for run in fleet.runs(name)["runs"]
         if run.startswith(error["request_id"])
     ]
--- a/tests/test_promise_shutdown.py
+++ b/tests/test_promise_shutdown.py
@@ -51,14 +51,14 @@
         open_stream(
             fleet, entry, tokens=TOKENS, prompt=f"{entry}{number}", non_idempotent=True
         )
-        for entry in fleet.names("entry")
+        for entry in fleet.host_names("entry")
         for number in range(3)
     ]
     for stream in streams:
         assert stream.recv(1024, 2)  # 2 is MSG_PEEK; read_all needs the data.
-    for name in fleet.names("runner"):
-        fleet.engine_faults(name, load_seconds=3.0)
-    fleet.declare(
+    for name in fleet.host_names("runner"):
+        fleet.set_engine_faults(name, load_seconds=3.0)
+    fleet.write_declaration(
         "20-version.toml",
         '[models.redac.versions.v2]\nsource = "redac-v2"\n'
         '[services.redacteur]\nversion = "v2"\n',
@@ -66,7 +66,7 @@
     fleet.apply()
     fleet.signal("runner-1", signal.SIGTERM)
     fleet.signal("runner-1", signal.SIGTERM)
-    with VerifyingClients(fleet, fleet.names("entry"), thread_count=3) as clients:
+    with VerifyingClients(fleet, fleet.host_names("entry"), thread_count=3) as clients:
         assert all(is_complete(read_all(stream)) for stream in streams)
     assert clients.mismatches() == []
     assert clients.failed_requests() == []
--- a/tests/test_promise_weights.py
+++ b/tests/test_promise_weights.py
@@ -9,7 +9,7 @@
 
 def live_digests(fleet):
     digests = {}
-    for name in fleet.names("runner"):
+    for name in fleet.host_names("runner"):
         state = fleet.dump(name)
         if state is not None:
             digests[name] = state["gate"]["live_by_service"].get("redacteur")
@@ -18,7 +18,9 @@
 
 def all_live(fleet, digest):
     found = live_digests(fleet)
-    return len(found) == len(fleet.names("runner")) and set(found.values()) == {digest}
+    return len(found) == len(fleet.host_names("runner")) and set(found.values()) == {
+        digest
+    }
 
 
 def declared_digest(fleet, name="runner-0"):
@@ -26,7 +28,7 @@
 
 
 def switch_to(fleet, version, source):
-    fleet.declare("20-version.toml", _version_toml(version, source))
+    fleet.write_declaration("20-version.toml", _version_toml(version, source))
     fleet.apply("--wait", "20")
     return declared_digest(fleet)
 
@@ -47,10 +49,10 @@
     response must be generated entirely from the digest in its header.
     """
     fleet = fresh_fleet
-    with VerifyingClients(fleet, fleet.names("entry"), thread_count=8) as clients:
+    with VerifyingClients(fleet, fleet.host_names("entry"), thread_count=8) as clients:
         clients.wait_results(50)
-        fleet.faults(origin_corrupt_share=0.1)
-        fleet.declare("20-version.toml", _version_toml("v2", "redac-v2"))
+        fleet.set_platform_faults(origin_corrupt_share=0.1)
+        fleet.write_declaration("20-version.toml", _version_toml("v2", "redac-v2"))
         fleet.apply()
         fleet.kill("runner-1")
         clients.wait_results(50)
@@ -64,7 +66,7 @@
     assert clients.falsely_not_run() == []
     failed = sum(
         fleet.dump(name)["swarm"]["failed_by_cause"].get("corrupt", 0)
-        for name in fleet.names("runner")
+        for name in fleet.host_names("runner")
     )
     assert failed > 0
 
@@ -76,7 +78,7 @@
     The agent must not assume that weights which it loaded earlier are still loaded.
     """
     fleet = fresh_fleet
-    with VerifyingClients(fleet, fleet.names("entry")) as clients:
+    with VerifyingClients(fleet, fleet.host_names("entry")) as clients:
         clients.wait_results(20)
         fleet.kill("runner-0.engine")
         clients.wait_results(50)
@@ -99,17 +101,21 @@
     with Fleet(agents=3, plain=0, platform_options=options) as fleet:
         fleet.publish("redac-v1", weights(1, chunks=10))
         fleet.publish("redac-v2", weights(2, chunks=80))
-        fleet.declare("10-all.toml", declarations())
+        fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "20")
         fleet.wait_ready()
         before = declared_digest(fleet)
-        fleet.declare("20-version.toml", _version_toml("v2", "redac-v2"))
+        fleet.write_declaration("20-version.toml", _version_toml("v2", "redac-v2"))
         fleet.apply()
-        fleet.wait_for(lambda: fleet.counts()["origin_bytes"] > 20 * 16384)
+        fleet.wait_for(lambda: fleet.platform_counts()["origin_bytes"] > 20 * 16384)
         fleet.publish("redac-v2", weights(3, chunks=80))
-        with VerifyingClients(fleet, fleet.names("entry"), thread_count=3) as clients:
+        with VerifyingClients(
+            fleet, fleet.host_names("entry"), thread_count=3
+        ) as clients:
             # More than the full size was read, so no valid chunk is still in transit.
-            fleet.wait_for(lambda: fleet.counts()["origin_bytes"] > 100 * 16384)
+            fleet.wait_for(
+                lambda: fleet.platform_counts()["origin_bytes"] > 100 * 16384
+            )
         assert clients.mismatches() == []
         assert clients.count("done") == len(clients.results)
         # The origin no longer has the pinned bytes, so the old version stays live.
@@ -136,12 +142,14 @@
     ) as fleet:
         fleet.publish("redac-v1", weights(1))
         fleet.publish("redac-v2", weights(2))
-        fleet.declare("10-all.toml", declarations())
+        fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "20")
         fleet.wait_ready()
         min_live = 3
-        with VerifyingClients(fleet, fleet.names("entry"), thread_count=4) as clients:
-            fleet.declare("20-version.toml", _version_toml("v2", "redac-v2"))
+        with VerifyingClients(
+            fleet, fleet.host_names("entry"), thread_count=4
+        ) as clients:
+            fleet.write_declaration("20-version.toml", _version_toml("v2", "redac-v2"))
             fleet.apply("--wait", "20")
             expected = declared_digest(fleet)
             while not all_live(fleet, expected):
@@ -164,15 +172,15 @@
         '[models.redac.adapters.grades]\nbase = "v1"\nsource = "grades"\n'
         '[services.redacteur]\nadapters = ["grades"]\n'
     )
-    fleet.declare("30-adapter.toml", adapter)
+    fleet.write_declaration("30-adapter.toml", adapter)
     fleet.apply("--wait", "20")
     fleet.wait_ready()
-    response = fleet.complete(model="redacteur:grades", max_tokens=3)
+    response = fleet.send_completion(model="redacteur:grades", max_tokens=3)
     assert response.status == 200, response.data
     digest = response.headers["X-Weights-Digest"]
     assert json.loads(response.data)["choices"][0]["text"].count(digest[:12]) == 3
 
-    fleet.declare("40-wrong.toml", _version_toml("v2", "redac-v2"))
+    fleet.write_declaration("40-wrong.toml", _version_toml("v2", "redac-v2"))
     checked = fleet.run_command("check", str(fleet.folder / "declarations"))
     applied = fleet.run_command("apply", str(fleet.folder / "declarations"))
     assert "is for base 'v1', not 'v2'" in applied.stderr
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -11,19 +11,19 @@
 def test_declared_model_and_plain_service_serve_requests():
     with Fleet() as fleet:
         fleet.publish("redac-v1", WEIGHTS)
-        fleet.declare("10-all.toml", declarations())
+        fleet.write_declaration("10-all.toml", declarations())
         printed = fleet.apply("--wait", "20")
         assert "in force on every listed host" in printed
         fleet.wait_ready()
 
-        response = fleet.complete("entry-1", max_tokens=5)
+        response = fleet.send_completion("entry-1", max_tokens=5)
         assert response.status == 200, response.data
         digest = response.headers["X-Weights-Digest"]
         assert response.headers["X-Served-Version"] == "v1"
         text = json.loads(response.data)["choices"][0]["text"]
         assert text.count(digest[:12]) == 5
 
-        stream = fleet.complete("entry-2", max_tokens=5, stream=True)
+        stream = fleet.send_completion("entry-2", max_tokens=5, stream=True)
         assert stream.data.endswith(b"data: [DONE]\n\n")
         assert stream.data.count(digest[:12].encode()) == 5
 
@@ -32,4 +32,4 @@
         assert len(fleet.runs("billing-0")["runs"]) == 1
 
         # The five model hosts together read only about one copy from the origin.
-        assert fleet.counts()["origin_bytes"] <= 1.2 * len(WEIGHTS)
+        assert fleet.platform_counts()["origin_bytes"] <= 1.2 * len(WEIGHTS)
