--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -19,7 +19,7 @@
     unpack_document,
 )
 from hawthornspoke.protocol import Datagram, Gossip, Live, Member, Role, decode, encode
-from tests.conftest import weights
+from tests.conftest import random_weights
 from tests.fleet import Fleet, declarations
 
 #: Design size of one failure domain: 1/9 of 330 entry hosts and 1,600 agents.
@@ -40,7 +40,7 @@
         entry_settings={"heartbeat_every": 1.0, "suspect_after": 3.0, "threads": 16},
         agent_settings={"heartbeat_every": 1.0, "suspect_after": 3.0},
     ) as fleet:
-        fleet.publish("redac-v1", weights(1, chunks=2))
+        fleet.publish("redac-v1", random_weights(1, chunks=2))
         fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "60")
         fleet.wait_ready(seconds=120)
@@ -198,7 +198,7 @@
         engine_options=["--slots", "32", "--token-seconds", "0.05"],
         agent_settings={"slots": 32},
     ) as fleet:
-        fleet.publish("redac-v1", weights(1, chunks=2))
+        fleet.publish("redac-v1", random_weights(1, chunks=2))
         fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "60")
         fleet.wait_ready()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -10,7 +10,7 @@
 
 from benchmarks.load import Load
 from benchmarks.report import bounds, check, commit, print_table, quantile
-from tests.conftest import weights
+from tests.conftest import random_weights
 from tests.fleet import Fleet, declarations
 
 HEADING = [
@@ -110,7 +110,7 @@
             str(SLOTS),
         ],
     ) as fleet:
-        fleet.publish("redac-v1", weights(1, chunks=2))
+        fleet.publish("redac-v1", random_weights(1, chunks=2))
         fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "30")
         fleet.wait_ready()
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -9,7 +9,7 @@
 from benchmarks.load import Load
 from benchmarks.report import bounds, check, commit, print_table
 from hawthornspoke.routing import POLICIES
-from tests.conftest import weights
+from tests.conftest import random_weights
 from tests.fleet import Fleet, declarations
 
 HEADING = [
@@ -65,7 +65,7 @@
         entry_settings={"policy": policy},
         engine_options=["--prefill-seconds", "0.05", "--slots", "8"],
     ) as fleet:
-        fleet.publish("redac-v1", weights(1, chunks=2))
+        fleet.publish("redac-v1", random_weights(1, chunks=2))
         fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "30")
         fleet.wait_ready()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 DEFAULT_CHUNK_COUNT = 60
 
 
-def weights(seed, chunks=DEFAULT_CHUNK_COUNT):
+def random_weights(seed, chunks=DEFAULT_CHUNK_COUNT):
     """Return pseudorandom weights for a seed; the last chunk is not full."""
     return random.Random(seed).randbytes(chunks * CHUNK_SIZE - 7)
 
@@ -18,8 +18,8 @@
 def start_fleet(fleet):
     """Start a fleet and wait until redac-v1 is live on all model hosts."""
     fleet.start()
-    fleet.publish("redac-v1", weights(1))
-    fleet.publish("redac-v2", weights(2))
+    fleet.publish("redac-v1", random_weights(1))
+    fleet.publish("redac-v2", random_weights(2))
     fleet.write_declaration("10-all.toml", declarations())
     fleet.apply("--wait", "20")
     fleet.wait_ready()
--- a/tests/test_promise_weights.py
+++ b/tests/test_promise_weights.py
@@ -3,7 +3,7 @@
 import json
 
 from tests.callers import VerifyingClients
-from tests.conftest import weights
+from tests.conftest import random_weights
 from tests.fleet import Fleet, declarations
 
 
@@ -99,8 +99,8 @@
     """
     options = ["--origin-rate", "400000"]
     with Fleet(agents=3, plain=0, platform_options=options) as fleet:
-        fleet.publish("redac-v1", weights(1, chunks=10))
-        fleet.publish("redac-v2", weights(2, chunks=80))
+        fleet.publish("redac-v1", random_weights(1, chunks=10))
+        fleet.publish("redac-v2", random_weights(2, chunks=80))
         fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "20")
         fleet.wait_ready()
@@ -108,7 +108,7 @@
         fleet.write_declaration("20-version.toml", _version_toml("v2", "redac-v2"))
         fleet.apply()
         fleet.wait_for(lambda: fleet.platform_counts()["origin_bytes"] > 20 * 16384)
-        fleet.publish("redac-v2", weights(3, chunks=80))
+        fleet.publish("redac-v2", random_weights(3, chunks=80))
         with VerifyingClients(
             fleet, fleet.host_names("entry"), thread_count=3
         ) as clients:
@@ -132,7 +132,7 @@
     lost if all hosts swap at the same time; responses are mixed if an engine swaps
     while it runs requests.
     """
-    size = len(weights(1))
+    size = len(random_weights(1))
     with Fleet(
         agents=3,
         plain=0,
@@ -140,8 +140,8 @@
         engine_options=["--memory", str(int(size * 1.5))],
         agent_settings={"settle": 1.0},
     ) as fleet:
-        fleet.publish("redac-v1", weights(1))
-        fleet.publish("redac-v2", weights(2))
+        fleet.publish("redac-v1", random_weights(1))
+        fleet.publish("redac-v2", random_weights(2))
         fleet.write_declaration("10-all.toml", declarations())
         fleet.apply("--wait", "20")
         fleet.wait_ready()
@@ -167,7 +167,7 @@
     The service is declared with a version that is not the adapter's base. Declarations
     that refer to each other must be validated together before they are accepted.
     """
-    fleet.publish("grades", weights(5, chunks=2))
+    fleet.publish("grades", random_weights(5, chunks=2))
     adapter = (
         '[models.redac.adapters.grades]\nbase = "v1"\nsource = "grades"\n'
         '[services.redacteur]\nadapters = ["grades"]\n'
