--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -125,7 +125,7 @@
     ),
     Mutation(
         name="hedged questions to the platform",
-        file="mirror/pace.py",
+        file="mirror/poll.py",
         old="HEDGE_AFTER = 0.3",
         new="HEDGE_AFTER = 3600.0",
     ),
--- a/hawthornspoke/mirror/__init__.py
+++ b/hawthornspoke/mirror/__init__.py
@@ -1,6 +1,6 @@
 """Local copies of the platform's tables, read by one host per failure domain."""
 
-from hawthornspoke.mirror import pace
+from hawthornspoke.mirror import poll
 from hawthornspoke.mirror._declaration_recorder import DeclarationRecorder
 from hawthornspoke.mirror._follow import follow_platform
 from hawthornspoke.mirror._neighbours import Neighbours
@@ -43,5 +43,5 @@
     "UnusableRows",
     "decode_rows",
     "follow_platform",
-    "pace",
+    "poll",
 ]
--- a/hawthornspoke/mirror/_follow.py
+++ b/hawthornspoke/mirror/_follow.py
@@ -1,6 +1,6 @@
 """Sets up all reading and writing of the platform by an entry host."""
 
-from hawthornspoke.mirror import pace
+from hawthornspoke.mirror import poll
 from hawthornspoke.mirror._declaration_recorder import DeclarationRecorder
 from hawthornspoke.mirror._quarantine_record import QuarantineRecorder
 from hawthornspoke.mirror._row_dispatcher import RowDispatcher
@@ -61,15 +61,15 @@
     )
     operators = FollowedTable(
         name=operators_table,
-        wait=pace.OPERATORS_POLL_WAIT,
-        pause=pace.OPERATORS_CHANGE_PAUSE,
+        wait=poll.OPERATORS_POLL_WAIT,
+        pause=poll.OPERATORS_CHANGE_PAUSE,
         on_update=dispatcher.apply_operators,
         confirms_configuration=True,
     )
     endpoints = FollowedTable(
         name=endpoints_table,
-        wait=pace.ENDPOINTS_POLL_WAIT,
-        pause=pace.ENDPOINTS_CHANGE_PAUSE,
+        wait=poll.ENDPOINTS_POLL_WAIT,
+        pause=poll.ENDPOINTS_CHANGE_PAUSE,
         on_update=dispatcher.apply_endpoints,
     )
     await neighbours.serve(watch)
