--- a/hawthornspoke/gate/__init__.py
+++ b/hawthornspoke/gate/__init__.py
@@ -1,4 +1,4 @@
-"""Admission control of an agent: starts, queues and refuses requests."""
+"""Admission control of an agent: starts, queues or refuses each request."""
 
 from hawthornspoke.gate._failures import (
     BUSY,
--- a/hawthornspoke/gate/_failures.py
+++ b/hawthornspoke/gate/_failures.py
@@ -2,10 +2,10 @@
 
 from hawthornspoke.base import Failure
 
-#: The endpoint is leaving and accepts no new requests.
+#: The endpoint is being drained and accepts no new requests.
 DRAINING = Failure(code="draining")
 
-#: The request was routed for weights other than the live ones of this endpoint.
+#: The request was routed for weights other than those that this endpoint now uses.
 WRONG_DIGEST = Failure(code="wrong_digest")
 
 #: The queue is full, or the expected wait exceeds the deadline.
--- a/hawthornspoke/gate/_gate.py
+++ b/hawthornspoke/gate/_gate.py
@@ -29,7 +29,8 @@
     request_id : str
     service : str
     digest : str
-        Digest of the weights it was routed for; empty for a plain service.
+        Digest that identifies the version of the weights for which the request was
+        routed here; empty for a plain service, which has no weights.
     urgency : int
         0 is the most urgent, 7 the least (RFC 9218).
     deadline : float
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Finish:
-    """A started request has ended, successfully or not."""
+    """A started request has ended, successfully or not; its slot is free."""
 
     request_id: str
 
@@ -59,7 +60,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SetLive:
-    """The live weights of a service change.
+    """Change the live weights of a service, which its new requests run on.
 
     Parameters
     ----------
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class Drain:
-    """Accept no new requests from now on."""
+    """Refuse new and queued requests from now on."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -211,7 +212,7 @@
         return self._start_queued(now=now) + self._report_drained()
 
     def on_cancel(self, message, *, now):
-        """Remove a queued request; a running one keeps its slot until ``Finish``.
+        """Remove a queued request; a running one holds its slot until ``Finish``.
 
         Parameters
         ----------
@@ -403,7 +404,7 @@
         return outcomes
 
     def _shed_overflow(self, *, now):
-        """Refuse the least urgent requests at once if the queue is over its limit."""
+        """Refuse the least urgent requests while the queue exceeds its limit."""
         outcomes = []
         while len(self.waiting_by_id) > self.queue_limit:
             last_request = max(
