--- a/hawthornspoke/claims/__init__.py
+++ b/hawthornspoke/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: at most one run of a request per key."""
+"""Claims on idempotency keys, by which a request runs at most once per key."""
 
 from hawthornspoke.claims._claim import (
     BeginClaim,
--- a/hawthornspoke/claims/_claim.py
+++ b/hawthornspoke/claims/_claim.py
@@ -1,4 +1,7 @@
-"""State machine by which a request claims its idempotency key in the table."""
+"""State machine by which a request claims its idempotency key.
+
+The claim is a row in the platform's table; the request that writes it may run.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +11,7 @@
 #: The platform is unavailable; the request was not run.
 PLATFORM_DOWN = Failure(code="platform_down")
 
-#: The key is claimed, and the outcome of its request is not known and may never be.
+#: An earlier request claimed the key; its outcome is unknown, possibly for good.
 OUTCOME_UNKNOWN = Failure(code="outcome_unknown")
 
 #: The key has been used for a different request.
@@ -41,8 +44,8 @@
     Parameters
     ----------
     outcome : str
-        ``"written"``, ``"conflict"`` (the condition failed), ``"unavailable"`` (not
-        written) or ``"unsure"`` (sent, but not acknowledged).
+        ``"written"``, ``"conflict"`` (the row did not meet the write's condition),
+        ``"unavailable"`` (not written) or ``"unsure"`` (sent, but not acknowledged).
     """
 
     outcome: str
@@ -79,7 +82,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class OutcomeUnknown:
-    """The request may have run."""
+    """The request may have run, but has no complete answer."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
@@ -139,15 +142,16 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReleaseClaim:
-    """Write the row in state ``not_run`` unless another token holds it.
+    """Write the row in state ``not_run``, so that the key can be claimed again.
 
-    The write is retried until its outcome is known.
+    A row with the token of another claim is left as it is. The write is retried until
+    its outcome is known.
     """
 
 
 @MACHINES.register("claim")
 class Claim(Machine):
-    """Ensures at most one run per key although replies of the table may be lost.
+    """Ensures that at most one request per key runs, even if table replies are lost.
 
     Parameters
     ----------
@@ -277,7 +281,7 @@
         return [RunRequest()]
 
     def _refuse_not_run(self, reason):
-        """Refuse and release the key, since an earlier write may have succeeded."""
+        """Refuse the request; release the key, as a write may have claimed it."""
         self.phase = "not_run"
         failure = PLATFORM_DOWN.with_reason(reason, retry_after=RETRY_AFTER)
         refusal = RefuseRequest(failure=failure, was_run=False)
