--- a/hawthornspoke/membership/_detector.py
+++ b/hawthornspoke/membership/_detector.py
@@ -10,8 +10,8 @@
 DEAD = "dead"
 LEAVING = "leaving"
 
-#: Fields of a member's state that a light record omits. While they are unchanged,
-#: light records are relayed instead of full ones.
+#: Seldom changed fields of a node's state. Entry hosts that relay the state omit them
+#: while they are unchanged, to save bytes; such a record is called light.
 STATIC_FIELDS = (
     "role",
     "failure_domain",
@@ -34,8 +34,8 @@
     ----------
     member : hawthornspoke.protocol.Member
     age : float
-        Seconds since the node sent it, as measured by the relay; 0 if received
-        from the node itself.
+        Seconds since the node sent it, as measured by the entry host that relayed it;
+        0 if received from the node itself.
     """
 
     member: object
@@ -261,7 +261,7 @@
         return changes
 
     def on_tick(self, message, *, now):
-        """Update statuses after deadlines and remove nodes that are to be forgotten.
+        """Mark nodes whose deadlines passed as suspect or dead; remove long-dead ones.
 
         Parameters
         ----------
@@ -373,9 +373,10 @@
     member : hawthornspoke.protocol.Member
         Light record; modified in place.
     previous : hawthornspoke.protocol.Member
-        Previous record. If its ``static_seq`` is older, a full record was lost. Its
-        fields are then used until the next full record, and wrong values are
-        corrected by refusals of the endpoint.
+        Previous record of the node. If its ``static_seq`` is older than the light
+        record's, a full record was lost, and the old values are used until the next
+        full record. An endpoint refuses a request sent because of an old value, which
+        corrects it.
     """
     for name in STATIC_FIELDS:
         setattr(member, name, getattr(previous, name))
--- a/hawthornspoke/membership/_relay.py
+++ b/hawthornspoke/membership/_relay.py
@@ -45,7 +45,8 @@
     entries : list of MemberView
         Other entry hosts that are not known to be dead.
     copy_deadline : float
-        Time until which the copy relayed by another entry host counts as fresh.
+        Time until which the latest state of the agent that another entry host relayed
+        counts as fresh.
     now : float
 
     Returns
@@ -65,7 +66,7 @@
 
 
 def summary_targets(*, failure_domain, entries, sender_index, round_number):
-    """Return one entry host of each other failure domain.
+    """Return the targets of a summary: one entry host of each other failure domain.
 
     Parameters
     ----------
@@ -76,8 +77,8 @@
     sender_index : int
         Index of the sender among the entry hosts of its failure domain.
     round_number : int
-        Number of the round. The targets advance by one per round, so that the senders
-        together reach all entry hosts of a failure domain evenly.
+        Number of the summary, counted by the sender. The targets advance by one each
+        time, so that all entry hosts of a failure domain get equally many summaries.
 
     Returns
     -------
