--- a/hawthornspoke/entry/_attempt.py
+++ b/hawthornspoke/entry/_attempt.py
@@ -25,7 +25,7 @@
 #: Long-poll timeout of one read call at the agent, in seconds.
 READ_TIMEOUT = 0.5
 
-#: Additional seconds allowed for the agent's reply to a read call.
+#: Seconds beyond READ_TIMEOUT that the reply to a read call may take.
 REPLY_GRACE = 2.0
 
 #: A failure within this many seconds before the deadline is reported as a timeout.
@@ -136,7 +136,7 @@
                 self.result = self._result_without_reply(reply)
                 return
             if reply.request_id != self._attempt_id:
-                # The connection is out of sync, so none of its data can be trusted.
+                # The reply belongs to another call, so no later reply can be trusted.
                 self._connection.close()
                 reason = "the endpoint answered another request"
                 self.result = self._failed_after_submit(
--- a/hawthornspoke/entry/_claims_runner.py
+++ b/hawthornspoke/entry/_claims_runner.py
@@ -147,8 +147,9 @@
         return WriteDone(outcome=_write_outcome(answer))
 
     def _release_write(self, claim, row_key):
-        # The row is also written if none exists. A delayed insert of this claim then
-        # fails on its condition, instead of leaving the key claimed permanently.
+        # The row is also written if none exists. If this claim's own insert arrives
+        # only afterwards, it then finds a row and is rejected, instead of leaving the
+        # key claimed permanently.
         condition = Condition(absent=True, equals={"token": claim.token})
         return PendingWrite(
             row=_claim_row(claim, row_key, RowState.NOT_RUN), condition=condition
--- a/hawthornspoke/entry/_client.py
+++ b/hawthornspoke/entry/_client.py
@@ -46,12 +46,12 @@
         return self._ask("is_ready", {}) is True
 
     def revision_seen(self):
-        """Return the highest revision that this host knows of."""
+        """Return the highest configuration revision that this host knows of."""
         answer = self._ask("revision_seen", {})
         return answer if isinstance(answer, int) else 0
 
     def document_bytes(self, digest):
-        """Return the serialised document in force if it has this digest, else None."""
+        """Return the packed configuration in force if it has this digest, else None."""
         answer = self._ask("document_bytes", {"digest": digest})
         return answer if isinstance(answer, bytes) else None
 
@@ -64,7 +64,7 @@
         self._tell("endpoint_refused", arguments)
 
     def hear_revision(self, revision):
-        """Report the revision that a message carried."""
+        """Report the configuration revision that a message of another node carried."""
         if revision:
             self._tell("hear_revision", {"revision": revision})
 
--- a/hawthornspoke/entry/_context.py
+++ b/hawthornspoke/entry/_context.py
@@ -15,7 +15,8 @@
 MAX_TIMEOUT = 3600.0
 MAX_IDEMPOTENCY_KEY_LENGTH = 256
 
-#: Number of characters at the start of a prompt that the router compares.
+#: Number of characters of a prompt by which the router finds an endpoint that has
+#: probably cached the prompt's start.
 PREFIX_LENGTH = 256
 
 HEADER_TIMEOUT = "x-request-timeout"
@@ -95,7 +96,7 @@
         return min(boottime_remaining, self.deadline - monotonic())
 
     def quarantine_fingerprint(self):
-        """Return the quarantine's identifier of the request, equal for its repeats.
+        """Return the identifier by which the quarantine recognises repeated requests.
 
         Returns
         -------
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -32,17 +32,19 @@
 NOT_READY = Failure(code="not_ready")
 DRAINING = Failure(code="draining")
 
-#: Maximum number of endpoints per service in the summary of a failure domain.
+#: Maximum number of endpoints per service in a summary, by which an entry host tells
+#: other failure domains about the endpoints of its own.
 SUMMARY_ENDPOINTS_PER_SERVICE = 4
 
 #: Heartbeats between two summaries sent to the other failure domains.
 HEARTBEATS_PER_SUMMARY = 2
 
 #: Seconds after which the full record of an unchanged endpoint is relayed again, for
-#: entry hosts that are new or have lost a datagram.
+#: entry hosts that are new or have lost a datagram. In between, light records are
+#: relayed, which omit the unchanged fields.
 FULL_RECORD_INTERVAL = 5.0
 
-#: Number of heartbeat intervals for which a record counts as fresh.
+#: Number of heartbeat intervals for which a received record counts as fresh.
 FRESH_HEARTBEATS = 2.5
 
 #: Number of heartbeat intervals after its start before an entry host is ready.
@@ -120,11 +122,12 @@
         self.service_by_name = {}
         self.organisation_by_key = {}
         self.organisations = {}
-        # Per agent: version of the last full record relayed, and the time of the next.
+        # Per agent: version of the last full record that this host relayed, and the
+        # time at which the next one is due.
         self.full_relay_by_node = {}
         # Per agent that reports to this host: last record, and its time of receipt.
         self.direct_report_by_node = {}
-        # Per agent: time until which the copy of another relay is fresh.
+        # Per agent: time until which the record relayed by another entry host is fresh.
         self.copy_deadline_by_node = {}
         self.own_domain = settings["failure_domain"]
         # A new entry host knows no endpoints until their next heartbeats, and would
@@ -197,7 +200,7 @@
         return self.quarantine_sync.quarantine_failure(fingerprint, now=now)
 
     def _authorise(self, authorization, service_name, now):
-        """Return the organisation that may use a service, or a Failure."""
+        """Return the caller's organisation, or a Failure if it has no access."""
         if not self.core.holder.confirmed(now=now):
             reason = "no configuration is in force here yet"
             return NOT_READY.with_reason(reason, retry_after=1.0)
@@ -244,6 +247,7 @@
             Restricts the choice to endpoints with these weights; None for any
             weights that the service accepts.
         excluded : frozenset of str
+            Nodes that must not be chosen.
         fingerprint : str
             Quarantine fingerprint of the request.
         now : float
@@ -304,7 +308,7 @@
             view.member.live = others
 
     def ask_retry(self, *, repeatable, was_run, deadline, now):
-        """Request another attempt from the retry budget.
+        """Ask the retry budget whether another attempt may be made.
 
         Returns
         -------
@@ -378,7 +382,7 @@
         self.quarantine_sync.resend_recent(now=now)
 
     def reply_to_heartbeat(self, gossip, source, *, now):
-        """Reply with the revision; if the agent is loading weights, also with peers."""
+        """Reply with the revision, and with peers if the agent is loading weights."""
         members = []
         if gossip.sender.warming:
             members = self._loading_peers(gossip.sender, now)
@@ -434,7 +438,7 @@
         self.router.step(message, now=now)
 
     def _claimant(self, node, failure_domain):
-        """Return the name under which rate limits count an entry host's demand.
+        """Return the name under which an entry host's demand counts in the rate limits.
 
         The hosts of another failure domain are counted together, because a summary
         reports the total demand of its sender's failure domain.
@@ -485,7 +489,7 @@
         )
 
     def _direct_reports(self, now):
-        """Return the records of agents that report to this host, with their age."""
+        """Return the records that this host relays of the agents that report to it."""
         entries = self.core.reachable_entries()
         members = []
         for node, (member, received_at) in list(self.direct_report_by_node.items()):
@@ -506,7 +510,7 @@
         return members
 
     def _relay_record(self, member, age, now):
-        """Return the full record if it changed or is due, else a light record."""
+        """Return the full record if it changed or is due again, else a light record."""
         last_full = self.full_relay_by_node.get(member.node)
         record_version = (member.incarnation, member.static_seq)
         if last_full is None or last_full[0] != record_version or now >= last_full[1]:
--- a/hawthornspoke/entry/_forward.py
+++ b/hawthornspoke/entry/_forward.py
@@ -15,8 +15,8 @@
 #: Maximum number of attempts per request, including those that use no retry budget.
 MAX_ATTEMPTS = 6
 
-#: Refusals by endpoints that have not run the request. Trying the next endpoint adds
-#: no load, so it uses no retry budget.
+#: Failures after which the endpoint has certainly not run the request. Trying the next
+#: endpoint adds no load, so it uses no retry budget.
 UNCHARGED_REFUSALS = frozenset(["draining", "wrong_digest", "not_sent", "engine_down"])
 
 #: Failures that the router counts against the endpoint.
@@ -247,7 +247,7 @@
         return False
 
     def _can_resume(self, result):
-        """Return whether another attempt can continue the answer sent so far."""
+        """Return whether another attempt can continue the answer that was begun."""
         if not self._head_sent:
             return True
         # The caller has part of the answer. Only a token stream can be resumed, by
@@ -257,7 +257,7 @@
         )
 
     def _fail_past_deadline(self, failure):
-        """Set the final failure and return False, the result of `_may_retry`."""
+        """Set the final failure; return False, which `_may_retry` returns in turn."""
         self._fail(failure)
         return False
 
--- a/hawthornspoke/entry/_quarantine_sync.py
+++ b/hawthornspoke/entry/_quarantine_sync.py
@@ -1,4 +1,7 @@
-"""Quarantine of requests that crash engines, shared between entry hosts."""
+"""Quarantine of requests that crash engines, shared between entry hosts.
+
+Evidence against a request is the record that an engine exited while the request ran.
+"""
 
 from loguru import logger
 
@@ -17,10 +20,10 @@
 
 QUARANTINED = Failure(code="quarantined")
 
-#: Seconds for which evidence is resent at each heartbeat, since datagrams get lost.
+#: Seconds for which new evidence is resent at each heartbeat, since datagrams get lost.
 RESEND_PERIOD = 5.0
 
-#: Maximum number of items per datagram; an item takes about 60 bytes.
+#: Maximum number of evidence items per datagram; an item takes about 60 bytes.
 MAX_ITEMS_PER_DATAGRAM = 500
 
 
