--- a/hawthornspoke/agent/__init__.py
+++ b/hawthornspoke/agent/__init__.py
@@ -1,4 +1,4 @@
-"""Agent process: all requests and weights for the engine of a host pass through it."""
+"""Agent process, through which all requests and weights for its host's engine pass."""
 
 from hawthornspoke.agent._engines import ENGINES
 from hawthornspoke.agent._process import AgentProcess
--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -92,7 +92,7 @@
 
 
 class AgentControl(ControlActor):
-    """Owns the admission gate, chunk transfers and deployment of one endpoint host.
+    """Owns an endpoint host's admission gate, chunk transfers and loading of weights.
 
     Parameters
     ----------
@@ -158,10 +158,10 @@
             self.idle_workers.append(worker)
 
     def on_role_message(self, message, *, now):
-        """Handle messages of the engine actor, the fetch actors and request threads."""
+        """Handle messages from the engine actor, fetch actors and request threads."""
         if isinstance(message, SWARM_EVENTS):
             if isinstance(message, ChunkVerified):
-                # Stage each chunk at once, while the others are still transferred.
+                # Send each chunk to the engine at once, while others are transferred.
                 stage_order = StageChunk(digest=message.digest, index=message.index)
                 self.engine_actor.tell(stage_order)
             self._step_swarm(message, now)
@@ -213,7 +213,7 @@
         return len(self.gate.running_by_id), len(self.gate.waiting_by_id)
 
     def problems(self):
-        """Return why declared weights were refused, by live key."""
+        """Return why declared weights were refused, by ``ServiceView.live_key``."""
         refused = self.deployment.refused_by_digest
         return {
             key: refused[item.digest]
@@ -222,7 +222,7 @@
         }
 
     def is_idle(self, *, now):
-        """Return whether nothing runs and all events have been returned."""
+        """Return whether nothing runs and entry hosts have read all response events."""
         return not self.gate.running_by_id and not self.run_by_id
 
     def is_ready(self, *, now):
@@ -257,7 +257,7 @@
         self.on_hosts_changed(now=now)
 
     def on_hosts_changed(self, *, now):
-        """Update the participants of running transfers."""
+        """Update the hosts that take part in running transfers."""
         for digest in list(self.swarm.transfer_by_digest):
             message = ParticipantsChanged(
                 digest=digest,
--- a/hawthornspoke/agent/_engine_actor.py
+++ b/hawthornspoke/agent/_engine_actor.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class StageChunk:
-    """Send one verified chunk to the engine ahead of the load order."""
+    """Stage a verified chunk: send it to the engine, which keeps it until it loads."""
 
     digest: str
     index: int
@@ -39,7 +39,7 @@
 
 
 class EngineActor(pykka.ThreadingActor):
-    """Reads the engine's state and sends it orders, one at a time.
+    """Reads the engine's state and orders it to load or unload weights, one at a time.
 
     Parameters
     ----------
@@ -50,9 +50,10 @@
 
     Notes
     -----
-    Only this actor sends orders, and only one process at a time can bind the host's
-    port. The fencing token is the one reported by the engine plus one, so an
-    engine that checks it rejects delayed orders of an earlier agent.
+    Only this actor sends orders, and only one agent runs at a time, as it has to bind
+    the host's port. Each order carries a fencing token: the highest that the engine
+    reported, plus one. So an engine that checks it rejects delayed orders of an earlier
+    agent.
     """
 
     use_daemon_thread = True
@@ -107,14 +108,14 @@
                 failure = self._stage(message.digest, index)
                 if failure is not None:
                     return failure
-            # The engine discards staged chunks after a load order, successful or not.
+            # The engine discards staged chunks after any load, successful or not.
             self.staged_by_digest.pop(message.digest, None)
             outcome = self.engine.load(manifest, base=message.base, fence=self.fence)
         else:
             outcome = self.engine.unload(message.digest, fence=self.fence)
         if outcome == FENCED:
-            # Another sender has used a higher token. The next read of the state
-            # yields a new token and the set of loaded weights.
+            # Another agent has used a higher token. Forgetting the instance makes the
+            # next read of the state yield a new token and the set of loaded weights.
             self.instance = ""
         return outcome
 
--- a/hawthornspoke/agent/_engine_exits.py
+++ b/hawthornspoke/agent/_engine_exits.py
@@ -1,4 +1,4 @@
-"""Identifiers of engine process exits, shared by all requests that one interrupted."""
+"""Identifiers of engine exits; all requests that an exit interrupted get the same."""
 
 import threading
 
--- a/hawthornspoke/agent/_engines.py
+++ b/hawthornspoke/agent/_engines.py
@@ -17,7 +17,8 @@
 ENGINE_BUSY = Failure(code="busy")
 NOT_LOADED = Failure(code="wrong_digest")
 
-#: The engine rejected an order because of its fencing token.
+#: The engine rejected a load or unload order because it has seen a newer fencing token,
+#: so another agent has sent orders meanwhile.
 FENCED = Failure(code="fenced")
 ORDER_FAILED = Failure(code="order_failed")
 
@@ -38,7 +39,7 @@
 class IncompleteResponse(Exception):
     """The engine received a request, but its response is missing or incomplete.
 
-    Callers get it only while they iterate over :meth:`ModelEngine.stream_events`.
+    Raised to callers only while they iterate over :meth:`ModelEngine.stream_events`.
     """
 
 
@@ -148,7 +149,7 @@
 
 @ENGINES.register("model")
 class ModelEngine:
-    """An engine with an OpenAI-style API that loads weights when ordered to.
+    """An engine with an OpenAI-style API and calls to load and unload weights.
 
     Parameters
     ----------
@@ -234,7 +235,7 @@
         response.release_conn()
 
     def stage(self, digest, index, data):
-        """Send one chunk to the engine, which keeps it until the load order.
+        """Send one chunk to the engine, which keeps it until :meth:`load` is called.
 
         Parameters
         ----------
--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -33,7 +33,8 @@
 
 QUERY_TIMEOUT = 1.0
 
-#: Chunk index by which a host requests the manifest from a peer.
+#: Chunk index by which a host requests the manifest, the list of chunk digests, from a
+#: peer.
 MANIFEST_INDEX = -1
 MANIFEST_PREFIX = "manifests/"
 
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -170,5 +170,5 @@
         )
 
     def is_idle(self):
-        """Return whether nothing runs and all events have been returned."""
+        """Return whether nothing runs and entry hosts have read all response events."""
         return self.ask("is_idle") is True
--- a/hawthornspoke/agent/_required_weights.py
+++ b/hawthornspoke/agent/_required_weights.py
@@ -1,4 +1,4 @@
-"""Weights that the active document requires on one host, and how to transfer them."""
+"""Weights that the configuration in force requires on a host, and their transfer."""
 
 from hawthornspoke.deployment import TargetWeights
 
@@ -6,7 +6,7 @@
 
 
 def required_weights(services):
-    """Return the weights that a host's services need, base before adapters.
+    """Return the weights that a host's services need, base weights before adapters.
 
     Parameters
     ----------
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -30,7 +30,7 @@
         On the monotonic clock.
     boottime_deadline : float or None, default=None
         The same on the boot-time clock, which also advances while the host is
-        suspended.
+        suspended; otherwise an expired request could run after a suspension.
     is_caller_disconnected : callable or None, default=None
         Returns whether the entry host has closed its connection.
     """
