--- a/hawthornspoke/node/_control.py
+++ b/hawthornspoke/node/_control.py
@@ -38,7 +38,9 @@
 
 
 class ControlActor(pykka.ThreadingActor):
-    """Owns membership and revision; subclasses add the state of their role.
+    """Owns a node's view of the other nodes and of the configuration.
+
+    Subclasses add the state of their role, entry host or agent.
 
     Parameters
     ----------
@@ -142,7 +144,7 @@
         """Handle a chunk announcement."""
 
     def apply_document(self, document, *, now):
-        """Apply a document that has become active."""
+        """Apply a configuration document that is now in force."""
 
     def on_hosts_changed(self, *, now):
         """React to a new host list."""
@@ -178,7 +180,7 @@
         }
 
     def document_bytes(self, digest, *, now):
-        """Return the packed active document if it has this digest, otherwise None."""
+        """Return the packed configuration in force if it has this digest, else None."""
         if self.core.holder.digest == digest:
             return self.core.document_data
         return None
@@ -200,15 +202,15 @@
         raise NotImplementedError
 
     def problems(self):
-        """Return the reasons why declared state is not reached, by key."""
+        """Return why declared weights are not in use on this host, by service key."""
         return {}
 
     def revision_seen(self, *, now):
-        """Return the highest revision known to this node."""
+        """Return the highest configuration revision known to this node."""
         return self.core.holder.heard_revision
 
     def hear_revision(self, revision, *, now):
-        """Handle a revision carried by a message of another process."""
+        """Handle a configuration revision that another process's message carried."""
         if revision and revision > self.core.holder.heard_revision:
             self._process_outcomes(
                 self.core.hear_revision(revision, "", "", now=now), now
@@ -244,8 +246,8 @@
             self._fetch(due_fetch, now)
         if now >= core.heartbeat_deadline:
             core.heartbeat_deadline = now + self.settings["heartbeat_every"]
-            # A node that has just become a poller must not wait for the end of its
-            # previous, longer interval.
+            # A node that has just become a poller (see POLLER_COUNT) must not wait for
+            # the end of its previous, longer interval.
             next_poll = now + core.poll_interval()
             core.table_deadline = min(core.table_deadline, next_poll)
             self.seq += 1
--- a/hawthornspoke/node/_core.py
+++ b/hawthornspoke/node/_core.py
@@ -23,8 +23,9 @@
 #: interval.
 POLLER_COUNT = 2
 
-#: Minimum seconds between reads of the table by a node that is not a poller, when it
-#: reads early because of a request that it can't decide. Equal to a poller's interval.
+#: Minimum seconds between reads of the table by a node that isn't a poller but reads
+#: early, since its configuration may be too old to refuse a request. Equal to a
+#: poller's interval.
 EARLY_READ_INTERVAL = 1.0
 
 #: Seconds between attempts to fetch the document of a known revision.
@@ -35,7 +36,7 @@
 
 
 class NodeCore:
-    """Membership, revision and the deadlines of periodic work.
+    """Known nodes, configuration revision and the deadlines of periodic work.
 
     Parameters
     ----------
@@ -90,7 +91,7 @@
         Returns
         -------
         list
-            Outcomes of membership and of the revision holder.
+            Outcomes of the state machines for membership and configuration revision.
         """
         outcomes = []
         sender = gossip.sender
@@ -123,7 +124,7 @@
         list of FetchDocument
         """
         if revision > self.holder.heard_revision and not digest:
-            # The message carries no digest of the document, so the table is read.
+            # Without the digest the document can't be fetched, so the table is read.
             self.table_deadline = min(self.table_deadline, now)
         update = RevisionAdvertised(revision=revision, digest=digest, source=source)
         return self.holder.step(update, now=now)
@@ -131,8 +132,9 @@
     def expedite_table_read(self, *, now):
         """Schedule an early read of the table, at most as often as a poller.
 
-        Only a read of the table shows that the configuration is recent, and a node that
-        is not a poller reads it at long intervals.
+        A node may permanently refuse a request only if its configuration is known to be
+        recent. Only a read of the table shows that, and a node that is not a poller
+        reads it at long intervals.
 
         Parameters
         ----------
--- a/hawthornspoke/node/_handler.py
+++ b/hawthornspoke/node/_handler.py
@@ -23,7 +23,7 @@
         self.actor = actor
 
     def document(self, digest):
-        """Return the active document, without data if its digest differs."""
+        """Return the configuration in force, or no data if its digest differs."""
         data = self.ask("document_bytes", digest=digest)
         revision = self.ask("revision_seen")
         return Document(
--- a/hawthornspoke/node/_process.py
+++ b/hawthornspoke/node/_process.py
@@ -54,7 +54,7 @@
         OSError
             If an address is in use. The datagram port is bound first and
             exclusively. The kernel keeps it bound while the process is suspended,
-            so that an engine never receives orders of two agents.
+            so no second agent can start and control the engine too.
         """
         try:
             self._start()
@@ -177,7 +177,7 @@
         return []
 
     def leave_wait(self):
-        """Return the seconds for which a draining process still accepts work."""
+        """Return for how many seconds a process that shuts down still accepts work."""
         return 0.0
 
     def stop_role(self):
