--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -208,8 +208,8 @@
     def data_received(self, data):
         """Parse response data; unsolicited data aborts the connection."""
         if self.exchange is None:
-            # A second response, or excess data after a response. It would be parsed as
-            # the start of the response to the next request.
+            # Data after the end of a response would be parsed as the start of the
+            # response to the next request.
             self.abort()
             return
         try:
@@ -222,7 +222,7 @@
             self.abort()
 
     def release(self):
-        """Detach the exchange; abort the connection if it can't be reused.
+        """End the use by the current exchange; abort a connection that can't be reused.
 
         Returns
         -------
--- a/hawthornspoke/httpio/_fetch.py
+++ b/hawthornspoke/httpio/_fetch.py
@@ -24,9 +24,9 @@
 ):
     """Send one request and read the complete response.
 
-    A connection whose state a middlebox has lost looks open but never gets a response.
-    A hedged request is repeated on a new connection when its response is late;
-    otherwise the caller's information would be outdated for the whole timeout.
+    If a middlebox has lost the state of a connection, it looks open but never gets a
+    response. So a hedged request is repeated on a new connection when its response is
+    late; otherwise the caller would use outdated information for the whole timeout.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
     headers : list of (str, str)
     body : bytes
     timeout : float
-        Seconds for the whole call, including the hedge.
+        Seconds for the whole call, including the repeated request.
     hedge_after : float or None, default=None
         Seconds after which the request is repeated; None disables hedging. Only for
         idempotent requests.
@@ -97,9 +97,9 @@
             if isinstance(connection, Failure):
                 return connection
             if boottime_clock() >= deadline or not connection.is_open:
-                # After the process was frozen, this task can resume before its
-                # timeout fires. It would then send a request that is based on data
-                # that is seconds old.
+                # After the process was suspended, this task can resume before its
+                # timeout fires. It would then send a request whose content is based on
+                # data that is seconds old.
                 return NOT_SENT.with_reason(
                     f"{method} {target}: deadline passed before sending"
                 )
--- a/hawthornspoke/httpio/_message.py
+++ b/hawthornspoke/httpio/_message.py
@@ -119,7 +119,7 @@
 
 
 class Response(Message):
-    """A response, or only its head.
+    """A response; without a body, just its head.
 
     Parameters
     ----------
--- a/hawthornspoke/httpio/_pool.py
+++ b/hawthornspoke/httpio/_pool.py
@@ -7,7 +7,7 @@
 
 
 class _IdleConnection:
-    """An idle connection and the incarnation of the endpoint it was opened to."""
+    """An idle connection, and which start of the endpoint it was opened to."""
 
     __slots__ = ("connection", "incarnation")
 
@@ -59,7 +59,7 @@
             reassigned to another endpoint.
         address : str
         incarnation : object, default=None
-            Incarnation of the endpoint. Idle connections to other incarnations are
+            Identifies one start of the endpoint. Idle connections to earlier starts are
             closed: after a power loss such a connection still looks open, and a
             request sent on it would have an unknown outcome.
         fresh : bool, default=False
@@ -110,7 +110,7 @@
                 item.connection.abort()
 
     def _idle_connections(self, key, incarnation):
-        """Return the idle connections to one incarnation and close all others."""
+        """Return the idle connections to one start of an endpoint; close all others."""
         idle = self._idle_by_key.get(key)
         if not idle:
             return idle
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -38,8 +38,8 @@
     header_bytes, body_bytes : int
         Maximum sizes of a request.
     header_time, idle_time : float
-        Maximum time, in seconds, in which the headers are received; and for which a
-        connection may be idle, or in which a body is received.
+        Maximum times in seconds: ``header_time`` to receive the headers, ``idle_time``
+        to receive a body and for a connection without a request.
     """
 
     __slots__ = ("header_bytes", "body_bytes", "header_time", "idle_time")
