--- a/hawthornspoke/protocol/_connection.py
+++ b/hawthornspoke/protocol/_connection.py
@@ -64,9 +64,9 @@
         open_failure = self._open(remaining)
         if is_failure(open_failure):
             return open_failure
-        # Connecting takes time, and the process may have been paused. The deadline is
-        # checked again, since a call sent after it would run although its caller has
-        # already received another result.
+        # Connecting takes time, and the process may have been paused. So the deadline
+        # is checked again: a call sent after it would run although its caller has
+        # already been told that it failed.
         failure = precheck() if precheck is not None else None
         if failure is not None:
             return failure
--- a/hawthornspoke/protocol/_failures.py
+++ b/hawthornspoke/protocol/_failures.py
@@ -1,4 +1,4 @@
-"""Failures of calls to other processes, by whether the call may have run."""
+"""Failures of calls to other processes; each says whether the call may have run."""
 
 from hawthornspoke.base import Failure
 
@@ -11,6 +11,6 @@
 #: The deadline passed before the call; nothing was sent.
 TOO_LATE = Failure(code="too_late")
 
-#: The engine's process exited during the request; the reason is an identifier of that
-#: exit.
+#: The engine's process exited during the request; the reason holds an identifier of
+#: the exit, the same for all requests that it interrupted.
 ENGINE_ENDED = Failure(code="engine_ended")
