--- a/hawthornspoke/config/__init__.py
+++ b/hawthornspoke/config/__init__.py
@@ -1,4 +1,4 @@
-"""Declarations from a folder of TOML files, and their configuration document."""
+"""Operators' declarations in TOML files, and the document built from them."""
 
 from hawthornspoke.config._document import (
     ServiceView,
--- a/hawthornspoke/config/_document.py
+++ b/hawthornspoke/config/_document.py
@@ -1,4 +1,8 @@
-"""Configuration documents: declarations with every version pinned to a digest."""
+"""Configuration documents, which are distributed to all nodes.
+
+A document holds the operators' declarations, with each version of weights pinned to
+the digest of its manifest.
+"""
 
 import fnmatch
 import json
@@ -16,7 +20,7 @@
 
 
 class ServiceView:
-    """Read access to one service of a document.
+    """Read access to one service in a configuration document.
 
     Parameters
     ----------
@@ -88,8 +92,8 @@
         Returns
         -------
         bool
-            True for the declared digest and for previous ones, which hosts serve
-            until they have loaded the declared weights.
+            True for the declared digest and for previously declared ones, which hosts
+            use until they have loaded the declared weights.
         """
         if adapter:
             previous_digests = self.table.get("previous_adapters", {}).get(adapter, ())
@@ -97,7 +101,7 @@
         return digest == self.digest or digest in self.previous
 
     def live_key(self, adapter=""):
-        """Return the key under which endpoints report their live weights.
+        """Return the key under which endpoints report the weights in use (live ones).
 
         Parameters
         ----------
@@ -119,7 +123,8 @@
     tree : dict
         Valid declarations.
     digest_by_source : dict of str to str
-        Digest of each source's manifest, as read when the declarations are accepted.
+        Digest of the manifest of each source, the declared name of weights at the
+        origin, as read when the declarations are accepted.
     previous : dict or None, default=None
         The document that the new one replaces, if any.
 
--- a/hawthornspoke/config/_manifest.py
+++ b/hawthornspoke/config/_manifest.py
@@ -1,4 +1,7 @@
-"""Manifests of weights; the digest of its manifest identifies a version."""
+"""Manifests, which list the chunks of a version of weights.
+
+The digest of its manifest identifies a version.
+"""
 
 import json
 
--- a/hawthornspoke/config/_schema.py
+++ b/hawthornspoke/config/_schema.py
@@ -1,4 +1,4 @@
-"""Schema of declarations, and checks of references between keys."""
+"""Schema of operators' declarations, and checks of references between their keys."""
 
 from hawthornspoke.base import Bounds, Failure
 
