--- a/hawthornspoke/store/_failures.py
+++ b/hawthornspoke/store/_failures.py
@@ -2,7 +2,7 @@
 
 from hawthornspoke.base import Failure
 
-#: A conditional write was rejected; nothing was written.
+#: The row did not meet the condition of the write; nothing was written.
 CONFLICT = Failure(code="conflict")
 
 #: The row or object does not exist.
--- a/hawthornspoke/store/_origin.py
+++ b/hawthornspoke/store/_origin.py
@@ -35,7 +35,7 @@
         return _response_body(response, source, expected_statuses=(200,))
 
     def chunk(self, source, *, start, stop, timeout):
-        """Read a byte range of the weights, without verifying its digest.
+        """Read a byte range of the weights; the caller has to verify the digest.
 
         Parameters
         ----------
--- a/hawthornspoke/store/_table.py
+++ b/hawthornspoke/store/_table.py
@@ -29,8 +29,8 @@
     absent : bool, default=False
         The row must not exist.
     equals : dict or None, default=None
-        Required value by attribute name. With ``absent`` too, one of the two
-        conditions suffices.
+        Values that the row must have, by attribute name. If ``absent`` is set too, it
+        suffices that one of the two holds.
     """
 
     __slots__ = ("absent", "equals")
