--- a/hawthornspoke/web/_server.py
+++ b/hawthornspoke/web/_server.py
@@ -83,7 +83,7 @@
             ).start()
 
     def close(self):
-        """Stop serving; abort responses that outlast the shutdown timeout."""
+        """Stop serving; abort responses still unfinished after the shutdown timeout."""
         if self._server is not None:
             self._server.stop()
 
