--- a/hawthornspoke/operator/_apply.py
+++ b/hawthornspoke/operator/_apply.py
@@ -24,10 +24,11 @@
 
 HISTORY_PREFIX = "history#"
 
-#: Number of attempts to read back a write whose response was lost.
+#: Number of reads of the table to find out whether a write whose response was lost has
+#: succeeded.
 READ_BACK_TRIES = 5
 
-#: Seconds between these attempts, and between reads of the fleet's status.
+#: Seconds between these reads, and between reads of the fleet's status.
 POLL_INTERVAL = 0.2
 
 
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ApplyConflict:
-    """Another revision was accepted first; the folder was not accepted.
+    """The folder was not accepted, as another revision was accepted before it.
 
     Parameters
     ----------
@@ -80,7 +81,7 @@
 
 
 def apply_folder(folder, *, clients, author, base=None):
-    """Validate a folder, pin its sources and accept it as the next revision.
+    """Validate a folder, pin its versions of weights and accept it as next revision.
 
     Parameters
     ----------
@@ -188,7 +189,7 @@
 
 
 def _read_back(clients, new_row, document):
-    """Determine by its token whether an unconfirmed or rejected write succeeded."""
+    """Look for an unconfirmed or rejected write's token, to see if it succeeded."""
     history_key = f"{HISTORY_PREFIX}{new_row['revision']}"
     for _ in range(READ_BACK_TRIES):
         written = clients.table.get(history_key)
--- a/hawthornspoke/operator/_pin.py
+++ b/hawthornspoke/operator/_pin.py
@@ -1,4 +1,4 @@
-"""Pinning of declared weight sources to their current manifests."""
+"""Pinning of weights to the manifests that their sources have at the origin now."""
 
 from hawthornspoke.base import Failure, is_failure
 from hawthornspoke.config import parse_manifest
--- a/hawthornspoke/operator/_status.py
+++ b/hawthornspoke/operator/_status.py
@@ -2,8 +2,8 @@
 
 BAR_WIDTH = 20
 
-#: Hosts report the progress of their weights in per mille; it is negative if a host has
-#: too little memory for them.
+#: Hosts report how much of their weights they have received in per mille; the value is
+#: negative if a host has too little memory for them.
 FULL_PROGRESS = 1000
 MAX_SLOWEST_HOSTS = 3
 
