--- a/hawthornspoke/fields/_fields.py
+++ b/hawthornspoke/fields/_fields.py
@@ -13,7 +13,7 @@
 
 from hawthornspoke.base import Failure
 
-#: Result for data that fails validation; its reason names the field.
+#: Returned for data that fails validation; its reason names the field.
 UNUSABLE = Failure(code="unusable")
 
 #: Maximum length of a string in characters. Names, addresses and keys have a few dozen,
@@ -131,7 +131,7 @@
 
 
 def one_of(obj, name, value_by_key):
-    """Return the value to which a mapping maps the string in a field.
+    """Look up the string in a field in a mapping, and return the mapped value.
 
     Parameters
     ----------
