--- a/hawthornspoke/standins/_engine.py
+++ b/hawthornspoke/standins/_engine.py
@@ -44,7 +44,8 @@
     memory : int, default=0
         Capacity for loaded weights in bytes; 0 for no limit.
     checks_fencing : bool, default=True
-        Whether orders with an outdated fencing token are rejected.
+        Whether calls to load or unload weights are rejected if another agent has since
+        used a higher fencing token.
     prefixes : int, default=64
         Capacity of the prefix cache, in prefixes.
 
--- a/hawthornspoke/standins/_faults.py
+++ b/hawthornspoke/standins/_faults.py
@@ -50,7 +50,7 @@
             self._by_name.update(changes)
 
     def consume(self, name):
-        """Decrement the counter of a fault that applies a limited number of times.
+        """Use up one occurrence of a fault that applies a limited number of times.
 
         Parameters
         ----------
@@ -59,7 +59,7 @@
         Returns
         -------
         bool
-            Whether the counter was above zero.
+            Whether the fault applies now, as its counter was above zero.
         """
         with self._lock:
             remaining = self._by_name[name]
