--- a/hawthornspoke/replay/_trace.py
+++ b/hawthornspoke/replay/_trace.py
@@ -1,4 +1,4 @@
-"""TOML traces that are replayed against the state machines, without I/O."""
+"""Traces: TOML files of messages that are replayed to a state machine, without I/O."""
 
 import importlib
 import pkgutil
@@ -22,7 +22,7 @@
     "RequestTraits": RequestTraits,
 }
 
-#: Keys of an event table that are not fields of its message.
+#: Keys in a trace's ``event`` table that are not fields of the message.
 EVENT_KEYS = frozenset(["at", "message", "outcomes", "state"])
 
 
