--- a/hawthornspoke/report/_build.py
+++ b/hawthornspoke/report/_build.py
@@ -20,7 +20,7 @@
 
 
 class MissingBoundError(ValueError):
-    """No log states how long engines may start requests on older weights."""
+    """No log states for how long after a new version older weights may be used."""
 
 
 def build_report(paths, *, version_bound=None):
@@ -80,7 +80,7 @@
 
 
 def _logged_version_bound(events):
-    """Return the most recently logged version bound of an entry host."""
+    """Return the version bound (see `build_report`) that an entry host logged last."""
     bounds = [
         event["version_bound"]
         for event in events
@@ -103,7 +103,7 @@
 
 
 def _last_events_by_name(events):
-    """Return the last ``engine`` and ``counters`` event of each process run.
+    """Return the last ``engine`` and ``counters`` event of each run of a process.
 
     Returns
     -------
--- a/hawthornspoke/report/_types.py
+++ b/hawthornspoke/report/_types.py
@@ -19,9 +19,9 @@
     left : int
         Requests abandoned by the caller.
     refused_by_reason : dict of str to int
-        Requests refused before they were run, with a time after which to retry.
+        Requests refused before they were run; the caller was told when to retry.
     refused_again : int
-        Refused requests that had been refused before.
+        Those of the refused requests that callers had sent again after a refusal.
     """
 
     on_time: int = 0
@@ -59,8 +59,8 @@
     silent : int
         Engines whose agent has logged no recent event.
     taken, slots : int
-        Running requests of the serving engines, and the number of slots of these
-        engines in the platform's list of endpoints.
+        Number of requests that run on the serving engines, and how many they can run
+        at a time, according to the platform's list of endpoints.
     """
 
     serving: int = 0
@@ -84,7 +84,7 @@
     in_use_at : list of float
         Times at which engines had loaded the version, in ascending order.
     whole_at : list of float
-        Times at which hosts had received all pieces of it, in ascending order.
+        Times at which hosts had received the complete weights, in ascending order.
     dropped : int
         Number of hosts that abandoned the transfer for a later version.
     """
