--- a/hawthornspoke/events/_events.py
+++ b/hawthornspoke/events/_events.py
@@ -13,8 +13,8 @@
 MAX_QUEUED_LINES = 2000
 
 #: Rate limit for routine decisions, in lines per second. At 1,400 requests per second
-#: over about a dozen entry hosts, a host decides about 100 requests per second; twice
-#: that allows for bursts, and 200 lines of 300 bytes are 60 KB/s.
+#: over about a dozen entry hosts, a host logs decisions on about 100 requests per
+#: second; twice that allows for bursts, and 200 lines of 300 bytes are 60 KB/s.
 INFO_LINES_PER_SECOND = 200.0
 
 #: Rate limit for failures and state changes, in lines per second. It is separate, so
@@ -119,7 +119,7 @@
     Attributes
     ----------
     suppressed : int
-        Number of lines suppressed by the rate limits since the last report of it.
+        Number of lines suppressed by the rate limits since it was last logged.
     """
 
     __slots__ = (
