--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -183,7 +183,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Result:
-    """Results of all days, simulated with one mechanism disabled.
+    """Results of all simulated days with one mechanism disabled.
 
     Parameters
     ----------
--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -54,7 +54,7 @@
     hosts : int
     chunks : int
     window : float
-        M / L in seconds.
+        M / L of the module's docstring, in seconds.
     faults : tuple of str
         Any of ``kill`` (a host is killed), ``stall`` (a host is suspended for some
         time), ``corrupt`` (the origin sends corrupt chunks), ``late`` (a host starts
@@ -321,7 +321,7 @@
 
 
 def check_results(results, *, faulty, copies):
-    """Check the scatter runs against the bounds; return the exit code."""
+    """Check runs of the strategy ``scatter`` against bounds; return the exit code."""
     limits = bounds("burst")
     prefix = "faulty" if faulty else "scatter"
     holds = True
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -30,7 +30,7 @@
 
 
 def measure_size(entries, agents, seconds):
-    """Return the idle cost by role, and table reads per second, of one size."""
+    """Return idle cost by role, and table reads per second, of a fleet of this size."""
     with Fleet(
         entries=entries,
         agents=agents,
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -40,7 +40,7 @@
 
 
 def run_case(fleet, name, rate, seconds):
-    """Run one case; return a row of the table and the measurements."""
+    """Send requests at a rate for some time; return a table row and measurements."""
     priorities = itertools.cycle([URGENT, IDLE, "u=3"])
     attempts_before = engine_requests(fleet)
     started = time.monotonic()
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -28,7 +28,7 @@
 
 
 def run_case(fleet, case, *, rate, seconds):
-    """Run one case; return the load, prefix hit rate and share of ``runner-0``."""
+    """Send the requests of a case; return load, prefix hits, share of ``runner-0``."""
     if case == "one slow":
         fleet.engine_faults("runner-0", slow_factor=5.0)
     if case == "one fails fast":
