--- a/hawthornspoke/entry/_attempt.py
+++ b/hawthornspoke/entry/_attempt.py
@@ -47,7 +47,7 @@
         False only if it is certain that the endpoint did not run the request.
     failure : Failure or None
     live : str or None, default=None
-        Digest of the endpoint's live weights, as named in its refusal.
+        Digest of the weights in use at the endpoint, as named in its refusal.
     engine_exit_id : str, default=""
         Identifier of the exit of the engine's process, if it exited during the request.
     """
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -87,7 +87,7 @@
     address : str
     port : int
     digest : str
-        Digest of the live weights there, as last reported.
+        Digest of the weights in use there (live weights), as last reported.
     """
 
     __slots__ = ("node", "address", "port", "digest")
@@ -205,7 +205,8 @@
             reason = "no configuration is in force here yet"
             return NOT_READY.with_reason(reason, retry_after=1.0)
         if not authorization.lower().startswith(BEARER_PREFIX):
-            # No configuration permits requests without a key, so its age is irrelevant.
+            # No configuration permits requests without a key, so it doesn't matter
+            # whether this host's configuration is recent.
             return UNAUTHENTICATED.with_reason("no bearer key in Authorization")
         organisation = self._authenticate(authorization)
         if is_failure(organisation):
@@ -426,7 +427,7 @@
     def _update_load(self, member, now):
         view = self.core.membership.by_id.get(member.node)
         if view is None or view.member is not member:
-            # Not the newest record of that endpoint.
+            # This host has a newer record of that endpoint.
             return
         message = LoadReported(
             node=member.node,
