--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -298,7 +298,7 @@
         self.socket.send(datagram, [(view.address, view.port) for view in targets])
 
     def on_announce(self, announce, *, now):
-        """Handle a peer's announcement of chunks."""
+        """Handle a peer's announcement of the chunks that it holds."""
         indices = struct.unpack(
             f"<{len(announce.indices or b'') // 4}I", announce.indices or b""
         )
@@ -560,8 +560,8 @@
     def _cancel_unread(self, now):
         for request_id, run in list(self.run_by_id.items()):
             if run.is_unread(now=now):
-                # The entry host died or is unreachable. Cancelling frees the slot
-                # of the engine.
+                # The entry host died or is unreachable, so nobody will read the
+                # response. Cancelling frees the request's slot at the engine.
                 self.metrics.count("runs_unread_total")
                 self.cancel(request_id=request_id, now=now)
 
--- a/hawthornspoke/agent/_engine_actor.py
+++ b/hawthornspoke/agent/_engine_actor.py
@@ -68,7 +68,7 @@
         self.staged_by_digest = {}
 
     def on_receive(self, message):
-        """Read the engine's state, stage or discard chunks, or send an order."""
+        """Read the engine's state, stage or drop chunks, or load or unload weights."""
         if isinstance(message, ReadEngineState):
             self._tell(self._read_state())
             return
--- a/hawthornspoke/agent/_engines.py
+++ b/hawthornspoke/agent/_engines.py
@@ -265,7 +265,7 @@
                 timeout=STATE_TIMEOUT,
             )
         except IncompleteResponse:
-            # The next load order discards the remaining staged chunks.
+            # The engine discards the remaining staged chunks at its next load anyway.
             return
         if not isinstance(response, Failure):
             response.read()
@@ -277,7 +277,9 @@
         ----------
         manifest : Manifest
         base : str
+            Digest of the base weights if these are adapter weights, else empty.
         fence : int
+            Fencing token, by which the engine rejects orders of an earlier agent.
 
         Returns
         -------
@@ -326,7 +328,8 @@
             count = complete.count(EVENT_DELIMITER) - (1 if ended else 0)
             yield Event(kind=EventKind.TOKENS, data=complete, count=count)
         if rest or not ended:
-            # A stream that ends after a complete event looks like a short response.
+            # Otherwise a stream cut off between two events would pass for a complete,
+            # short response.
             raise IncompleteResponse("the stream ended without its end mark")
 
     def _put(self, path, data):
--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -85,7 +85,8 @@
         Rate limiter for incoming chunks.
     clients : PlatformClients
     source_by_digest : dict of str to str
-        Location of each digest at the origin; written by the control actor.
+        Name at the origin of the weights with each digest; written by the control
+        actor.
     metrics : Metrics
     control : pykka.ActorRef
     """
--- a/hawthornspoke/agent/_process.py
+++ b/hawthornspoke/agent/_process.py
@@ -20,8 +20,8 @@
 )
 from hawthornspoke.swarm import ChunkStore, LinkRateLimiter
 
-#: Seconds for which a submit waits for the first events. They usually arrive within
-#: this time, which saves a separate read.
+#: Seconds for which the reply to a submit waits for the first response events. They
+#: usually arrive within this time, which saves the entry host a separate read call.
 FIRST_EVENT_TIMEOUT = 0.02
 
 
@@ -61,7 +61,8 @@
         )
         if RpcServer.is_caller_disconnected():
             # This process was paused after the request arrived. Meanwhile the entry
-            # host closed the connection and reported another result to its caller.
+            # host closed the connection and reported another result to its caller, so
+            # the request must not run.
             self.metrics.count("stale_submits_total")
             refused = Event(kind=EventKind.REFUSED, reason="busy: caller is gone")
             return self._events(request.request_id, [refused])
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -1,4 +1,4 @@
-"""A request on this host, with a queue of its events for the entry host."""
+"""A request that runs on this host, and its response events for the entry host."""
 
 import queue
 import threading
@@ -21,7 +21,7 @@
 
 
 class Run:
-    """Bounded queue of the events of one request.
+    """One request, with a bounded queue of events, the parts of its response.
 
     Parameters
     ----------
@@ -202,5 +202,5 @@
     try:
         response.shutdown()
     except (RuntimeError, OSError):
-        # The response has already been read to its end.
+        # The response has already been read to its end, so nothing is left to cancel.
         return
