--- a/hawthornspoke/node/_control.py
+++ b/hawthornspoke/node/_control.py
@@ -68,7 +68,8 @@
         # One read of each kind at a time: while the platform is slow, repeated
         # requests would queue reads whose results are stale when they complete.
         self.reading_table = False
-        # On the boot-time clock, which also advances while the host is suspended.
+        # Time of the last read request, on the boot-time clock, which also advances
+        # while the host is suspended.
         self.table_requested_at = float("-inf")
         self.reading_hosts = False
         self.reading_document = False
@@ -141,7 +142,7 @@
         """Handle a message that is specific to this role."""
 
     def on_announce(self, announce, *, now):
-        """Handle a chunk announcement."""
+        """Handle a peer's announcement of the chunks that it holds."""
 
     def apply_document(self, document, *, now):
         """Apply a configuration document that is now in force."""
@@ -159,7 +160,7 @@
         """Send this node's state to the nodes that need it."""
 
     def reply_to_heartbeat(self, gossip, source, *, now):
-        """Reply to a heartbeat that requests it."""
+        """Reply to a heartbeat whose sender wants a reply."""
 
     def drain(self, reason, *, now):
         """Reject new work from now on."""
