--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -248,7 +248,8 @@
 
     def on_message_begin(self):
         if self._head is not None and not self._discarding:
-            # A second, unsolicited response.
+            # The endpoint sent a second response to one request. What it sends next
+            # can't be matched to a request.
             self.reusable = False
         self._headers = []
 
@@ -328,7 +329,8 @@
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     )
     for level, name, value in options:
-        # An operating system that lacks an option detects failures later.
+        # Without an option that the operating system lacks, failures are only
+        # detected later.
         with contextlib.suppress(OSError):
             sock.setsockopt(level, name, value)
 
