--- a/hawthornspoke/protocol/_server.py
+++ b/hawthornspoke/protocol/_server.py
@@ -79,7 +79,7 @@
     def is_caller_disconnected():
         """Return whether the caller has closed its connection.
 
-        Must be called on the handler's thread.
+        Must be called on the handler's thread, whose connection is checked.
 
         Returns
         -------
@@ -92,7 +92,7 @@
     def disconnect_check():
         """Return a function that checks for a disconnect, callable from any thread.
 
-        Must itself be called on the handler's thread.
+        Must itself be called on the handler's thread, whose connection is checked.
 
         Returns
         -------
