--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -1,8 +1,9 @@
 """Time until new weights are live on N hosts, and copies read from the origin.
 
 Runs separate agent processes on loopback. Token buckets limit the origin's link to
-twice the rate of a host's link, the ratio of the design: in one distribution window,
-the origin's link carries four copies, and a host's link two copies in each direction.
+twice the rate of a host's link, the ratio that the system is designed for: in the time
+allowed for a distribution, the origin's link carries four copies of the weights, and a
+host's link two copies in each direction.
 With M bytes of weights and L bytes per second of a host's link, the time is at least
 M / L, and at least M bytes are read from the origin.
 
@@ -60,9 +61,10 @@
         time), ``corrupt`` (the origin sends corrupt chunks), ``late`` (a host starts
         late) and ``cut`` (a failure domain is partitioned for some time).
     copies : int
-        Declared as ``origin_copies``.
+        Number of copies of the weights to read from the origin in each scope, declared
+        as ``origin_copies``.
     scope : str
-        Declared as ``origin_scope``.
+        Hosts that share these copies, declared as ``origin_scope``.
     """
 
     def __init__(self, *, strategy, hosts, chunks, window, faults, copies, scope):
