--- a/hawthornspoke/gate/_gate.py
+++ b/hawthornspoke/gate/_gate.py
@@ -379,7 +379,7 @@
         return DEADLINE_PASSED.with_reason("not started in time", retry_after=wait)
 
     def _sort_key(self, tracked, now):
-        """Return the sort key: urgency value less waiting time, then arrival time."""
+        """Return the sort key: urgency value reduced by waiting, then arrival time."""
         waited = now - tracked.since
         return tracked.request.urgency - waited / self.aging, tracked.since
 
