--- a/hawthornspoke/claims/_claim.py
+++ b/hawthornspoke/claims/_claim.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ReadDone:
-    """The row was read.
+    """The read of the row has returned.
 
     Parameters
     ----------
