--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -51,7 +51,7 @@
 WARMUP_HEARTBEATS = 3
 
 #: Seconds within which an accepted revision must be in force on every host
-#: (docs/PROMISES.md). Hosts that poll the table get an update every second.
+#: (docs/PROMISES.md). Hosts that poll the table read it every second.
 MAX_PROPAGATION_DELAY = 5.0
 
 DOMAIN_CLAIMANT_PREFIX = "domain:"
--- a/hawthornspoke/entry/_forward.py
+++ b/hawthornspoke/entry/_forward.py
@@ -26,7 +26,7 @@
 
 
 class AnswerHead:
-    """Status, headers and origin of an answer.
+    """Status and headers of an answer, and which endpoint and weights produced it.
 
     Parameters
     ----------
