--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -287,7 +287,7 @@
         self._cancel_unread(now)
 
     def send_heartbeat(self, *, now):
-        """Send this node's state to the gossip relays of its failure domain."""
+        """Send this node's state to the entry hosts that relay it to the others."""
         entries = self.core.reachable_entries()
         targets = relay_targets(
             node=self.settings["node"],
@@ -311,7 +311,7 @@
         self._step_swarm(message, now)
 
     def drain(self, reason, *, now):
-        """Reject new requests and announce it to the entry hosts immediately."""
+        """Reject new requests from now on, and tell the entry hosts immediately."""
         super().drain(reason, now=now)
         self._step_gate(Drain(), now)
 
@@ -460,7 +460,7 @@
         self._step_swarm(transfer_request, now)
 
     def _reserve_memory(self, manifest):
-        """Reserve memory, evicting weights that are only kept for a rollback."""
+        """Reserve memory for a transfer; evict weights only kept for a rollback."""
         rejection = self.store.reserve(manifest)
         needed = self._needed_digests()
         for digest in self.store.digests():
--- a/hawthornspoke/agent/_engine_exits.py
+++ b/hawthornspoke/agent/_engine_exits.py
@@ -5,7 +5,7 @@
 from hawthornspoke.base import monotonic
 
 #: Seconds within which interrupted responses are attributed to the same exit. An
-#: engine takes longer than this to start again.
+#: engine takes longer than this to start again, so these can't be two exits.
 SAME_EXIT_SECONDS = 0.5
 
 
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -16,7 +16,8 @@
 #: Maximum number of events in one reply.
 MAX_REPLY_EVENTS = 64
 
-#: Seconds without a read after which the entry host is considered disconnected.
+#: Seconds without a read call after which the entry host counts as disconnected, and
+#: the request is cancelled.
 UNREAD_TIMEOUT = 10.0
 
 
