--- a/hawthornspoke/node/_messages.py
+++ b/hawthornspoke/node/_messages.py
@@ -5,7 +5,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class TimerTick:
-    """Periodic message of the ticker."""
+    """Message that a Ticker sends periodically."""
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
--- a/hawthornspoke/node/_operator.py
+++ b/hawthornspoke/node/_operator.py
@@ -12,7 +12,7 @@
 
 
 class OperatorServer:
-    """Serves the operator endpoints of one process.
+    """Answers HTTP requests of operators to one process.
 
     Parameters
     ----------
