--- a/hawthornspoke/httpio/_message.py
+++ b/hawthornspoke/httpio/_message.py
@@ -119,7 +119,7 @@
 
 
 class Response(Message):
-    """A response; without a body, just its head.
+    """A response; only its head if the body is read separately.
 
     Parameters
     ----------
