--- a/hawthornspoke/fields/_fields.py
+++ b/hawthornspoke/fields/_fields.py
@@ -16,8 +16,8 @@
 #: Returned for data that fails validation; its reason names the field.
 UNUSABLE = Failure(code="unusable")
 
-#: Maximum length of a string in characters. Names, addresses and keys have a few dozen,
-#: and some of them are sent to every agent.
+#: Maximum length of a string in characters. Names, addresses and keys have a few dozen.
+#: The limit keeps messages small, as some of the strings are sent to every agent.
 MAX_TEXT_LENGTH = 1000
 
 #: The largest count that fits an i32 field of the messages between processes.
