--- a/hawthornspoke/replay/_trace.py
+++ b/hawthornspoke/replay/_trace.py
@@ -12,7 +12,7 @@
 from hawthornspoke.routing import RequestTraits
 from hawthornspoke.store import HostEntry
 
-#: Classes that a trace may use as field values, keyed by their ``type``.
+#: Classes whose instances a trace may use as field values, by the ``type`` given there.
 VALUE_CLASSES = {
     "TargetWeights": TargetWeights,
     "HostEntry": HostEntry,
