--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -22,7 +22,8 @@
 from tests.conftest import weights
 from tests.fleet import Fleet, declarations
 
-#: Design size of one failure domain: 1/9 of 330 entry hosts and 1,600 agents.
+#: Size of a failure domain that the system is designed for: 1/9 of 330 entry hosts and
+#: 1,600 agents.
 DESIGN_ENTRIES = 37
 DESIGN_AGENTS = 178
 SIZES = ((2, 10), (6, 30), (12, 58))
