--- a/hawthornspoke/entry/_claims_runner.py
+++ b/hawthornspoke/entry/_claims_runner.py
@@ -32,8 +32,8 @@
 FIRST_WRITE_TIMEOUT = 0.5
 ANSWERS_PREFIX = "answers/"
 
-#: Maximum number of writes queued while the platform is unavailable; further ones are
-#: dropped.
+#: Maximum number of writes queued while the platform is unavailable. Further ones are
+#: dropped, which may leave their keys claimed permanently.
 MAX_PENDING = 10_000
 RETRY_INTERVAL = 0.5
 
--- a/hawthornspoke/entry/_control.py
+++ b/hawthornspoke/entry/_control.py
@@ -244,6 +244,8 @@
         service : ServiceView
         adapter : str
         prefix : str
+            Digest of the prompt's start, by which an endpoint that has probably cached
+            it is preferred.
         digest : str or None
             Restricts the choice to endpoints with these weights; None for any
             weights that the service accepts.
@@ -490,7 +492,7 @@
         )
 
     def _direct_reports(self, now):
-        """Return the records that this host relays of the agents that report to it."""
+        """Return the records of reporting agents that this host has to relay."""
         entries = self.core.reachable_entries()
         members = []
         for node, (member, received_at) in list(self.direct_report_by_node.items()):
--- a/hawthornspoke/entry/_forward.py
+++ b/hawthornspoke/entry/_forward.py
@@ -250,8 +250,8 @@
         """Return whether another attempt can continue the answer that was begun."""
         if not self._head_sent:
             return True
-        # The caller has part of the answer. Only a token stream can be resumed, by
-        # the same weights and only if the request may run twice.
+        # The caller has part of the answer. Only a token stream can be continued, on
+        # the same weights, and only if the request may run twice.
         return (
             self.context.is_model and self.context.streaming and self.context.repeatable
         )
