--- a/hawthornspoke/node/_control.py
+++ b/hawthornspoke/node/_control.py
@@ -29,8 +29,9 @@
 #: started together don't keep reading the table at the same time.
 JITTER_FRACTION = 0.1
 
-#: Seconds between checks of the members' deadlines. Each check visits every node of
-#: the failure domain, and timeouts of several seconds need no finer resolution.
+#: Seconds between checks for nodes that have been silent too long. Each check visits
+#: every node of the failure domain, and timeouts of several seconds need no finer
+#: resolution.
 MEMBERSHIP_INTERVAL = 0.3
 
 #: Exit code of a process whose state violates an invariant (EX_SOFTWARE).
--- a/hawthornspoke/node/_core.py
+++ b/hawthornspoke/node/_core.py
@@ -20,7 +20,7 @@
 from hawthornspoke.store import NOT_FOUND
 
 #: Number of entry hosts of a failure domain (pollers) that read the table at the short
-#: interval.
+#: interval; the other nodes learn of new revisions by gossip.
 POLLER_COUNT = 2
 
 #: Minimum seconds between reads of the table by a node that isn't a poller but reads
@@ -28,7 +28,7 @@
 #: poller's interval.
 EARLY_READ_INTERVAL = 1.0
 
-#: Seconds between attempts to fetch the document of a known revision.
+#: Seconds between attempts to fetch the configuration document of a known revision.
 FETCH_RETRY_INTERVAL = 0.5
 
 DEAD = "dead"
