--- a/hawthornspoke/config/_loader.py
+++ b/hawthornspoke/config/_loader.py
@@ -85,7 +85,7 @@
 
 
 def _merge(merged, target, table, *, file, path):
-    """Merge tables recursively; any other value replaces the earlier one."""
+    """Merge tables recursively; a value that isn't a table replaces the earlier one."""
     for key, value in table.items():
         key_path = (*path, key)
         if isinstance(value, dict):
