--- a/hawthornspoke/operator/_apply.py
+++ b/hawthornspoke/operator/_apply.py
@@ -74,7 +74,7 @@
     Parameters
     ----------
     token : str
-        Random identifier of the write; in the history if the write succeeded.
+        Random identifier of the write; it is in the history if the write succeeded.
     """
 
     token: str
