--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -22,7 +22,8 @@
 from tests.conftest import random_weights
 from tests.fleet import Fleet, declarations
 
-#: Design size of one failure domain: 1/9 of 330 entry hosts and 1,600 agents.
+#: Size of a failure domain that the system is designed for: 1/9 of 330 entry hosts and
+#: 1,600 agents.
 DESIGN_ENTRIES = 37
 DESIGN_AGENTS = 178
 SIZES = ((2, 10), (6, 30), (12, 58))
@@ -30,7 +31,7 @@
 
 
 def measure_size(entries, agents, seconds):
-    """Return the idle cost by role, and table reads per second, of one size."""
+    """Return idle cost by role, and table reads per second, of a fleet of this size."""
     with Fleet(
         entries=entries,
         agents=agents,
--- a/hawthornspoke/agent/_control.py
+++ b/hawthornspoke/agent/_control.py
@@ -92,7 +92,7 @@
 
 
 class AgentControl(ControlActor):
-    """Owns the admission gate, chunk transfers and deployment of one endpoint host.
+    """Owns an endpoint host's admission gate, chunk transfers and loading of weights.
 
     Parameters
     ----------
@@ -158,10 +158,10 @@
             self.idle_workers.append(worker)
 
     def on_role_message(self, message, *, now):
-        """Handle messages of the engine actor, the fetch actors and request threads."""
+        """Handle messages from the engine actor, fetch actors and request threads."""
         if isinstance(message, SWARM_EVENTS):
             if isinstance(message, ChunkVerified):
-                # Stage each chunk at once, while the others are still transferred.
+                # Send each chunk to the engine at once, while others are transferred.
                 stage_order = StageChunk(digest=message.digest, index=message.index)
                 self.engine_actor.tell(stage_order)
             self._step_swarm(message, now)
@@ -213,7 +213,7 @@
         return len(self.gate.running_by_id), len(self.gate.waiting_by_id)
 
     def problems(self):
-        """Return why declared weights were refused, by live key."""
+        """Return why declared weights were refused, by ``ServiceView.live_key``."""
         refused = self.deployment.refused_by_digest
         return {
             key: refused[item.digest]
@@ -222,7 +222,7 @@
         }
 
     def is_idle(self, *, now):
-        """Return whether nothing runs and all events have been returned."""
+        """Return whether nothing runs and entry hosts have read all response events."""
         return not self.gate.running_by_id and not self.run_by_id
 
     def is_ready(self, *, now):
@@ -257,7 +257,7 @@
         self.on_hosts_changed(now=now)
 
     def on_hosts_changed(self, *, now):
-        """Update the participants of running transfers."""
+        """Update the hosts that take part in running transfers."""
         for digest in list(self.swarm.transfer_by_digest):
             message = ParticipantsChanged(
                 digest=digest,
@@ -287,7 +287,7 @@
         self._cancel_unread(now)
 
     def send_heartbeat(self, *, now):
-        """Send this node's state to the gossip relays of its failure domain."""
+        """Send this node's state to the entry hosts that relay it to the others."""
         entries = self.core.reachable_entries()
         targets = relay_targets(
             node=self.settings["node"],
@@ -298,7 +298,7 @@
         self.socket.send(datagram, [(view.address, view.port) for view in targets])
 
     def on_announce(self, announce, *, now):
-        """Handle a peer's announcement of chunks."""
+        """Handle a peer's announcement of the chunks that it holds."""
         indices = struct.unpack(
             f"<{len(announce.indices or b'') // 4}I", announce.indices or b""
         )
@@ -311,7 +311,7 @@
         self._step_swarm(message, now)
 
     def drain(self, reason, *, now):
-        """Reject new requests and announce it to the entry hosts immediately."""
+        """Reject new requests from now on, and tell the entry hosts immediately."""
         super().drain(reason, now=now)
         self._step_gate(Drain(), now)
 
@@ -460,7 +460,7 @@
         self._step_swarm(transfer_request, now)
 
     def _reserve_memory(self, manifest):
-        """Reserve memory, evicting weights that are only kept for a rollback."""
+        """Reserve memory for a transfer; evict weights only kept for a rollback."""
         rejection = self.store.reserve(manifest)
         needed = self._needed_digests()
         for digest in self.store.digests():
@@ -560,8 +560,8 @@
     def _cancel_unread(self, now):
         for request_id, run in list(self.run_by_id.items()):
             if run.is_unread(now=now):
-                # The entry host died or is unreachable. Cancelling frees the slot
-                # of the engine.
+                # The entry host died or is unreachable, so nobody will read the
+                # response. Cancelling frees the request's slot at the engine.
                 self.metrics.count("runs_unread_total")
                 self.cancel(request_id=request_id, now=now)
 
--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -33,7 +33,8 @@
 
 QUERY_TIMEOUT = 1.0
 
-#: Chunk index by which a host requests the manifest from a peer.
+#: Chunk index by which a host requests the manifest, the list of chunk digests, from a
+#: peer.
 MANIFEST_INDEX = -1
 MANIFEST_PREFIX = "manifests/"
 
@@ -84,7 +85,8 @@
         Rate limiter for incoming chunks.
     clients : PlatformClients
     source_by_digest : dict of str to str
-        Location of each digest at the origin; written by the control actor.
+        Name at the origin of the weights with each digest; written by the control
+        actor.
     metrics : Metrics
     control : pykka.ActorRef
     """
--- a/hawthornspoke/agent/_runs.py
+++ b/hawthornspoke/agent/_runs.py
@@ -1,4 +1,4 @@
-"""A request on this host, with a queue of its events for the entry host."""
+"""A request that runs on this host, and its response events for the entry host."""
 
 import queue
 import threading
@@ -16,12 +16,13 @@
 #: Maximum number of events in one reply.
 MAX_REPLY_EVENTS = 64
 
-#: Seconds without a read after which the entry host is considered disconnected.
+#: Seconds without a read call after which the entry host counts as disconnected, and
+#: the request is cancelled.
 UNREAD_TIMEOUT = 10.0
 
 
 class Run:
-    """Bounded queue of the events of one request.
+    """One request, with a bounded queue of events, the parts of its response.
 
     Parameters
     ----------
@@ -30,7 +31,7 @@
         On the monotonic clock.
     boottime_deadline : float or None, default=None
         The same on the boot-time clock, which also advances while the host is
-        suspended.
+        suspended; otherwise an expired request could run after a suspension.
     is_caller_disconnected : callable or None, default=None
         Returns whether the entry host has closed its connection.
     """
@@ -202,5 +203,5 @@
     try:
         response.shutdown()
     except (RuntimeError, OSError):
-        # The response has already been read to its end.
+        # The response has already been read to its end, so nothing is left to cancel.
         return
--- a/hawthornspoke/entry/_claims_runner.py
+++ b/hawthornspoke/entry/_claims_runner.py
@@ -32,8 +32,8 @@
 FIRST_WRITE_TIMEOUT = 0.5
 ANSWERS_PREFIX = "answers/"
 
-#: Maximum number of writes queued while the platform is unavailable; further ones are
-#: dropped.
+#: Maximum number of writes queued while the platform is unavailable. Further ones are
+#: dropped, which may leave their keys claimed permanently.
 MAX_PENDING = 10_000
 RETRY_INTERVAL = 0.5
 
@@ -147,8 +147,9 @@
         return WriteDone(outcome=_write_outcome(answer))
 
     def _release_write(self, claim, row_key):
-        # The row is also written if none exists. A delayed insert of this claim then
-        # fails on its condition, instead of leaving the key claimed permanently.
+        # The row is also written if none exists. If this claim's own insert arrives
+        # only afterwards, it then finds a row and is rejected, instead of leaving the
+        # key claimed permanently.
         condition = Condition(absent=True, equals={"token": claim.token})
         return PendingWrite(
             row=_claim_row(claim, row_key, RowState.NOT_RUN), condition=condition
--- a/hawthornspoke/entry/_forward.py
+++ b/hawthornspoke/entry/_forward.py
@@ -15,8 +15,8 @@
 #: Maximum number of attempts per request, including those that use no retry budget.
 MAX_ATTEMPTS = 6
 
-#: Refusals by endpoints that have not run the request. Trying the next endpoint adds
-#: no load, so it uses no retry budget.
+#: Failures after which the endpoint has certainly not run the request. Trying the next
+#: endpoint adds no load, so it uses no retry budget.
 UNCHARGED_REFUSALS = frozenset(["draining", "wrong_digest", "not_sent", "engine_down"])
 
 #: Failures that the router counts against the endpoint.
@@ -26,7 +26,7 @@
 
 
 class AnswerHead:
-    """Status, headers and origin of an answer.
+    """Status and headers of an answer, and which endpoint and weights produced it.
 
     Parameters
     ----------
@@ -247,17 +247,17 @@
         return False
 
     def _can_resume(self, result):
-        """Return whether another attempt can continue the answer sent so far."""
+        """Return whether another attempt can continue the answer that was begun."""
         if not self._head_sent:
             return True
-        # The caller has part of the answer. Only a token stream can be resumed, by
-        # the same weights and only if the request may run twice.
+        # The caller has part of the answer. Only a token stream can be continued, on
+        # the same weights, and only if the request may run twice.
         return (
             self.context.is_model and self.context.streaming and self.context.repeatable
         )
 
     def _fail_past_deadline(self, failure):
-        """Set the final failure and return False, the result of `_may_retry`."""
+        """Set the final failure; return False, which `_may_retry` returns in turn."""
         self._fail(failure)
         return False
 
--- a/hawthornspoke/fields/_fields.py
+++ b/hawthornspoke/fields/_fields.py
@@ -13,11 +13,11 @@
 
 from hawthornspoke.base import Failure
 
-#: Result for data that fails validation; its reason names the field.
+#: Returned for data that fails validation; its reason names the field.
 UNUSABLE = Failure(code="unusable")
 
-#: Maximum length of a string in characters. Names, addresses and keys have a few dozen,
-#: and some of them are sent to every agent.
+#: Maximum length of a string in characters. Names, addresses and keys have a few dozen.
+#: The limit keeps messages small, as some of the strings are sent to every agent.
 MAX_TEXT_LENGTH = 1000
 
 #: The largest count that fits an i32 field of the messages between processes.
@@ -131,7 +131,7 @@
 
 
 def one_of(obj, name, value_by_key):
-    """Return the value to which a mapping maps the string in a field.
+    """Look up the string in a field in a mapping, and return the mapped value.
 
     Parameters
     ----------
--- a/hawthornspoke/httpio/_client.py
+++ b/hawthornspoke/httpio/_client.py
@@ -208,8 +208,8 @@
     def data_received(self, data):
         """Parse response data; unsolicited data aborts the connection."""
         if self.exchange is None:
-            # A second response, or excess data after a response. It would be parsed as
-            # the start of the response to the next request.
+            # Data after the end of a response would be parsed as the start of the
+            # response to the next request.
             self.abort()
             return
         try:
@@ -222,7 +222,7 @@
             self.abort()
 
     def release(self):
-        """Detach the exchange; abort the connection if it can't be reused.
+        """End the use by the current exchange; abort a connection that can't be reused.
 
         Returns
         -------
@@ -248,7 +248,8 @@
 
     def on_message_begin(self):
         if self._head is not None and not self._discarding:
-            # A second, unsolicited response.
+            # The endpoint sent a second response to one request. What it sends next
+            # can't be matched to a request.
             self.reusable = False
         self._headers = []
 
@@ -328,7 +329,8 @@
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     )
     for level, name, value in options:
-        # An operating system that lacks an option detects failures later.
+        # Without an option that the operating system lacks, failures are only
+        # detected later.
         with contextlib.suppress(OSError):
             sock.setsockopt(level, name, value)
 
--- a/hawthornspoke/node/_control.py
+++ b/hawthornspoke/node/_control.py
@@ -29,8 +29,9 @@
 #: started together don't keep reading the table at the same time.
 JITTER_FRACTION = 0.1
 
-#: Seconds between checks of the members' deadlines. Each check visits every node of
-#: the failure domain, and timeouts of several seconds need no finer resolution.
+#: Seconds between checks for nodes that have been silent too long. Each check visits
+#: every node of the failure domain, and timeouts of several seconds need no finer
+#: resolution.
 MEMBERSHIP_INTERVAL = 0.3
 
 #: Exit code of a process whose state violates an invariant (EX_SOFTWARE).
@@ -38,7 +39,9 @@
 
 
 class ControlActor(pykka.ThreadingActor):
-    """Owns membership and revision; subclasses add the state of their role.
+    """Owns a node's view of the other nodes and of the configuration.
+
+    Subclasses add the state of their role, entry host or agent.
 
     Parameters
     ----------
@@ -66,7 +69,8 @@
         # One read of each kind at a time: while the platform is slow, repeated
         # requests would queue reads whose results are stale when they complete.
         self.reading_table = False
-        # On the boot-time clock, which also advances while the host is suspended.
+        # Time of the last read request, on the boot-time clock, which also advances
+        # while the host is suspended.
         self.table_requested_at = float("-inf")
         self.reading_hosts = False
         self.reading_document = False
@@ -139,10 +143,10 @@
         """Handle a message that is specific to this role."""
 
     def on_announce(self, announce, *, now):
-        """Handle a chunk announcement."""
+        """Handle a peer's announcement of the chunks that it holds."""
 
     def apply_document(self, document, *, now):
-        """Apply a document that has become active."""
+        """Apply a configuration document that is now in force."""
 
     def on_hosts_changed(self, *, now):
         """React to a new host list."""
@@ -157,7 +161,7 @@
         """Send this node's state to the nodes that need it."""
 
     def reply_to_heartbeat(self, gossip, source, *, now):
-        """Reply to a heartbeat that requests it."""
+        """Reply to a heartbeat whose sender wants a reply."""
 
     def drain(self, reason, *, now):
         """Reject new work from now on."""
@@ -178,7 +182,7 @@
         }
 
     def document_bytes(self, digest, *, now):
-        """Return the packed active document if it has this digest, otherwise None."""
+        """Return the packed configuration in force if it has this digest, else None."""
         if self.core.holder.digest == digest:
             return self.core.document_data
         return None
@@ -200,15 +204,15 @@
         raise NotImplementedError
 
     def problems(self):
-        """Return the reasons why declared state is not reached, by key."""
+        """Return why declared weights are not in use on this host, by service key."""
         return {}
 
     def revision_seen(self, *, now):
-        """Return the highest revision known to this node."""
+        """Return the highest configuration revision known to this node."""
         return self.core.holder.heard_revision
 
     def hear_revision(self, revision, *, now):
-        """Handle a revision carried by a message of another process."""
+        """Handle a configuration revision that another process's message carried."""
         if revision and revision > self.core.holder.heard_revision:
             self._process_outcomes(
                 self.core.hear_revision(revision, "", "", now=now), now
@@ -244,8 +248,8 @@
             self._fetch(due_fetch, now)
         if now >= core.heartbeat_deadline:
             core.heartbeat_deadline = now + self.settings["heartbeat_every"]
-            # A node that has just become a poller must not wait for the end of its
-            # previous, longer interval.
+            # A node that has just become a poller (see POLLER_COUNT) must not wait for
+            # the end of its previous, longer interval.
             next_poll = now + core.poll_interval()
             core.table_deadline = min(core.table_deadline, next_poll)
             self.seq += 1
--- a/hawthornspoke/replay/_trace.py
+++ b/hawthornspoke/replay/_trace.py
@@ -1,4 +1,4 @@
-"""TOML traces that are replayed against the state machines, without I/O."""
+"""Traces: TOML files of messages that are replayed to a state machine, without I/O."""
 
 import importlib
 import pkgutil
@@ -12,7 +12,7 @@
 from hawthornspoke.routing import RequestTraits
 from hawthornspoke.store import HostEntry
 
-#: Classes that a trace may use as field values, keyed by their ``type``.
+#: Classes whose instances a trace may use as field values, by the ``type`` given there.
 VALUE_CLASSES = {
     "TargetWeights": TargetWeights,
     "HostEntry": HostEntry,
@@ -22,7 +22,7 @@
     "RequestTraits": RequestTraits,
 }
 
-#: Keys of an event table that are not fields of its message.
+#: Keys in a trace's ``event`` table that are not fields of the message.
 EVENT_KEYS = frozenset(["at", "message", "outcomes", "state"])
 
 
