--- a/hawthornspoke/relay/_choosing.py
+++ b/hawthornspoke/relay/_choosing.py
@@ -10,8 +10,11 @@
 EXTRA_CONNECTION_ATTEMPTS = 3
 
 
-class EndpointSelector:
-    """Selects endpoints by the fleet state and the retry budgets.
+class AttemptPlanner:
+    """Decides whether a request may be sent (again), and to which endpoint.
+
+    The endpoint is selected by the Fleet; this class prepares the query for it and
+    applies the limits of the route and of the retry budget.
 
     Parameters
     ----------
--- a/hawthornspoke/relay/_forward.py
+++ b/hawthornspoke/relay/_forward.py
@@ -2,7 +2,7 @@
 
 from hawthornspoke.base import Failure
 from hawthornspoke.catalog import STREAM
-from hawthornspoke.relay._choosing import EndpointSelector
+from hawthornspoke.relay._choosing import AttemptPlanner
 from hawthornspoke.relay._encoding import Encoder
 from hawthornspoke.relay._sending import Sender
 from hawthornspoke.relay._streams import (
@@ -41,7 +41,7 @@
         "_header_names",
         "_log",
         "_encoder",
-        "_selector",
+        "_planner",
         "_sender",
         "_streams",
     )
@@ -53,13 +53,13 @@
         self._header_names = header_names
         self._log = log
         self._encoder = Encoder(header_names=header_names, clock=admission.clock)
-        self._selector = EndpointSelector(
+        self._planner = AttemptPlanner(
             clock=admission.clock, fleet=fleet, budget_for=budget_for, log=log
         )
         self._sender = Sender(
             admission=admission,
             timers=timers,
-            selector=self._selector,
+            planner=self._planner,
             encoder=self._encoder,
             fleet=fleet,
             pool=pool,
@@ -68,7 +68,7 @@
             log=log,
         )
         self._streams = StreamForwarder(
-            selector=self._selector,
+            planner=self._planner,
             sender=self._sender,
             encoder=self._encoder,
             header_names=header_names,
@@ -85,7 +85,7 @@
         """
         connection_attempts = 0
         while True:
-            placement = self._selector.select(context, connection_attempts)
+            placement = self._planner.select(context, connection_attempts)
             if placement is None:
                 return
             attempt = self._sender.create_attempt(context, placement)
@@ -142,7 +142,7 @@
         attempt.complete(is_success=is_success)
         context.last_response = answer
         if is_success:
-            self._selector.record_success(context)
+            self._planner.record_success(context)
             return True
         context.last_reason = f"the endpoint responded with status {answer.status}"
         return not (context.route.repeatable and answer.status >= 500)
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -11,7 +11,7 @@
     ----------
     admission : Admission
     timers : Timers
-    selector : EndpointSelector
+    planner : AttemptPlanner
     encoder : Encoder
     fleet : Fleet
     pool : ConnectionPool
@@ -23,7 +23,7 @@
     __slots__ = (
         "_admission",
         "_timers",
-        "_selector",
+        "_planner",
         "_encoder",
         "_fleet",
         "_pool",
@@ -37,7 +37,7 @@
         *,
         admission,
         timers,
-        selector,
+        planner,
         encoder,
         fleet,
         pool,
@@ -47,7 +47,7 @@
     ):
         self._admission = admission
         self._timers = timers
-        self._selector = selector
+        self._planner = planner
         self._encoder = encoder
         self._fleet = fleet
         self._pool = pool
@@ -92,7 +92,7 @@
         data = self._encoder.encode(
             context, attempt.placement, last_event=last_event, version=version
         )
-        placement_request = self._selector.make_placement_request(
+        placement_request = self._planner.make_placement_request(
             context, required_version=version
         )
         decision = self._admission.recheck(
--- a/hawthornspoke/relay/_streams.py
+++ b/hawthornspoke/relay/_streams.py
@@ -19,16 +19,16 @@
 
     Parameters
     ----------
-    selector : EndpointSelector
+    planner : AttemptPlanner
     sender : Sender
     encoder : Encoder
     header_names : HeaderNames
     """
 
-    __slots__ = ("_selector", "_sender", "_encoder", "_header_names")
+    __slots__ = ("_planner", "_sender", "_encoder", "_header_names")
 
-    def __init__(self, *, selector, sender, encoder, header_names):
-        self._selector = selector
+    def __init__(self, *, planner, sender, encoder, header_names):
+        self._planner = planner
         self._sender = sender
         self._encoder = encoder
         self._header_names = header_names
@@ -56,7 +56,7 @@
                 if await self._forward_events(context, attempt, head, splitter):
                     attempt.complete(is_success=True)
                     context.reply.finish()
-                    self._selector.record_success(context)
+                    self._planner.record_success(context)
                     return True
                 attempt.fail()
                 await self._sender.wait_for_probes(context)
@@ -108,8 +108,8 @@
         version = head.get(self._header_names.versions, "")
         if not (context.route.repeatable and version.isdigit()):
             return None
-        while self._selector.may_retry(context):
-            placement = self._selector.select_for_resume(context, int(version))
+        while self._planner.may_retry(context):
+            placement = self._planner.select_for_resume(context, int(version))
             if placement is None:
                 return None
             attempt = await self._attempt_resume(context, placement, splitter, version)
