--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -5,11 +5,11 @@
 from hawthornspoke.placing import PlacementRecheck, Rejection
 
 #: Retry-After in seconds while this host has no configuration yet, or can't confirm
-#: that a key is still valid: the duration of a short outage.
+#: that a key is still valid: about the duration of a short outage of the platform.
 UNCONFIRMED_RETRY_AFTER = 0.5
 
-#: Retry-After in seconds if the route or key changed while a request was handled:
-#: almost at once, since this host has the new configuration.
+#: Retry-After in seconds if the route or key changed while a request was handled. It is
+#: short, since this host already has the new configuration to judge the retry by.
 CHANGED_RETRY_AFTER = 0.05
 
 CALLER_LEFT = Failure(code="caller_left")
@@ -56,12 +56,15 @@
         self._suspects = suspects
 
     def set_catalog(self, catalog):
-        """Activate a configuration; each attribute is replaced in one assignment."""
+        """Activate a configuration.
+
+        The previous one isn't modified: requests that are being handled refer to it.
+        """
         self._routes = RouteTable(routes=catalog.routes)
         self.catalog = catalog
 
     def contact_age(self):
-        """Return the seconds since the last platform confirmation, if any."""
+        """Return the age of the last platform confirmation, None before the first."""
         return self._contact.age(now=self.clock())
 
     def identify(self, context):
@@ -95,17 +98,17 @@
 
         The process may have stalled, or waited for a connection, since the endpoint was
         selected. The task then resumes before the event loop has processed the
-        caller's disconnect, the deadline timer or the loss of the platform, and an
-        endpoint would run a request that is abandoned or no longer allowed. So this
-        is called directly before the bytes are written, without an await in between,
-        and checks the conditions that change fastest last.
+        caller's disconnect, the deadline timer or the loss of contact with the
+        platform, and an endpoint would run a request that is abandoned or no longer
+        allowed. So this is called directly before the bytes are written, without an
+        await in between, and checks the conditions that change fastest last.
 
         Parameters
         ----------
         context : RequestContext
             Its ``rejection`` is set if no endpoint may run it any more.
         placement_request : PlacementRequest
-            With the times left now.
+            The request for this selection, with the remaining times as of now.
         placement : Placement
             The selection to check.
 
@@ -173,7 +176,7 @@
         return not route.public and bool(self.catalog.organisation_by_key)
 
     def _deny(self, status, reason):
-        """Return a permanent refusal, or a temporary one if it can't be confirmed."""
+        """Return a permanent refusal, a temporary one if the catalog may be stale."""
         if self._contact.may_reject(now=self.clock()):
             return status, reason, None
         return 503, f"{reason}_not_confirmed", UNCONFIRMED_RETRY_AFTER
--- a/hawthornspoke/relay/_agents.py
+++ b/hawthornspoke/relay/_agents.py
@@ -1,4 +1,9 @@
-"""Connections from an entry host to the agents of engines."""
+"""Connections from an entry host to the agents of engines.
+
+An agent is a process beside an engine that reports its state and manages its weights.
+A directive tells the agents of a service which weights version is declared, and from
+where they can fetch it.
+"""
 
 import asyncio
 import math
@@ -18,7 +23,10 @@
 
 
 class _EncodedDirective:
-    """A directive for the agents of a service, encoded on first use."""
+    """A directive for the agents of a service, encoded on first use.
+
+    ``relevant`` holds the fields that agents act on.
+    """
 
     __slots__ = ("directive", "relevant", "_encoded")
 
@@ -49,11 +57,13 @@
         Returns the Directive for the agents of a service's endpoints, None if there
         is none yet.
     on_entry_hosts : callable
-        Called with an agent's address and the entry hosts that it sees.
+        Called with an agent's address and the addresses of the entry hosts that this
+        agent reports.
     suspects : PoisonRequestTracker
         Exchanges evidence of poison requests with agents.
     earliest_arrival : callable, default=boottime_clock
-        Returns a lower bound of the arrival time of data that is read now.
+        Returns a lower bound of the arrival time of data that is read now, which may
+        have waited in the socket buffer while this process was stalled.
     """
 
     __slots__ = (
@@ -143,12 +153,12 @@
             self._send_if_changed(address, link, directive_by_service[service])
 
     def set_followed(self, followed):
-        """Tell agents which of them should report each change of their load.
+        """Tell each agent whether to report every change of its load to this host.
 
         Parameters
         ----------
         followed : frozenset of str
-            Addresses of the endpoints whose load is followed.
+            Addresses of the endpoints whose agents should; others report less often.
         """
         self._followed_addresses = followed
         for address, link in self._link_by_address.items():
@@ -163,7 +173,7 @@
         if self._followed_addresses is None:
             return
         follows = address in self._followed_addresses
-        # An agent reports each change by default.
+        # Until it is told otherwise, an agent reports each change.
         if self._sent_follows_by_address.get(address, True) != follows:
             self._sent_follows_by_address[address] = follows
             link.send(Frame(follows=follows))
@@ -183,9 +193,9 @@
         directive = self._directive_for(service)
         if directive is None:
             return None
-        # The list of endpoints changes whenever an engine has loaded weights. Links
-        # have little bandwidth, so agents are only sent changes of the fields that they
-        # act on.
+        # The directive lists the endpoints, and their entries change whenever an engine
+        # has loaded weights. Links have little bandwidth, so the directive is only sent
+        # again if a field that agents act on has changed.
         relevant = _relevant_fields(directive)
         known = self._relevant_by_service.get(service)
         if known == relevant:
@@ -222,8 +232,8 @@
     async def _serve_link(self, address, link, closed):
         self._link_by_address[address] = link
         self._log.change("agent_connected", agent=address)
-        # Sent first, since directives require a configuration: the agent replies with
-        # the neighbours from which the configuration can be read.
+        # Sent first: the agent replies with the addresses of other entry hosts, from
+        # which this host can read the configuration that directives are made from.
         link.send(Frame(entry_domain=self._failure_domain))
         self._send_directive(address, link)
         self._send_follows(address, link)
@@ -295,8 +305,8 @@
 def _slowdown_factor(reported):
     """Return the slowdown factor that an engine reported, 1 if missing or invalid.
 
-    Comparisons with NaN are always false, so with a NaN requests would be placed or
-    refused arbitrarily.
+    Comparisons with NaN are always false, so a NaN would cause requests to be placed
+    or refused arbitrarily.
     """
     is_known = reported is not None and math.isfinite(reported) and reported > 0
     return reported if is_known else 1.0
--- a/hawthornspoke/relay/_budgets.py
+++ b/hawthornspoke/relay/_budgets.py
@@ -2,12 +2,13 @@
 
 from hawthornspoke.retries import RetryBudget
 
-#: Number of entry hosts assumed to share the retry reserve until an agent reports it.
+#: Number of entry hosts that is assumed until an agent reports it. Each host gets an
+#: equal part of ``RelaySettings.retry_reserve``.
 ASSUMED_ENTRY_HOSTS = 20
 
 
 class RetryBudgets:
-    """Retry budgets by service.
+    """This host's retry budget for each service.
 
     Parameters
     ----------
--- a/hawthornspoke/relay/_contact.py
+++ b/hawthornspoke/relay/_contact.py
@@ -1,4 +1,7 @@
-"""State machine for the age of the last confirmation from the platform."""
+"""State machine for the age of the last confirmation from the platform.
+
+Each response of the platform confirms that this host's configuration was current.
+"""
 
 from dataclasses import dataclass
 
@@ -61,9 +64,9 @@
     Parameters
     ----------
     keys_valid_for : float, default=4.6
-        Seconds after a confirmation for which keys are trusted. Revocations take
-        effect within 5 s, and a request needs some time from the check to the
-        endpoint.
+        Seconds after a confirmation for which keys are trusted. Revocations have to
+        take effect within 5 s; the rest is for the time that a request needs from the
+        check of its key to the endpoint.
     changes_bind_after : float, default=2.0
         Seconds within which a change of the configuration must take effect.
 
--- a/hawthornspoke/relay/_context.py
+++ b/hawthornspoke/relay/_context.py
@@ -26,7 +26,8 @@
     resend_deadline : float
         Time after which the request is not sent again, unless its stream has started.
     is_caller_retry : bool
-        Whether the caller made an earlier attempt, judged by its shorter deadline.
+        Whether the request seems to repeat an earlier one of the caller: its deadline
+        is shorter than the longest one seen on its route.
     tried : list of str
         Ids of the endpoints selected so far.
     sent, resumed : int
--- a/hawthornspoke/relay/_encoding.py
+++ b/hawthornspoke/relay/_encoding.py
@@ -2,10 +2,12 @@
 
 from hawthornspoke.httpio import encode_request
 
-#: Seconds reserved for returning the response to the caller.
+#: Seconds reserved for returning the response to the caller; endpoints get a deadline
+#: that is earlier by this.
 RESPONSE_RETURN_TIME = 0.005
 
-#: Wire priority levels per configured priority, and the least urgent wire level.
+#: A configured priority is multiplied by PRIORITY_STEP before it is sent, so that late
+#: requests can be sent one level lower; LOWEST_PRIORITY is the least urgent level.
 PRIORITY_STEP = 2
 LOWEST_PRIORITY = 9
 
--- a/hawthornspoke/relay/_events.py
+++ b/hawthornspoke/relay/_events.py
@@ -35,7 +35,8 @@
         Returns
         -------
         bytes
-            Nothing after an event that is out of order; ``error`` holds the reason.
+            The events before the first invalid one, which has no id or is out of order;
+            ``error`` then holds the reason.
         """
         if self.error:
             return b""
--- a/hawthornspoke/relay/_forward.py
+++ b/hawthornspoke/relay/_forward.py
@@ -12,7 +12,8 @@
 )
 from hawthornspoke.relay._try import NOT_RUN
 
-#: Response timeout of a stream, as a multiple of the expected time to first token.
+#: Response timeout of a stream, as a multiple of the expected time to first token; it
+#: is at least ``STREAM_READ_TIMEOUT``.
 EXPECTED_TIME_FACTOR = 3.0
 
 #: Share of the remaining time of a repeatable request without a stream that its first
@@ -21,7 +22,7 @@
 
 
 class Forwarder:
-    """Runs the attempts of requests.
+    """Sends requests to one endpoint after another until one responds.
 
     Parameters
     ----------
@@ -124,7 +125,7 @@
             head.status in SUCCESS_STATUSES
             and head.get(self._header_names.seal) is None
         ):
-            # The response is from another server that now listens at the address.
+            # Endpoints seal every success, so another server now has the address.
             attempt.fail()
             context.last_reason = "the response has no seal"
             return False
--- a/hawthornspoke/relay/_handler.py
+++ b/hawthornspoke/relay/_handler.py
@@ -9,12 +9,12 @@
 from hawthornspoke.relay._context import RequestContext
 
 #: Assumed variation in milliseconds of the deadlines that callers of a route give their
-#: first attempts. If a deadline is shorter than the longest one by more than this, the
-#: caller has spent the difference on an earlier attempt.
+#: first attempts. If a deadline is shorter than the route's longest one by more than
+#: this, the caller is assumed to have spent the difference on an earlier attempt.
 DEADLINE_JITTER_MS = 150
 
-#: Deadline in seconds of a request that gives none. It is also taken into account for
-#: the longest deadline of the route.
+#: Deadline in seconds of a request that gives none. It counts like a given one when the
+#: longest deadline of a route is determined.
 ASSUMED_DEADLINE = 30.0
 
 #: Minimum seconds for which the caller of a stream still waits if its request is sent
@@ -22,7 +22,7 @@
 #: event takes about 0.2 s.
 MIN_RESEND_TIME = 0.7
 
-#: Retry-After in seconds while this host shuts down; callers then reach another one.
+#: Retry-After in seconds while this host shuts down; the retry reaches another host.
 SHUTDOWN_RETRY_AFTER = 0.05
 
 
--- a/hawthornspoke/relay/_process.py
+++ b/hawthornspoke/relay/_process.py
@@ -320,8 +320,8 @@
             before, reader = reader, self.neighbours.reader()
             if reader != before:
                 self.log.change("reader", peer=reader, before=before)
-                # Only a host that reads the platform itself lists the endpoints in its
-                # directives.
+                # ``reader`` is the host through which this one reads the platform, None
+                # if it reads directly; only then do its directives list the endpoints.
                 self.agents.send_directives()
             update = EntryHostsUpdated(
                 near=self.neighbours.readers.host_count(),
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -87,8 +87,9 @@
         failure = await attempt.connect()
         if failure is not None:
             return failure
-        # There is no await from here to the write. Encoding takes time and depends on
-        # nothing that the recheck decides, so it comes first.
+        # There is no await from here to the write, so the recheck still holds when the
+        # bytes are written. Encoding takes time and doesn't depend on the recheck, so
+        # it comes first.
         data = self._encoder.encode(
             context, attempt.placement, last_event=last_event, version=version
         )
@@ -112,13 +113,13 @@
             return failure
         self._suspects.add_attempt(context.fingerprint, attempt)
         context.sent += 1
-        # From here on the endpoint may run the request, even if it never responds
-        # before the deadline; only an explicit refusal by the endpoint clears this.
+        # From here on the endpoint may run the request, even if no response
+        # arrives before the deadline; only an explicit refusal by it clears the flag.
         context.may_have_run = True
         return None
 
     async def wait_for_probes(self, context):
-        """Wait for the endpoint probes that decide on retrying a failed request."""
+        """Wait for probes that show whether a failed request crashed endpoints."""
         await self._suspects.wait_for_probes(context.fingerprint)
 
     def _on_connection_broken(self, context, attempt):
--- a/hawthornspoke/relay/_settings.py
+++ b/hawthornspoke/relay/_settings.py
@@ -38,7 +38,8 @@
     retry_ratio : float, default=0.1
         Retries allowed per successful request.
     retry_reserve : float, default=80.0
-        Initial retry budget per service, shared by all entry hosts.
+        Maximum and initial number of retries in the budget of a service, divided
+        equally among all entry hosts.
     """
 
     __slots__ = (
--- a/hawthornspoke/relay/_sharing.py
+++ b/hawthornspoke/relay/_sharing.py
@@ -1,4 +1,8 @@
-"""Sends evidence of poison requests to agents, which combine it."""
+"""Sends evidence of poison requests to agents, which combine it.
+
+A poison request crashes the endpoints that run it. Evidence is that a request was
+running at an endpoint when the endpoint's process ended.
+"""
 
 from hawthornspoke.base import monotonic, rendezvous_order
 from hawthornspoke.protocol import Frame
@@ -32,7 +36,7 @@
         self._failure_domain_at = failure_domain_at
         self._link_by_address = {}
         self._domain_by_address = {}
-        # Agents at the last assignment of evidence.
+        # Failure domains of the agents among which ``rebalance`` last divided evidence.
         self._assigned_domain_by_address = {}
 
     def add_agent(self, address, link):
@@ -67,7 +71,7 @@
             self._send(address, outgoing)
 
     def rebalance(self):
-        """Send agents the evidence that a change of the agents assigned to them."""
+        """Send evidence that is assigned to other agents since agents came or left."""
         if self._domain_by_address == self._assigned_domain_by_address:
             return
         items = self._quarantine.evidence(now=monotonic())
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -149,15 +149,15 @@
     def on_declared(
         self, declared, *, written_at=UNKNOWN_TIME, known_until=UNKNOWN_TIME
     ):
-        """Apply declared weights.
+        """Apply the declaration of a weights version, after which older ones expire.
 
         Parameters
         ----------
         declared : DeclaredWeights
         written_at : float, default=UNKNOWN_TIME
-            Time on the boot-time clock before which they were not declared.
+            Lower bound of the time of the declaration, on the boot-time clock.
         known_until : float, default=UNKNOWN_TIME
-            Time on the boot-time clock up to which all declarations were known.
+            Time up to which this host knew all declarations, on the boot-time clock.
         """
         before = self._fleet.declared.latest_version(declared.model)
         message = WeightsDeclared(
@@ -179,14 +179,14 @@
         self.agents.send_directives()
 
     def on_declaration_dates(self, model, earliest_times):
-        """Apply declaration times of versions that were read without one.
+        """Apply the times of declarations that were first read without a time.
 
         Parameters
         ----------
         model : str
         earliest_times : tuple of (int, float)
-            Versions and the times on the boot-time clock before which they were not
-            declared.
+            Versions, and lower bounds of their declaration times on the boot-time
+            clock.
         """
         self._fleet.step(
             DeclarationDatesUpdated(model=model, earliest_times=earliest_times),
@@ -216,7 +216,10 @@
         )
 
     def directive_for(self, service):
-        """Return the directive for the agents of a service, None if there is none."""
+        """Return the directive for the agents of a service.
+
+        None before the configuration is known, and for services without weights.
+        """
         engine = self._engine_by_service().get(service)
         if engine is None:
             return None
--- a/hawthornspoke/relay/_streams.py
+++ b/hawthornspoke/relay/_streams.py
@@ -5,7 +5,7 @@
 from hawthornspoke.base import Failure, monotonic
 from hawthornspoke.relay._events import EventSplitter
 
-#: Seconds without data from an endpoint after which a repeatable stream is tried or
+#: Seconds without data from an endpoint after which a repeatable stream is restarted or
 #: resumed at another one. A healthy engine sends its first token within some hundred
 #: milliseconds and an event every 50 to 150 ms; callers abandon a stream that sends
 #: nothing for 2.4 s.
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -1,4 +1,8 @@
-"""Detection and quarantine of poison requests, which crash endpoints."""
+"""Detection and quarantine of poison requests, which crash endpoints.
+
+Evidence against a request is that it was running at an endpoint when the endpoint's
+process ended. Enough of it puts the request into quarantine: no endpoint gets it.
+"""
 
 import asyncio
 import collections
@@ -132,8 +136,9 @@
     async def wait_for_probes(self, fingerprint):
         """Wait until it is known which endpoints a suspected request has crashed.
 
-        Otherwise the request would be sent to another endpoint in the meantime. A
-        request with one broken connection and no other evidence doesn't wait.
+        Otherwise it would be sent to another endpoint in the meantime and might crash
+        that one as well. A request with one broken connection and no other evidence
+        doesn't wait.
 
         Parameters
         ----------
@@ -241,7 +246,10 @@
 
 
 def _incarnation_id(placement):
-    """Return an id of an endpoint's incarnation that is the same on all hosts."""
+    """Return an id of one incarnation (process run) of an endpoint.
+
+    It is the same on all hosts, so that their evidence can be combined.
+    """
     started_ms = placement.incarnation.started_ms
     return (
         placement.endpoint_id
--- a/hawthornspoke/relay/_timers.py
+++ b/hawthornspoke/relay/_timers.py
@@ -14,9 +14,9 @@
 
     The event loop's timers use the monotonic clock, which stops during a suspension.
     After a suspension of 5 s all timeouts fired 5 s late: callers waited beyond their
-    deadlines, and requests started on old weights after their version bound. So the
-    offset between the clocks is checked regularly, and pending timeouts are
-    rescheduled when it has changed.
+    deadlines, and requests started on old weights after the version bound, from which
+    only newer weights may start any. So the offset between the clocks is checked
+    regularly, and pending timeouts are rescheduled when it has changed.
 
     Parameters
     ----------
--- a/hawthornspoke/relay/_try.py
+++ b/hawthornspoke/relay/_try.py
@@ -28,7 +28,8 @@
     header_names : HeaderNames
     timers : Timers
     on_broken : callable
-        Called with the attempt if the endpoint closed the connection early.
+        Called with the attempt if the endpoint closed the connection before the end of
+        the response.
     on_ended : callable
         Called with the attempt when it has ended.
     """
@@ -90,6 +91,7 @@
         ----------
         data : bytes
         expected_id : str
+            Request id that the response has to echo.
         prompt_tokens : int, default=0
 
         Returns
@@ -99,7 +101,7 @@
         """
         if self.connection.is_socket_closed():
             # The connection was closed between its acquisition and this write. Bytes
-            # written to it would be counted as sent.
+            # written to it would be lost, but the request would count as sent.
             self.abort()
             return CONNECTION_LOST
         self.sent_at = monotonic()
@@ -156,8 +158,9 @@
         """Return the time by which the request must have started, None if unlimited."""
         if self.placement.start_deadline is None:
             return None
-        # Converts the deadline from the monotonic clock to the clock of the timers. It
-        # was computed just before sending, so the remaining time is the same on both.
+        # The deadline is on the monotonic clock, which stops while the host is
+        # suspended; the timers' clock doesn't. The deadline was computed just before
+        # sending: without a suspension since, the same time remains on both clocks.
         return self._timers.clock() + self.placement.start_deadline - monotonic()
 
     def _withdraw_unstarted(self):
