--- a/hawthornspoke/placing/_avoidance.py
+++ b/hawthornspoke/placing/_avoidance.py
@@ -1,7 +1,7 @@
 """Outlier ejection: which endpoints get no requests for a while."""
 
-#: Failure rate above which an endpoint is ejected. Services whose own errors reach one
-#: response in seven stay well below it.
+#: Failure rate above which an endpoint is ejected. Services that answer one request in
+#: seven with an error of their own stay well below it.
 EJECTION_FAILURE_RATE = 0.5
 
 #: Failure rate on readmission: two more failures eject the endpoint again.
@@ -16,21 +16,21 @@
 MAX_EJECTED_SHARE = 0.5
 
 #: Seconds without a report after which an engine is ejected: almost three report
-#: intervals. They differ between engines of the own failure domain and others, and
-#: between engines that this host follows (those of its subset) and the others, which
-#: report to it less often.
+#: intervals. NEAR is for engines of the own failure domain, FAR for those of others;
+#: UNFOLLOWED is for engines outside this host's ``Subset``, which report less often.
 REPORT_TIMEOUT_NEAR = 0.7
 REPORT_TIMEOUT_FAR = 5.0
 REPORT_TIMEOUT_NEAR_UNFOLLOWED = 2.8
 REPORT_TIMEOUT_FAR_UNFOLLOWED = 8.0
 
 #: Seconds after an engine was added to the subset by which its agent certainly knows
-#: that this host follows it, and has sent a report; before that, a missing report is no
-#: sign of failure.
+#: that it should report more often, and has done so; until then the longer timeouts of
+#: engines outside the subset apply.
 FOLLOW_SETTLING_TIME = 1.5
 
-#: Round-trip queueing delay in seconds at which an engine is ejected: the time within
-#: which first tokens are due. During a weights rollout 0.1 s are usual.
+#: Round-trip queueing delay in seconds, on the link of an engine's host, from which the
+#: engine is ejected: first tokens are due within this time, so all of them would be
+#: late. During a weights rollout 0.1 s are usual.
 MAX_LINK_DELAY = 0.4
 
 
@@ -56,7 +56,7 @@
 
 
 def without_ejected(endpoints, *, failure_domain, subset, now):
-    """Return the endpoints that aren't ejected; all if most of them would be.
+    """Return the endpoints that aren't ejected; all if less than half would be left.
 
     Parameters
     ----------
--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -19,8 +19,8 @@
 #: go to emptier engines and the last free slots stay available.
 OCCUPANCY_COST = 0.15
 
-#: Load per slot of a plain endpoint at which it gets no further requests: with a queue
-#: of four times its slots it sheds load.
+#: Requests per slot at which a plain endpoint (one without an engine) gets no more; it
+#: rejects requests itself once its queue is four times its slots.
 MAX_PLAIN_QUEUE = 3
 
 
@@ -168,9 +168,9 @@
     def select_engine(self, request, endpoints, engine, eligibility):
         """Return a Placement at one of the engines, or a Rejection.
 
-        The subset of this host is evaluated first, and the other engines only if none
-        in the subset responds in time: evaluating all engines took a third of an entry
-        host's CPU time.
+        The engines that this host prefers (its ``Subset``) are evaluated first, and the
+        others only if none of these responds in time: evaluating all engines took a
+        third of an entry host's CPU time.
 
         Parameters
         ----------
@@ -280,9 +280,9 @@
             and eligibility.allows(item, engine, request)
         ]
         candidates = self._candidates(selection, usable, near=near, in_subset=in_subset)
-        # Based on the estimated load rather than the reported one: just before the
-        # version bound, requests would otherwise be sent and withdrawn again, and their
-        # callers wouldn't know whether they had run.
+        # The forecasts are based on the estimated load. By the reported load, requests
+        # would be sent just before the engine's weights expire and be withdrawn again,
+        # and their callers wouldn't know whether they had run.
         valid = [
             item for item in candidates if item.forecast is not StartForecast.TOO_LATE
         ]
@@ -306,7 +306,8 @@
         arrival_rate = self._peer_traffic_of(request.service).arrival_rate(
             near=near, now=now
         )
-        # The other hosts send to both groups, those in the subset and those outside.
+        # The requests of the other hosts are assumed to spread evenly over the engines
+        # in this host's subset and those outside.
         subset = self.subset(request.service)
         share = subset.near_share if near else subset.far_share
         arrival_rate *= share if in_subset else 1.0 - share
--- a/hawthornspoke/placing/_directory.py
+++ b/hawthornspoke/placing/_directory.py
@@ -2,10 +2,11 @@
 
 from hawthornspoke.placing._endpoint import Endpoint
 
-#: Entries lapse unless they are renewed, which fails while the platform is unreachable.
-#: Seconds for which a lapsed entry stays in use, and seconds after the platform became
-#: reachable again within which a vanished entry counts as lapsed. Lapsed entries return
-#: within two seconds, and an endpoint that left serves for at least two more.
+#: Entries of the endpoint list lapse unless they are renewed, which fails while the
+#: platform is unreachable. An entry that vanishes within LAPSE_WINDOW seconds after the
+#: platform became reachable again may only have lapsed, and stays in use for
+#: LAPSE_GRACE_TIME seconds. Lapsed entries return within two seconds; if the endpoint
+#: did leave, no harm is done, since it still serves for at least two seconds.
 LAPSE_GRACE_TIME = 1.5
 LAPSE_WINDOW = 2.5
 
@@ -50,10 +51,10 @@
     def request_target(self, message):
         """Return the endpoint a request was sent to, None if it has restarted.
 
-        A request may end after the incarnation that it was sent to, by up to its
-        deadline. If it counted for the next incarnation, that one would be ejected for
-        failures of the previous one, and filled beyond its slots as if its own
-        requests had ended.
+        An incarnation is one run of an endpoint's process. A request may end after the
+        incarnation that it was sent to, by up to its deadline. If it counted for the
+        next one, that one would be ejected for failures of the previous one, and filled
+        beyond its slots as if its own requests had ended.
 
         Parameters
         ----------
--- a/hawthornspoke/placing/_endpoint.py
+++ b/hawthornspoke/placing/_endpoint.py
@@ -18,10 +18,10 @@
 class Endpoint:
     """An endpoint, its reported load and the outcomes of requests sent to it.
 
-    Apart from the two sources (``entry`` and ``state``) all state belongs to one
-    incarnation. A new incarnation under the same id starts without requests or
-    failures: with those of the previous one it would be ejected, or filled beyond
-    its slots.
+    ``entry`` comes from the platform's endpoint list and ``state`` from the agent's
+    last report. All else belongs to one incarnation, a run of the endpoint's process. A
+    new incarnation under the same id starts without requests or failures: with those
+    of the previous one it would be ejected, or filled beyond its slots.
 
     Parameters
     ----------
@@ -180,7 +180,7 @@
         ----------
         incarnation : Incarnation
             That of the request's Placement; unknown if none had been reported by then.
-            After a restart the requests of an unknown incarnation are over.
+            Once a restart was noticed, such requests belong to an earlier incarnation.
 
         Returns
         -------
@@ -253,7 +253,7 @@
         self.sent_since_report = 0
 
     def record_end(self):
-        """Record the end of a request of this host, reported in the load or not."""
+        """Record the end of a request of this host, included in the report or not."""
         self.own_in_flight = max(0, self.own_in_flight - 1)
         if self.sent_since_report:
             self.sent_since_report -= 1
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -262,7 +262,7 @@
         return [self._with_deadline(placement, engine, eligibility)]
 
     def followed_addresses(self):
-        """Return the addresses of the engines that should report frequently.
+        """Return the addresses of the engines in a subset, which report frequently.
 
         Returns
         -------
@@ -317,7 +317,10 @@
         return None if service is None else service.engine
 
     def _estimate_remote_prompts(self, endpoint, load, now):
-        """Add the estimated prompts of other hosts; call before storing the load."""
+        """Add the prompts sent by other hosts, estimated from the growth in load.
+
+        Must be called before the new load is stored.
+        """
         engine = self._engine_profile(endpoint)
         if engine is not None:
             endpoint.prefill_backlog.add_remote_requests(
--- a/hawthornspoke/placing/_incarnation_tracker.py
+++ b/hawthornspoke/placing/_incarnation_tracker.py
@@ -1,9 +1,12 @@
-"""Tracks an endpoint's current incarnation from two sources that may lag."""
+"""Tracks an endpoint's current incarnation from two sources that may lag.
+
+An incarnation is one run of the endpoint's process, identified by its start time.
+"""
 
 from hawthornspoke.catalog import UNKNOWN_START
 
 #: Earlier incarnations remembered for each source. Reports are late by seconds at
-#: most, and an endpoint takes at least one second to start.
+#: most, and an endpoint takes at least one second to start, so they name none older.
 MAX_EARLIER_INCARNATIONS = 4
 
 
--- a/hawthornspoke/placing/_load_estimate.py
+++ b/hawthornspoke/placing/_load_estimate.py
@@ -8,8 +8,8 @@
 
 import math
 
-#: Time constant in seconds of the request rate: long enough for a dozen requests of one
-#: host, short compared with a burst.
+#: Time constant in seconds of the averaged request rate: long enough for a dozen
+#: requests of one host, short compared with a burst.
 RATE_TIME_CONSTANT = 1.0
 
 #: Report age in seconds above which the estimate stops growing. Older reports come from
@@ -37,7 +37,9 @@
 
 
 class PeerTraffic:
-    """Request rate of the other entry hosts.
+    """Estimates the request rate of the other entry hosts.
+
+    Each of them is assumed to get as many requests as this host.
 
     Attributes
     ----------
@@ -64,8 +66,8 @@
     def arrival_rate(self, *, near, now):
         """Return the total requests per second of the other hosts.
 
-        Near engines get all requests of the hosts in their failure domain. Far engines
-        get overflow only, possibly from every host.
+        Near engines (those of the own failure domain) get all requests of its hosts.
+        Far engines get only overflow, possibly from every host.
 
         Parameters
         ----------
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -14,7 +14,7 @@
     entries : tuple of EndpointEntry
     contact_regained_at : float
         When the platform became reachable again; entries that vanish just then may
-        only have lapsed.
+        only have lapsed, since they couldn't be renewed before.
     """
 
     entries: tuple
@@ -82,21 +82,25 @@
     load : int
         Running and waiting requests.
     weights_version : int or None
+        Version loaded.
     layers : tuple of (int, int) or None
+        Range of the model's layers that are loaded, without its end.
     loading : bool
+        Whether the engine is loading weights and starts no requests meanwhile.
     pace : float
         Factor by which the engine is slower than usual.
     next_version : int or None
+        Version that the engine is going to serve next.
     next_ready_at : float or None
-        When that version is expected to be loaded and able to serve.
+        When ``next_version`` is expected to be loaded and able to serve.
     model : str
     declared : tuple of (int, float)
-        Versions and the earliest possible times of their declarations that the agent
-        knows, on the clock that includes suspended time.
+        Versions that the agent knows to be declared, and the earliest possible times of
+        their declarations on the clock that includes suspended time.
     link_delay : float
         Round-trip queueing delay in seconds on the link of its host.
     incarnation : Incarnation
-        Incarnation of the endpoint that the report describes.
+        Incarnation (process run) of the endpoint that the report describes.
     boottime_now : float or None, default=None
         Time of receipt on the clock that includes suspended time; None if it is the
         same as the monotonic clock.
@@ -242,7 +246,7 @@
     endpoint_id : str
     address : str
     load : int
-        Assumed load of the endpoint.
+        Number of requests assumed to be at the endpoint.
     report_age : float or None
         Age of the load report in seconds.
     expected : float
@@ -250,8 +254,8 @@
     weights_version : int or None
         Version that the endpoint is assumed to have.
     start_deadline : float or None
-        Time by which the request must have started, since the weights expire soon
-        after; None if no newer version is declared.
+        Time on the monotonic clock by which the request must have started, since the
+        weights expire soon after; None if no newer version is declared.
     incarnation : Incarnation
         Incarnation of the selected endpoint.
     """
--- a/hawthornspoke/placing/_predict.py
+++ b/hawthornspoke/placing/_predict.py
@@ -2,7 +2,8 @@
 
 #: Engine passes until the first event: on average half a pass until the running pass
 #: ends, since requests arrive at any moment of it, and the pass that generates the
-#: first token. Measured: 0.12 s with 2 to 11 running requests.
+#: first token. A pass takes ``steps_per_prefill`` decoding steps. Measured: 0.12 s with
+#: 2 to 11 running requests.
 PASSES_TO_FIRST_TOKEN = 1.5
 
 #: Seconds for the network round trip, and for the prefill of other prompts that share
@@ -60,9 +61,9 @@
     float
         Seconds.
     """
-    # The link delay counts here rather than as a reason for ejection: if weight
-    # transfers fill all links, none can be avoided, and without it requests that can't
-    # be on time would reach engines after their callers had left.
+    # The link delay counts here, since avoiding slow links doesn't help if weight
+    # transfers fill all of them. Without it, requests that can't be on time would be
+    # sent and reach engines after their callers had left.
     return (
         endpoint.link_delay
         + endpoint.prefill_backlog.remaining(now)
--- a/hawthornspoke/placing/_prefill_backlog.py
+++ b/hawthornspoke/placing/_prefill_backlog.py
@@ -10,8 +10,8 @@
 #: of this host may reach the engine only after the next report was made.
 IN_FLIGHT_ALLOWANCE = 1
 
-#: Interval between two reports in seconds above which it is too uncertain when the
-#: additional requests arrived.
+#: Interval between two reports in seconds above which growth in load is ignored, since
+#: it is too uncertain when the additional requests arrived.
 MAX_REPORT_INTERVAL = 1.0
 
 
--- a/hawthornspoke/placing/_rejection.py
+++ b/hawthornspoke/placing/_rejection.py
@@ -33,13 +33,13 @@
         return self._reject(request, "no_endpoint", NO_ENDPOINT_RETRY_AFTER)
 
     def no_weights(self, request, endpoints, now):
-        """Return a Rejection because no endpoint has eligible weights.
+        """Return a Rejection because no endpoint has weights that may be used.
 
         Parameters
         ----------
         request : PlacementRequest
         endpoints : list of Endpoint
-            Endpoints that may have eligible weights soon.
+            Endpoints that may have such weights soon.
         now : float
 
         Returns
--- a/hawthornspoke/placing/_subset.py
+++ b/hawthornspoke/placing/_subset.py
@@ -34,7 +34,7 @@
 WIDEN_COOLDOWN = 0.5
 NARROW_COOLDOWN = 4.0
 
-#: Requests a second below which the share of spilled requests isn't significant.
+#: Requests a second below which too few are counted for that share to be significant.
 MIN_REQUEST_RATE = 2.0
 
 
@@ -56,7 +56,8 @@
     added_at_by_id : dict of str to float
         When each engine in the subset was added to it, by engine id.
     near_share, far_share : float
-        Share of the subset among the engines of the own failure domain, and of others.
+        Fraction of the own failure domain's engines that are in the subset, and of the
+        engines of other failure domains.
     """
 
     __slots__ = (
@@ -116,7 +117,8 @@
         now : float
         """
         near, far = set(near), set(far)
-        # Called twice a second; both orders depend on the sets only.
+        # Called twice a second, usually with the same engines. The order in which they
+        # are given doesn't matter.
         if (near, far) == (set(self._near), set(self._far)):
             return
         self._near = tuple(rendezvous_order(key="ring", nodes=near))
--- a/hawthornspoke/placing/_weights_eligibility.py
+++ b/hawthornspoke/placing/_weights_eligibility.py
@@ -1,13 +1,13 @@
 """Decides which weights versions may start requests, and until when.
 
 Once ``version_bound`` seconds have passed since the declaration of a version, only this
-or a newer version may start requests. Withdrawal enforces this bound: a request that
-has not started ``WITHDRAW_MARGIN`` before the bound is withdrawn from the engine. Until
-then older weights serve all requests that are expected to start in time. Excluding them
-earlier left whole fleets idle for a second before each bound, with no newer weights
-ready. Older weights lose precedence ``version_margin`` seconds before the bound only if
-newer ones can serve the request as well: a request that starts later than expected
-would be withdrawn needlessly.
+or a newer version may start requests: at this bound, older versions expire. A request
+that was sent to older weights and hasn't started ``WITHDRAW_MARGIN`` seconds before the
+bound is withdrawn from the engine. Until then older weights serve all requests that are
+expected to start in time. Excluding them earlier left whole fleets idle for a second
+before each bound, with no newer weights ready. If newer weights can serve a request as
+well, they are preferred from ``version_margin`` seconds before the bound: on older ones
+a request that starts later than expected would be withdrawn needlessly.
 """
 
 import enum
@@ -20,8 +20,8 @@
 #: reach the engine, and timers of a busy process fire 0.1 s late.
 WITHDRAW_MARGIN = 0.4
 
-#: Margin for engines of other failure domains: links between regions carry weights and
-#: configurations too, and their queueing delay isn't measured.
+#: The same margin for engines of other failure domains: links between failure domains
+#: carry weights and configurations too, and their queueing delay isn't measured.
 WITHDRAW_MARGIN_FAR = 0.6
 
 #: Seconds by which timers of a busy process fire late.
@@ -31,12 +31,13 @@
 #: start on an engine of usual speed.
 START_FACTOR = 1.5
 
-#: Increase of the factor per unit of slowdown, which may have grown since the report.
-#: With a slowdown of 4, 1.05 s were measured where 0.4 s were expected.
+#: Increase of START_FACTOR per unit of the engine's slowdown, which may have grown
+#: since it was reported. With a slowdown of 4, 1.05 s were measured
+#: where 0.4 s were expected.
 START_FACTOR_SLOWDOWN = 0.6
 
-#: The same multiple if newer weights can serve the request instead. It is larger, so
-#: that older weights are used only if the request starts in time almost certainly.
+#: Replaces START_FACTOR if newer weights can serve the request as well. It is larger,
+#: so that older weights are used only if the request almost certainly starts in time.
 START_FACTOR_SURE = 2.0
 
 
@@ -180,9 +181,9 @@
     def _is_newest(self, endpoint, engine):
         """Return whether no newer version limits the use of an engine's weights.
 
-        This holds for all engines except for the seconds of a rollout, so it is checked
-        before the time to first token is computed. Versions known from agents only
-        count as well: they take effect at the same time.
+        This holds for all engines except during the seconds of a rollout, so it is
+        checked before the time to first token is computed. Declarations known only from
+        agents' reports count as well, since they take effect at the same time.
         """
         version = endpoint.weights_version
         if not engine.layers or version is None:
