--- a/hawthornspoke/quarantine/_evidence.py
+++ b/hawthornspoke/quarantine/_evidence.py
@@ -8,7 +8,7 @@
 #: Lifetime of evidence in seconds.
 EVIDENCE_LIFETIME = 900.0
 
-#: Maximum number of requests with evidence, and of endpoint ends for each.
+#: Maximum number of requests with evidence, and of endpoint ends recorded for each.
 MAX_REQUESTS = 512
 MAX_ENDS_PER_REQUEST = 8
 
@@ -22,11 +22,12 @@
     fingerprint : str
         Of the request.
     incarnation_id : str
-        Id of the endpoint, with the start time of its incarnation if that is known.
+        Id of one incarnation (process run) of the endpoint: the endpoint's id, and the
+        start time of the process if it is known.
     deadline : float
         Expiry on the monotonic clock.
     cleared : bool, default=False
-        Whether the request is known not to be the cause.
+        Whether the request is known not to have caused this end.
     """
 
     fingerprint: str
@@ -72,7 +73,7 @@
         if known is None and len(item_by_incarnation) >= MAX_ENDS_PER_REQUEST:
             return False
         item_by_incarnation[item.incarnation_id] = item
-        # Requests are ordered by their latest evidence.
+        # Inserted again, so that requests are ordered by their latest evidence.
         self._items_by_fingerprint.pop(item.fingerprint, None)
         self._items_by_fingerprint[item.fingerprint] = item_by_incarnation
         self._evict()
@@ -133,8 +134,9 @@
         by_fingerprint = self._items_by_fingerprint
         if len(by_fingerprint) <= MAX_REQUESTS:
             return
-        # Many requests run alongside one that crashes endpoints: each is seen at one
-        # end, and together they must not evict the one that was seen at several.
+        # Many requests run alongside one that crashes endpoints. Most of them have
+        # evidence of one end only, and together they must not evict the cause, which
+        # has evidence of several.
         oldest = next(iter(by_fingerprint))
         seen_at_one_end = (
             name for name, items in by_fingerprint.items() if len(items) == 1
--- a/hawthornspoke/quarantine/_exchange.py
+++ b/hawthornspoke/quarantine/_exchange.py
@@ -1,4 +1,7 @@
-"""State machine of agents through which entry hosts exchange evidence."""
+"""State machine of agents through which entry hosts exchange evidence.
+
+Evidence against a request is that it was running at an endpoint that ended.
+"""
 
 from hawthornspoke.base import MACHINES, Machine
 from hawthornspoke.quarantine._evidence import EvidenceStore
@@ -14,7 +17,11 @@
 
 @MACHINES.register("evidence_exchange")
 class EvidenceExchange(Machine):
-    """Merges evidence of entry hosts, each of which gets some repeats of a request."""
+    """Merges the evidence of all entry hosts.
+
+    A request is repeated at different entry hosts, so each of them sees only some of
+    the ends of endpoints that ran it.
+    """
 
     __slots__ = ("_store",)
 
--- a/hawthornspoke/quarantine/_quarantine.py
+++ b/hawthornspoke/quarantine/_quarantine.py
@@ -18,15 +18,17 @@
 #: Messages that the machine handles.
 MESSAGES = (RequestCompleted, EndpointEnded, EvidenceReceived)
 
-#: A request isn't quarantined while another request that ran at the same ends may be
-#: the cause. Number of ends beyond the threshold at which it is quarantined anyway.
+#: A request isn't quarantined while another request that was running when the same
+#: endpoints ended may be the cause. Once it has this many ends more than the threshold,
+#: it is quarantined anyway.
 SHARED_ENDS_MARGIN = 2
 
 #: Window in seconds within which endpoint ends count as one event.
 SIMULTANEOUS_WINDOW = 0.1
 
 #: Number of endpoints that end together, and their share of the endpoints in use by a
-#: host, from which the cause isn't a request: no request runs at that many endpoints.
+#: host, from which the cause is assumed not to be a request: no request runs at that
+#: many endpoints at once.
 MIN_MASS_ENDS = 2
 MIN_MASS_SHARE = 0.75
 
@@ -43,7 +45,7 @@
 
 @MACHINES.register("quarantine")
 class Quarantine(Machine):
-    """Separates requests that crash endpoints from those that ran alongside.
+    """Separates requests that crash endpoints from those that ran beside them.
 
     A "query of death" may crash each process that starts to run it. The caller repeats
     it under new ids and at other hosts, so that more and more endpoints are lost. A
@@ -57,11 +59,15 @@
 
     Notes
     -----
-    A request that an endpoint completes is cleared. If most endpoints in use end at
-    once, so are the requests that ran at some of them only, unless they were one end
-    short of the threshold. An end doesn't count against a request if another request
-    that ran there has at least as many ends: the cause gets one more as soon as it is
-    sent again, and is refused at ``SHARED_ENDS_MARGIN`` more in any case.
+    The ends of a request are those of endpoints at which it was running. A request that
+    an endpoint completes is cleared: its earlier ends no longer count. If most
+    endpoints in use end at once, these ends don't count against requests that ran at
+    only some of them, unless a request had been one end short of the threshold before.
+
+    An end doesn't count against a request if another request that ran there has at
+    least as many ends. The one that is the cause gets another end as soon as it is sent
+    again; with ``SHARED_ENDS_MARGIN`` ends above the threshold, a request is refused in
+    any case.
     """
 
     __slots__ = (
@@ -256,7 +262,7 @@
         )
 
     def _clear_mass_failure(self, now):
-        """Return evidence that clears requests which ran at some of the ends only."""
+        """Return items that clear requests which ran at only some of the endpoints."""
         recent_ends = self._recent_end_by_incarnation
         return [
             Evidence(
@@ -272,7 +278,7 @@
         ]
 
     def _is_near_threshold(self, fingerprint, now):
-        """Return whether the ends before this event are one short of the threshold."""
+        """Return whether a request was one end short of the threshold already."""
         suspected_incarnations = self._store.suspected_incarnations(
             fingerprint, now=now
         )
@@ -282,7 +288,7 @@
         )
 
     def _count_absences(self, fingerprint):
-        """Return the number of recent ends at which a request wasn't running."""
+        """Return the number of recently ended endpoints that didn't run a request."""
         ends = self._recent_end_by_incarnation.values()
         return sum(fingerprint not in end.fingerprints for end in ends)
 
--- a/hawthornspoke/quarantine/_wire.py
+++ b/hawthornspoke/quarantine/_wire.py
@@ -3,7 +3,7 @@
 from hawthornspoke.protocol import EndEvidence
 from hawthornspoke.quarantine._evidence import EVIDENCE_LIFETIME, Evidence
 
-#: Maximum length of a fingerprint or an incarnation.
+#: Maximum length of a received fingerprint or incarnation id; longer ones are invalid.
 MAX_LENGTH = 200
 
 
