--- a/hawthornspoke/routing/__init__.py
+++ b/hawthornspoke/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Selection of the endpoint for a request."""
+"""Selection of the endpoint for a request, by exchangeable policies."""
 
 from hawthornspoke.routing._candidates import Candidate, RequestTraits
 from hawthornspoke.routing._policies import POLICIES
--- a/hawthornspoke/routing/_candidates.py
+++ b/hawthornspoke/routing/_candidates.py
@@ -38,7 +38,8 @@
     ----------
     service : str
     prefix : str
-        Hash of the start of the prompt, empty without a prompt.
+        Hash of the start of the prompt, empty without a prompt. Requests that share
+        it profit from an endpoint that caches this prefix.
     """
 
     service: str
--- a/hawthornspoke/routing/_policies.py
+++ b/hawthornspoke/routing/_policies.py
@@ -8,9 +8,9 @@
 
 POLICIES = Registry(kind="routing policy")
 
-#: Load per slot by which the endpoint that holds a prefix may exceed the mean before
-#: affinity yields: a cached prompt saves about one prefill, and queueing behind a full
-#: batch costs more than that.
+#: Load per slot by which the endpoint that likely caches a prompt's prefix may exceed
+#: the mean before another one is selected: a cached prompt saves about one prefill, and
+#: queueing behind a full batch costs more than that.
 AFFINITY_SLACK = 0.5
 
 #: Load per slot from which an endpoint counts as full; once all endpoints of the own
@@ -91,11 +91,12 @@
 
     Notes
     -----
-    Cache events are delayed and incomplete, so affinity uses a rendezvous hash of the
-    prefix: an entry host that received no event still sends a prefix where the others
-    send it. Affinity yields under load: of the first two endpoints in hash order, the
-    first that is within ``AFFINITY_SLACK`` of the mean load and isn't slow gets the
-    request; if neither is, the better of two random candidates gets it.
+    Endpoints' reports of what they cache are delayed and incomplete, so endpoints are
+    ordered by a rendezvous hash of the prefix instead: all entry hosts prefer the same
+    endpoint for a prefix, even if they received no report. The preference depends on
+    the load: of the first two endpoints in hash order, the first that is within
+    ``AFFINITY_SLACK`` of the mean load and isn't slow gets the request; if neither is,
+    the better of two random candidates gets it.
     """
 
     __slots__ = ("_fallback",)
--- a/hawthornspoke/routing/_router.py
+++ b/hawthornspoke/routing/_router.py
@@ -40,7 +40,7 @@
     ----------
     traits : RequestTraits
     endpoints : list of MemberView
-        Endpoints with the right weights that accept requests.
+        Endpoints that accept requests and have weights that may serve this one.
     failure_domain : str
         Of this entry host.
     excluded : frozenset of str
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AttemptEnded:
-    """An attempt ended.
+    """An attempt to run a request at an endpoint ended.
 
     Parameters
     ----------
@@ -119,7 +119,8 @@
     policy : str, default="two_choices"
         Name in the registry of routing policies.
     load_half_life : float, default=2.0
-        Half-life of load reports in seconds.
+        Seconds after which the part of a reported load that is due to other entry hosts
+        counts half; see ``load``.
     base_ejection_time : float, default=1.0
         Seconds for which an endpoint is ejected after ``ejection_threshold``
         consecutive failures; doubled with each further failure.
@@ -195,7 +196,7 @@
         endpoint.reported_load = message.running + message.queued
         endpoint.slots = max(1, message.slots)
         endpoint.reported_at = now - message.age
-        # The report excludes requests sent since and includes those that ended since.
+        # Requests sent or ended from now on aren't reflected in this report.
         endpoint.sent_since_report = 0
         endpoint.ended_since_report = 0
         return []
@@ -258,7 +259,7 @@
         return []
 
     def forget(self, node):
-        """Remove the state of a node that left.
+        """Remove the state of a node that left, unless it still runs requests.
 
         Parameters
         ----------
@@ -289,8 +290,8 @@
         -------
         float
             The reported load, corrected by the requests that this entry host sent and
-            completed since. With the age of the report, the estimate decays to this
-            host's in-flight requests.
+            completed since. The older the report, the closer the estimate is to this
+            host's in-flight requests, which it knows exactly.
         """
         endpoint = self._endpoint(node)
         if endpoint.reported_at is None:
