--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -1,4 +1,7 @@
-"""Rate limits divided among entry hosts by their gossiped demand."""
+"""Rate limits divided among entry hosts by their gossiped demand.
+
+The demand of a host is the rate of the requests that it receives for an organisation.
+"""
 
 from dataclasses import dataclass
 
@@ -10,7 +13,8 @@
 #: with new demand can admit requests before the others know of it.
 EQUAL_SHARE = 0.2
 
-#: Initial tokens of a host's bucket, as seconds at the rate of its share.
+#: Initial tokens of a host's bucket: those that its share of the limit earns in this
+#: many seconds.
 INITIAL_FILL_SECONDS = 0.25
 
 #: Time constant in seconds of the demand average.
@@ -35,13 +39,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ClaimantsUpdated:
-    """The known claimants of a share, and how many entry hosts each represents.
+    """The known claimants of shares of a limit, and the entry hosts of each.
 
     Parameters
     ----------
     hosts_by_claimant : dict of str to int
-        Excluding this host. A claimant is an entry host of the own failure domain, or
-        another failure domain as a whole.
+        Number of entry hosts that each claimant represents, without this host. A
+        claimant is an entry host of the own failure domain (1), or another failure
+        domain as a whole.
     """
 
     hosts_by_claimant: dict
@@ -57,7 +62,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class AdmissionRequest:
-    """Asks for admission of a request of an organisation."""
+    """Asks whether a request of an organisation is within its limit."""
 
     organisation: str
 
@@ -104,11 +109,12 @@
 
     Notes
     -----
-    Claimants with current demand share a limit by demand. For each other claimant,
-    which may be dead or partitioned, its equal share is reserved: it may still admit
-    requests, and by the same rule it admits no more than that. A partition therefore
-    lowers utilization a little, and the sum over all hosts stays near the limit
-    without shared state at request time.
+    Claimants whose demand was reported recently share a limit by demand. A claimant
+    that has been silent may be dead or partitioned. In the latter case it still admits
+    requests, but by the same rule no more than an equal part of the limit for each of
+    its hosts, so this part is left to it. A partition therefore lowers utilization a
+    little, and the sum over all hosts stays near the limit without shared state at
+    request time.
     """
 
     __slots__ = (
