--- a/hawthornspoke/retries/_budget.py
+++ b/hawthornspoke/retries/_budget.py
@@ -25,7 +25,7 @@
     was_run : bool
         False only if the attempt is known not to have run.
     deadline : float
-        Of the request.
+        Deadline of the request on the monotonic clock.
     """
 
     repeatable: bool
@@ -59,8 +59,9 @@
     Notes
     -----
     If endpoints fail because they are overloaded, retries add to the load that makes
-    them fail, and the overload persists after its cause is gone. The budget limits the
-    load sent to ``1 + ratio`` times the load received.
+    them fail, and the overload persists after its cause is gone. Once the reserve is
+    used up, the budget limits the requests sent to at most ``1 + ratio`` times those
+    received.
     """
 
     __slots__ = ("ratio", "reserve", "tokens", "allowed", "denied_by_code")
