--- a/hawthornspoke/base/_clock.py
+++ b/hawthornspoke/base/_clock.py
@@ -25,8 +25,8 @@
     -------
     float
         Used for the age of received information, and for deadlines set by other
-        processes, which don't extend them while this host is suspended. Timers of the
-        event loop use the monotonic clock instead.
+        processes: these don't wait longer because this host was suspended. Timers of
+        the event loop use the monotonic clock instead.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/hawthornspoke/base/_digest.py
+++ b/hawthornspoke/base/_digest.py
@@ -36,7 +36,8 @@
     Returns
     -------
     list of str
-        The nodes, the owner first. Removing a node moves only its own keys.
+        The nodes, the one that the key is assigned to first. Removing a node reassigns
+        only the keys that were assigned to it.
 
     References
     ----------
--- a/hawthornspoke/base/_failure.py
+++ b/hawthornspoke/base/_failure.py
@@ -1,11 +1,12 @@
-"""Errors as return values: sentinels with a reason."""
+"""Errors that functions return instead of raising them."""
 
 
 class Failure:
     """A failed outcome, compared by its code.
 
-    Modules define one sentinel per kind of failure and return copies with a specific
-    reason from :meth:`with_reason`.
+    Modules define one constant per kind of failure and return copies of it with a
+    specific reason, made by :meth:`with_reason`. A copy equals the constant. A failure
+    is false in a boolean context.
 
     Parameters
     ----------
--- a/hawthornspoke/base/_machine.py
+++ b/hawthornspoke/base/_machine.py
@@ -1,4 +1,4 @@
-"""Pure state machines, in which all decisions are made."""
+"""Base class of the state machines that make the decisions, without any I/O."""
 
 from hawthornspoke.base._registry import Registry
 from hawthornspoke.base._validation import check_params
@@ -17,8 +17,8 @@
 
     Notes
     -----
-    The handler is ``on_`` and the message's class name in snake case: ``SetLive``
-    is handled by ``on_set_live``.
+    The handler of a message is the method named ``on_`` and the message's class name
+    in snake case: ``SetLive`` is handled by ``on_set_live``.
     """
 
     __slots__ = ()
--- a/hawthornspoke/base/_partition.py
+++ b/hawthornspoke/base/_partition.py
@@ -7,8 +7,8 @@
     Notes
     -----
     Only for tests, and only where the settings allow it: tests run on the loopback
-    network, on which no link can be taken down. Each of the separated processes is
-    given the others' addresses, so that both directions are blocked.
+    network, on which no link can be taken down. Each side is given the
+    addresses of the other, so that both directions are blocked.
     """
 
     __slots__ = ("prefixes",)
--- a/hawthornspoke/base/_stall.py
+++ b/hawthornspoke/base/_stall.py
@@ -3,8 +3,9 @@
 from hawthornspoke.base._clock import boottime_clock
 
 #: Seconds between two heartbeats, normally one tick, from which the process counts as
-#: stalled. Heartbeats of a busy event loop are up to 0.1 s late. A shorter stall makes
-#: ages too low by less than the safety margins of the limits that they are compared to.
+#: stalled. Heartbeats of a busy event loop are up to 0.1 s late. A shorter stall is
+#: harmless: it makes the age of received information too low by less than the safety
+#: margin of any limit that the age is compared to.
 STALL_THRESHOLD = 0.3
 
 #: Seconds after a stall during which received data may have been buffered: the loop
@@ -18,8 +19,8 @@
     Messages carry the age of the information in them, and stay in the socket buffer
     while their reader is stalled. An age that is counted from the time of reading is
     too low by the time spent in the buffer. Without a correction, an entry host that
-    was stalled for 1.0 s sends requests to outdated weights until 1.0 s after their
-    bound.
+    was stalled for 1.0 s sends requests to outdated weights until 1.0 s after the time
+    from which these may start no request.
 
     Parameters
     ----------
--- a/hawthornspoke/base/_ticks.py
+++ b/hawthornspoke/base/_ticks.py
@@ -3,13 +3,13 @@
 import asyncio
 
 #: Seconds between two ticks. No task needs a shorter period: requests that have not
-#: started are withdrawn 0.4 s before the bound of their weights, and load reports to
-#: entry hosts may be one tick old.
+#: started are withdrawn 0.4 s before their engine's weights expire, so one tick of
+#: delay is harmless, and load reports to entry hosts may be one tick old.
 TICK_INTERVAL = 0.1
 
 
 class Ticks:
-    """Wakes all tasks that wait for the next tick together.
+    """Wakes all tasks that wait for the next tick at the same time.
 
     Each wakeup of an event loop costs as much as reading a small message. With one
     timer per periodic task, an idle agent woke up 88 times a second in a measurement;
