--- a/hawthornspoke/rollout/_changeover.py
+++ b/hawthornspoke/rollout/_changeover.py
@@ -39,7 +39,8 @@
     hosts : list of HostState
         The live hosts of the service in the failure domain, including ``node``.
     max_unavailable : int
-        Maximum number of hosts of the failure domain that are out of service at once.
+        Maximum number of the service's hosts in the failure domain that are out of
+        service at once.
 
     Returns
     -------
@@ -50,7 +51,8 @@
     There is no coordinator: two hosts that both see no other host changing could both
     go out of service, and live traffic would lose more capacity than
     ``max_unavailable`` allows. So all hosts rank the waiting ones in the same order
-    (rendezvous hashing), and each counts the hosts ranked before it.
+    (rendezvous hashing), and a host that isn't among the first must wait. Hosts that
+    are changing already are ranked in the same way, in case too many are.
     """
     changing = [item.node for item in hosts if item.state == CHANGING]
     if node in changing:
