--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -200,7 +200,8 @@
                 version=version,
                 age=declaration_age(at, now),
             )
-        # Agents schedule by these times and report them to hosts that start later.
+        # Agents schedule the switch to new weights by these times, and report the times
+        # to entry hosts that start later.
         self.agents.send_directives()
 
     def on_confirmed(self, at):
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -26,7 +26,8 @@
 PROBE_TIMEOUT = 0.3
 
 #: Maximum number of fingerprints kept of requests that this host had sent to an
-#: endpoint and that were running there when it ended.
+#: endpoint and that were running there when it ended. If one of them is quarantined,
+#: this host stores the evidence.
 MAX_OBSERVED = 512
 
 
@@ -116,7 +117,7 @@
             del self._attempts_by_fingerprint[fingerprint]
 
     def record_disconnect(self, fingerprint, placement, *, service):
-        """Record a connection closed during a request, and probe the endpoint.
+        """Record a connection closed during a request; probe if the endpoint ended.
 
         Parameters
         ----------
@@ -173,7 +174,7 @@
         self._step(EvidenceReceived(items=items))
 
     async def wait_for_unstored_evidence(self):
-        """Wait for quarantined requests whose evidence has yet to be stored.
+        """Wait for quarantined requests whose evidence the platform hasn't stored yet.
 
         Each host stores it only for requests that it had itself sent to an endpoint
         that ended.
