--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -10,9 +10,9 @@
 from hawthornspoke.placing._subset import Subset
 from hawthornspoke.placing._weights_eligibility import StartForecast
 
-#: Queue length from which an engine gets no request that is already late; 0 requires a
-#: free slot. Otherwise late requests take the slots of requests that could still be on
-#: time, so that these become late as well.
+#: Queue length from which an engine gets no request that can't be on time any more; 0
+#: requires a free slot. Otherwise late requests take the slots of requests that could
+#: still be on time, so that these become late as well.
 MAX_LATE_QUEUE = 0
 
 #: Seconds by which a full engine counts as slower than an empty one, so that requests
@@ -231,7 +231,10 @@
         return None
 
     def _select_late(self, selection):
-        """Return the result for a request that no engine serves on time."""
+        """Return the result for a request that no engine serves on time.
+
+        A retry may still take a free slot; any other request is rejected.
+        """
         request = selection.request
         if request.is_retry:
             for near in (True, False):
@@ -365,7 +368,7 @@
 
 
 def _usable_when_late(candidates, request, engine):
-    """Return the candidates for a request that is already late."""
+    """Return the candidates that may serve a request that can't be on time."""
     return [
         item
         for item in candidates
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -44,9 +44,10 @@
         Earliest possible time of the declaration, on the clock that includes suspended
         time; ``UNKNOWN_TIME`` if there is none.
     known_until : float
-        Time until which this process knew all declarations.
+        Time until which this process knew all declarations; it may have missed one that
+        was made later.
     boottime_now : float or None, default=None
-        Time of receipt on the same clock; None if it is the monotonic clock.
+        Time of receipt on the same clock; None to use the monotonic clock instead.
     """
 
     declared: object
@@ -139,7 +140,8 @@
     all : int
         Entry hosts in all failure domains.
     position : int, default=0
-        Position of this host among the near ones, ordered by address.
+        Position of this host among the near ones, ordered by address; it determines
+        which engines this host prefers.
     """
 
     near: int
