--- a/hawthornspoke/quarantine/_fingerprint.py
+++ b/hawthornspoke/quarantine/_fingerprint.py
@@ -28,7 +28,8 @@
     digest = hashlib.blake2b(digest_size=DIGEST_SIZE)
     for part in (organisation, method, host, target):
         data = part.encode(errors="surrogatepass")
-        # The length prefix keeps bytes from moving between adjacent parts.
+        # Without the length prefix, requests whose parts differ only in where one ends
+        # and the next begins would have the same fingerprint.
         digest.update(b"%d:" % len(data))
         digest.update(data)
     digest.update(body)
--- a/hawthornspoke/quarantine/_quarantine.py
+++ b/hawthornspoke/quarantine/_quarantine.py
@@ -168,7 +168,8 @@
             # The evidence has expired, which no message reports.
             self._quarantined.discard(fingerprint)
             return None
-        # The quarantine ends as soon as fewer ends than the threshold are left.
+        # The quarantine ends when so much evidence has expired that fewer ends than the
+        # threshold are left.
         return sorted(deadlines)[-self.end_threshold]
 
     def has_evidence(self, fingerprint):
@@ -278,7 +279,10 @@
         ]
 
     def _is_near_threshold(self, fingerprint, now):
-        """Return whether a request was one end short of the threshold already."""
+        """Return whether a request was one end short of the threshold before.
+
+        Recent ends, which count as one event, are left out.
+        """
         suspected_incarnations = self._store.suspected_incarnations(
             fingerprint, now=now
         )
