--- a/hawthornspoke/routing/_router.py
+++ b/hawthornspoke/routing/_router.py
@@ -127,7 +127,7 @@
     max_ejection_time : float, default=30.0
         Upper limit of that time.
     ejection_threshold : int, default=3
-        Number of consecutive failures.
+        Number of consecutive failures from which an endpoint is ejected.
     seed : int, default=0
         Of the random choices.
 
