--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -140,7 +140,7 @@
         self.limited = 0
 
     def on_set_limits(self, message, *, now):
-        """Set the limits of a new document."""
+        """Set the limits of a new configuration document."""
         self.rate_by_organisation = dict(message.rate_by_organisation)
         self.burst_by_organisation = dict(message.burst_by_organisation)
         return []
@@ -287,8 +287,8 @@
         burst = self.burst_by_organisation.get(organisation, rate)
         capacity = max(1.0, burst * share)
         if bucket.tokens is None:
-            # A host that joins or restarts must not add a whole burst, nor reject the
-            # second request that it gets.
+            # A host that joins or restarts must not admit a whole burst in addition to
+            # those of the other hosts, nor reject the second request that it gets.
             bucket.tokens = min(capacity, max(1.0, INITIAL_FILL_SECONDS * rate * share))
         earned = (now - bucket.refilled_at) * rate * share
         bucket.tokens = min(capacity, bucket.tokens + earned)
