--- a/hawthornspoke/base/_registry.py
+++ b/hawthornspoke/base/_registry.py
@@ -30,7 +30,7 @@
         Parameters
         ----------
         name : str
-            Name used in settings and declarations.
+            Name by which the item is selected, for example in settings.
 
         Returns
         -------
