--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -133,7 +133,7 @@
         self.subset_by_service = {}
 
     def select_plain(self, request, endpoints, now):
-        """Return a Placement at one of a plain service's endpoints, or a Rejection.
+        """Return a Placement for a service without engines, or a Rejection.
 
         Parameters
         ----------
--- a/hawthornspoke/placing/_endpoint.py
+++ b/hawthornspoke/placing/_endpoint.py
@@ -8,10 +8,10 @@
 #: second, while a single failure moves it by a fifth only.
 FAILURE_RATE_ALPHA = 0.2
 
-#: Smoothing factor of the mean response time of a plain service.
+#: Smoothing factor of the mean response time of an endpoint without an engine.
 RESPONSE_TIME_ALPHA = 0.1
 
-#: Response time in seconds assumed for a plain service before the first response.
+#: Response time in seconds assumed for such an endpoint before its first response.
 INITIAL_RESPONSE_TIME = 0.05
 
 
@@ -199,8 +199,8 @@
     def _refresh_state(self):
         """Update the attributes derived from the endpoint list and the agent's report.
 
-        Each selection reads them for every endpoint. Deriving them there took a third
-        of the time of a selection, and they change only with a new entry or report.
+        Each selection reads them for every endpoint. Deriving them at each selection
+        took a third of its time, and they change only with a new entry or report.
         """
         if self.state is None or not self.matches(self.state.incarnation):
             self.current_state = None
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -312,7 +312,7 @@
         }
 
     def _engine_profile(self, endpoint):
-        """Return the EngineProfile of an endpoint's service, None for a plain one."""
+        """Return the EngineProfile of an endpoint's service, None if it has none."""
         service = self.service_by_name.get(endpoint.entry.service)
         return None if service is None else service.engine
 
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -252,7 +252,8 @@
     report_age : float or None
         Age of the load report in seconds.
     expected : float
-        Seconds until the first token, or the response of a plain service.
+        Expected seconds until the first token, or until the response of an endpoint
+        without an engine.
     weights_version : int or None
         Version that the endpoint is assumed to have.
     start_deadline : float or None
--- a/hawthornspoke/placing/_predict.py
+++ b/hawthornspoke/placing/_predict.py
@@ -111,7 +111,7 @@
 
 
 def expected_response_time(endpoint):
-    """Return the expected response time at an endpoint of a plain service.
+    """Return the expected response time at an endpoint that has no engine.
 
     Parameters
     ----------
--- a/hawthornspoke/placing/_weights_eligibility.py
+++ b/hawthornspoke/placing/_weights_eligibility.py
@@ -53,6 +53,9 @@
 class WeightsEligibility:
     """Decides which endpoints have eligible weights at one point in time.
 
+    Weights are eligible for a request if all layers are loaded, the request starts
+    before they expire, and they have the version that it requires, if any.
+
     Parameters
     ----------
     declared : DeclaredVersions
