--- a/hawthornspoke/limits/_shares.py
+++ b/hawthornspoke/limits/_shares.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ClaimantsUpdated:
-    """The known claimants of shares of a limit, and the entry hosts of each.
+    """The known claimants, among which limits are divided, and their entry hosts.
 
     Parameters
     ----------
@@ -190,7 +190,7 @@
         return [RateLimited(failure=OVER_LIMIT.with_reason(reason, retry_after=wait))]
 
     def demand(self, *, now):
-        """Return this host's demand for gossip.
+        """Return this host's demand, to be gossiped to the other claimants.
 
         Parameters
         ----------
