--- a/hawthornspoke/placing/_choice.py
+++ b/hawthornspoke/placing/_choice.py
@@ -10,17 +10,17 @@
 from hawthornspoke.placing._subset import Subset
 from hawthornspoke.placing._weights_eligibility import StartForecast
 
-#: Queue length from which an engine gets no request that is already late; 0 requires a
-#: free slot. Otherwise late requests take the slots of requests that could still be on
-#: time, so that these become late as well.
+#: Queue length from which an engine gets no request that can't be on time any more; 0
+#: requires a free slot. Otherwise late requests take the slots of requests that could
+#: still be on time, so that these become late as well.
 MAX_LATE_QUEUE = 0
 
 #: Seconds by which a full engine counts as slower than an empty one, so that requests
 #: go to emptier engines and the last free slots stay available.
 OCCUPANCY_COST = 0.15
 
-#: Load per slot of a plain endpoint at which it gets no further requests: with a queue
-#: of four times its slots it sheds load.
+#: Requests per slot at which a plain endpoint (one without an engine) gets no more; it
+#: rejects requests itself once its queue is four times its slots.
 MAX_PLAIN_QUEUE = 3
 
 
@@ -133,7 +133,7 @@
         self.subset_by_service = {}
 
     def select_plain(self, request, endpoints, now):
-        """Return a Placement at one of a plain service's endpoints, or a Rejection.
+        """Return a Placement for a service without engines, or a Rejection.
 
         Parameters
         ----------
@@ -168,9 +168,9 @@
     def select_engine(self, request, endpoints, engine, eligibility):
         """Return a Placement at one of the engines, or a Rejection.
 
-        The subset of this host is evaluated first, and the other engines only if none
-        in the subset responds in time: evaluating all engines took a third of an entry
-        host's CPU time.
+        The engines that this host prefers (its ``Subset``) are evaluated first, and the
+        others only if none of these responds in time: evaluating all engines took a
+        third of an entry host's CPU time.
 
         Parameters
         ----------
@@ -231,7 +231,10 @@
         return None
 
     def _select_late(self, selection):
-        """Return the result for a request that no engine serves on time."""
+        """Return the result for a request that no engine serves on time.
+
+        A retry may still take a free slot; any other request is rejected.
+        """
         request = selection.request
         if request.is_retry:
             for near in (True, False):
@@ -280,9 +283,9 @@
             and eligibility.allows(item, engine, request)
         ]
         candidates = self._candidates(selection, usable, near=near, in_subset=in_subset)
-        # Based on the estimated load rather than the reported one: just before the
-        # version bound, requests would otherwise be sent and withdrawn again, and their
-        # callers wouldn't know whether they had run.
+        # The forecasts are based on the estimated load. By the reported load, requests
+        # would be sent just before the engine's weights expire and be withdrawn again,
+        # and their callers wouldn't know whether they had run.
         valid = [
             item for item in candidates if item.forecast is not StartForecast.TOO_LATE
         ]
@@ -306,7 +309,8 @@
         arrival_rate = self._peer_traffic_of(request.service).arrival_rate(
             near=near, now=now
         )
-        # The other hosts send to both groups, those in the subset and those outside.
+        # The requests of the other hosts are assumed to spread evenly over the engines
+        # in this host's subset and those outside.
         subset = self.subset(request.service)
         share = subset.near_share if near else subset.far_share
         arrival_rate *= share if in_subset else 1.0 - share
@@ -364,7 +368,7 @@
 
 
 def _usable_when_late(candidates, request, engine):
-    """Return the candidates for a request that is already late."""
+    """Return the candidates that may serve a request that can't be on time."""
     return [
         item
         for item in candidates
--- a/hawthornspoke/placing/_endpoint.py
+++ b/hawthornspoke/placing/_endpoint.py
@@ -8,20 +8,20 @@
 #: second, while a single failure moves it by a fifth only.
 FAILURE_RATE_ALPHA = 0.2
 
-#: Smoothing factor of the mean response time of a plain service.
+#: Smoothing factor of the mean response time of an endpoint without an engine.
 RESPONSE_TIME_ALPHA = 0.1
 
-#: Response time in seconds assumed for a plain service before the first response.
+#: Response time in seconds assumed for such an endpoint before its first response.
 INITIAL_RESPONSE_TIME = 0.05
 
 
 class Endpoint:
     """An endpoint, its reported load and the outcomes of requests sent to it.
 
-    Apart from the two sources (``entry`` and ``state``) all state belongs to one
-    incarnation. A new incarnation under the same id starts without requests or
-    failures: with those of the previous one it would be ejected, or filled beyond
-    its slots.
+    ``entry`` comes from the platform's endpoint list and ``state`` from the agent's
+    last report. All else belongs to one incarnation, a run of the endpoint's process. A
+    new incarnation under the same id starts without requests or failures: with those
+    of the previous one it would be ejected, or filled beyond its slots.
 
     Parameters
     ----------
@@ -180,7 +180,7 @@
         ----------
         incarnation : Incarnation
             That of the request's Placement; unknown if none had been reported by then.
-            After a restart the requests of an unknown incarnation are over.
+            Once a restart was noticed, such requests belong to an earlier incarnation.
 
         Returns
         -------
@@ -199,8 +199,8 @@
     def _refresh_state(self):
         """Update the attributes derived from the endpoint list and the agent's report.
 
-        Each selection reads them for every endpoint. Deriving them there took a third
-        of the time of a selection, and they change only with a new entry or report.
+        Each selection reads them for every endpoint. Deriving them at each selection
+        took a third of its time, and they change only with a new entry or report.
         """
         if self.state is None or not self.matches(self.state.incarnation):
             self.current_state = None
@@ -253,7 +253,7 @@
         self.sent_since_report = 0
 
     def record_end(self):
-        """Record the end of a request of this host, reported in the load or not."""
+        """Record the end of a request of this host, included in the report or not."""
         self.own_in_flight = max(0, self.own_in_flight - 1)
         if self.sent_since_report:
             self.sent_since_report -= 1
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -262,7 +262,7 @@
         return [self._with_deadline(placement, engine, eligibility)]
 
     def followed_addresses(self):
-        """Return the addresses of the engines that should report frequently.
+        """Return the addresses of the engines in a subset, which report frequently.
 
         Returns
         -------
@@ -312,12 +312,15 @@
         }
 
     def _engine_profile(self, endpoint):
-        """Return the EngineProfile of an endpoint's service, None for a plain one."""
+        """Return the EngineProfile of an endpoint's service, None if it has none."""
         service = self.service_by_name.get(endpoint.entry.service)
         return None if service is None else service.engine
 
     def _estimate_remote_prompts(self, endpoint, load, now):
-        """Add the estimated prompts of other hosts; call before storing the load."""
+        """Add the prompts sent by other hosts, estimated from the growth in load.
+
+        Must be called before the new load is stored.
+        """
         engine = self._engine_profile(endpoint)
         if engine is not None:
             endpoint.prefill_backlog.add_remote_requests(
--- a/hawthornspoke/relay/_sending.py
+++ b/hawthornspoke/relay/_sending.py
@@ -11,7 +11,7 @@
     ----------
     admission : Admission
     timers : Timers
-    selector : EndpointSelector
+    planner : AttemptPlanner
     encoder : Encoder
     fleet : Fleet
     pool : ConnectionPool
@@ -23,7 +23,7 @@
     __slots__ = (
         "_admission",
         "_timers",
-        "_selector",
+        "_planner",
         "_encoder",
         "_fleet",
         "_pool",
@@ -37,7 +37,7 @@
         *,
         admission,
         timers,
-        selector,
+        planner,
         encoder,
         fleet,
         pool,
@@ -47,7 +47,7 @@
     ):
         self._admission = admission
         self._timers = timers
-        self._selector = selector
+        self._planner = planner
         self._encoder = encoder
         self._fleet = fleet
         self._pool = pool
@@ -87,12 +87,13 @@
         failure = await attempt.connect()
         if failure is not None:
             return failure
-        # There is no await from here to the write. Encoding takes time and depends on
-        # nothing that the recheck decides, so it comes first.
+        # There is no await from here to the write, so the recheck still holds when the
+        # bytes are written. Encoding takes time and doesn't depend on the recheck, so
+        # it comes first.
         data = self._encoder.encode(
             context, attempt.placement, last_event=last_event, version=version
         )
-        placement_request = self._selector.make_placement_request(
+        placement_request = self._planner.make_placement_request(
             context, required_version=version
         )
         decision = self._admission.recheck(
@@ -112,13 +113,13 @@
             return failure
         self._suspects.add_attempt(context.fingerprint, attempt)
         context.sent += 1
-        # From here on the endpoint may run the request, even if it never responds
-        # before the deadline; only an explicit refusal by the endpoint clears this.
+        # From here on the endpoint may run the request, even if no response
+        # arrives before the deadline; only an explicit refusal by it clears the flag.
         context.may_have_run = True
         return None
 
     async def wait_for_probes(self, context):
-        """Wait for the endpoint probes that decide on retrying a failed request."""
+        """Wait for probes that show whether a failed request crashed endpoints."""
         await self._suspects.wait_for_probes(context.fingerprint)
 
     def _on_connection_broken(self, context, attempt):
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -1,4 +1,8 @@
-"""Detection and quarantine of poison requests, which crash endpoints."""
+"""Detection and quarantine of poison requests, which crash endpoints.
+
+Evidence against a request is that it was running at an endpoint when the endpoint's
+process ended. Enough of it puts the request into quarantine: no endpoint gets it.
+"""
 
 import asyncio
 import collections
@@ -22,7 +26,8 @@
 PROBE_TIMEOUT = 0.3
 
 #: Maximum number of fingerprints kept of requests that this host had sent to an
-#: endpoint and that were running there when it ended.
+#: endpoint and that were running there when it ended. If one of them is quarantined,
+#: this host stores the evidence.
 MAX_OBSERVED = 512
 
 
@@ -112,7 +117,7 @@
             del self._attempts_by_fingerprint[fingerprint]
 
     def record_disconnect(self, fingerprint, placement, *, service):
-        """Record a connection closed during a request, and probe the endpoint.
+        """Record a connection closed during a request; probe if the endpoint ended.
 
         Parameters
         ----------
@@ -132,8 +137,9 @@
     async def wait_for_probes(self, fingerprint):
         """Wait until it is known which endpoints a suspected request has crashed.
 
-        Otherwise the request would be sent to another endpoint in the meantime. A
-        request with one broken connection and no other evidence doesn't wait.
+        Otherwise it would be sent to another endpoint in the meantime and might crash
+        that one as well. A request with one broken connection and no other evidence
+        doesn't wait.
 
         Parameters
         ----------
@@ -168,7 +174,7 @@
         self._step(EvidenceReceived(items=items))
 
     async def wait_for_unstored_evidence(self):
-        """Wait for quarantined requests whose evidence has yet to be stored.
+        """Wait for quarantined requests whose evidence the platform hasn't stored yet.
 
         Each host stores it only for requests that it had itself sent to an endpoint
         that ended.
@@ -241,7 +247,10 @@
 
 
 def _incarnation_id(placement):
-    """Return an id of an endpoint's incarnation that is the same on all hosts."""
+    """Return an id of one incarnation (process run) of an endpoint.
+
+    It is the same on all hosts, so that their evidence can be combined.
+    """
     started_ms = placement.incarnation.started_ms
     return (
         placement.endpoint_id
