--- a/hawthornspoke/mirror/_declaration_recorder.py
+++ b/hawthornspoke/mirror/_declaration_recorder.py
@@ -75,7 +75,7 @@
         the row if its revision isn't the expected one, or a Failure.
     clock : PlatformClock
         To which the platform's answers to this process are added.
-    on_declaration_dates : callable
+    on_declaration_times : callable
         Called with a model and a tuple of pairs of a version and a lower bound on its
         declaration time, in seconds of ``boottime_clock``.
     log : EventLog
@@ -84,7 +84,7 @@
     __slots__ = (
         "_store",
         "_clock",
-        "_on_declaration_dates",
+        "_on_declaration_times",
         "_log",
         "_newest_revision_by_model",
         "_pending_by_model",
@@ -92,10 +92,10 @@
         "_wake",
     )
 
-    def __init__(self, *, store, clock, on_declaration_dates, log):
+    def __init__(self, *, store, clock, on_declaration_times, log):
         self._store = store
         self._clock = clock
-        self._on_declaration_dates = on_declaration_dates
+        self._on_declaration_times = on_declaration_times
         self._log = log
         self._newest_revision_by_model = {}
         self._pending_by_model = {}
@@ -185,7 +185,7 @@
             if _applies_to(declaration_time, pending):
                 bounds.append((declaration_time.version, bound))
         if bounds:
-            self._on_declaration_dates(model, tuple(bounds))
+            self._on_declaration_times(model, tuple(bounds))
         return None
 
     async def _write(self, model, pending):
--- a/hawthornspoke/mirror/_follow.py
+++ b/hawthornspoke/mirror/_follow.py
@@ -47,7 +47,7 @@
     recorder = DeclarationRecorder(
         store=store,
         clock=watch.clock,
-        on_declaration_dates=sink.on_declaration_dates,
+        on_declaration_times=sink.on_declaration_times,
         log=sink.log,
     )
     quarantine = QuarantineRecorder(
--- a/hawthornspoke/mirror/tests/test_declaration_recorder.py
+++ b/hawthornspoke/mirror/tests/test_declaration_recorder.py
@@ -140,7 +140,7 @@
         recorder = DeclarationRecorder(
             store=store,
             clock=clock or PlatformClock(),
-            on_declaration_dates=lambda model, times: dated.append((model, times)),
+            on_declaration_times=lambda model, times: dated.append((model, times)),
             log=log,
         )
         declared = DeclaredWeights(model="m", version=version)
--- a/hawthornspoke/placing/__init__.py
+++ b/hawthornspoke/placing/__init__.py
@@ -4,7 +4,7 @@
 from hawthornspoke.placing._messages import (
     AgentLost,
     CatalogChanged,
-    DeclarationDatesUpdated,
+    DeclarationTimesUpdated,
     EndpointsListed,
     EngineReported,
     EntryHostsUpdated,
@@ -21,7 +21,7 @@
 __all__ = [
     "AgentLost",
     "CatalogChanged",
-    "DeclarationDatesUpdated",
+    "DeclarationTimesUpdated",
     "EndpointsListed",
     "EngineReported",
     "EntryHostsUpdated",
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -11,7 +11,7 @@
 from hawthornspoke.placing._messages import (
     AgentLost,
     CatalogChanged,
-    DeclarationDatesUpdated,
+    DeclarationTimesUpdated,
     EndpointsListed,
     EngineReported,
     EntryHostsUpdated,
@@ -39,7 +39,7 @@
     LoadObserved,
     PlacementRecheck,
     RequestSent,
-    DeclarationDatesUpdated,
+    DeclarationTimesUpdated,
     WeightsDeclared,
 )
 
@@ -133,7 +133,7 @@
         )
         return []
 
-    def on_declaration_dates_updated(self, message, *, now):
+    def on_declaration_times_updated(self, message, *, now):
         """Record the earliest possible times of declarations."""
         for version, at in message.earliest_times:
             self.declared.add_lower_bound(message.model, version, at=at)
--- a/hawthornspoke/placing/_messages.py
+++ b/hawthornspoke/placing/_messages.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, kw_only=True, frozen=True)
-class DeclarationDatesUpdated:
+class DeclarationTimesUpdated:
     """The declaration times of versions became known.
 
     Parameters
--- a/hawthornspoke/relay/_sink.py
+++ b/hawthornspoke/relay/_sink.py
@@ -6,7 +6,7 @@
 from hawthornspoke.peering import make_directive
 from hawthornspoke.placing import (
     CatalogChanged,
-    DeclarationDatesUpdated,
+    DeclarationTimesUpdated,
     EndpointsListed,
     WeightsDeclared,
 )
@@ -178,7 +178,7 @@
         )
         self.agents.send_directives()
 
-    def on_declaration_dates(self, model, earliest_times):
+    def on_declaration_times(self, model, earliest_times):
         """Apply declaration times of versions that were read without one.
 
         Parameters
@@ -189,7 +189,7 @@
             declared.
         """
         self._fleet.step(
-            DeclarationDatesUpdated(model=model, earliest_times=earliest_times),
+            DeclarationTimesUpdated(model=model, earliest_times=earliest_times),
             now=monotonic(),
         )
         now = boottime_clock()
