--- a/hawthornspoke/spread/_answers.py
+++ b/hawthornspoke/spread/_answers.py
@@ -37,7 +37,8 @@
         weights = self._weights_by_name.get(frame.holdings_ask.digest)
         held = weights.held() if weights is not None else ()
         holdings = Holdings(bitmap=pack_indices(held), held=len(held))
-        # Queued because a piece may be partly written on this connection.
+        # Queued because a piece may be partly written on this connection, and its
+        # frame must be finished first.
         self._uploads.put(link, Frame(call=-frame.call, holdings=holdings))
 
 
--- a/hawthornspoke/spread/_changeover.py
+++ b/hawthornspoke/spread/_changeover.py
@@ -3,7 +3,7 @@
 Keeps capacity available during the switch. An engine that is ordered to load weights
 first finishes its running requests and admits no new ones. All hosts hold all pieces at
 about the same time; if all engines were ordered then, none would answer for one to two
-seconds, although the older weights have not expired yet.
+seconds, although requests may still start on the older weights.
 """
 
 #: Seconds from a load order until the engine answers with the new weights: it finishes
@@ -16,7 +16,7 @@
 DISPATCH_CUTOFF = 0.6
 
 #: Maximum number of groups that switch one after the other. Each further group delays
-#: the new version on some hosts and keeps less additional capacity.
+#: the new version on some hosts, and adds less to the capacity that stays available.
 MAX_GROUPS = 4
 
 
--- a/hawthornspoke/spread/_client_types.py
+++ b/hawthornspoke/spread/_client_types.py
@@ -1,11 +1,15 @@
-"""Types and failures that the clients of engine and origin return to an agent."""
+"""Types and failures returned by an agent's clients of the engine and the origin.
+
+The origin is the server that weights are downloaded from. An order is the call that
+makes an engine load weights.
+"""
 
 from dataclasses import dataclass
 
 from hawthornspoke.base import Failure
 from hawthornspoke.catalog import UNKNOWN_START, Incarnation
 
-#: The engine's state differs from the one that the order expects.
+#: The engine rejected an order because its state is not the one the order expects.
 ENGINE_CHANGED = Failure(code="engine_changed")
 ENGINE_UNREACHABLE = Failure(code="engine_unreachable")
 PIECE_MISSING = Failure(code="piece_missing")
@@ -33,7 +37,7 @@
     pace : float
         Factor by which the engine is slower than usual.
     incarnation : Incarnation
-        The incarnation of the engine that this snapshot describes.
+        The run of the engine that this snapshot describes; differs after a restart.
     """
 
     version: int | None
--- a/hawthornspoke/spread/_delivery.py
+++ b/hawthornspoke/spread/_delivery.py
@@ -20,11 +20,11 @@
 
 #: Range of the random delay before a manifest is requested again, in seconds. It is
 #: short because only two hosts of each region read the origin, and no piece can be
-#: requested without the manifest.
+#: requested without the manifest, which lists the pieces' digests.
 MANIFEST_RETRY_DELAY = (0.1, 0.2)
 
-#: Number of versions whose pieces stay in memory besides the targets, because slower
-#: peers may still request them.
+#: Number of versions whose pieces stay in memory although the upgrade machine no longer
+#: wants them, because slower peers may still request them.
 MAX_OLD_VERSIONS = 1
 
 #: Result of an install that was cancelled by an engine restart or the agent's shutdown.
@@ -53,6 +53,7 @@
     Attributes
     ----------
     model : str or None
+        None until a directive has named it.
     """
 
     __slots__ = (
@@ -161,7 +162,11 @@
             self._log.change("task_failed", task=name, error=repr(task.exception()))
 
     async def _fetch_version(self, transfer, rejected=None):
-        """Fetch a version; pieces of ``rejected`` are verified by the new digests."""
+        """Fetch a version.
+
+        ``rejected`` holds the pieces fetched under a manifest that appears corrupt.
+        Those that match the digests of the new manifest are kept.
+        """
         version = transfer.version
         weights = self._weights_by_version.get(version)
         if weights is None:
@@ -225,7 +230,8 @@
                 )
         finally:
             self._log.change("install_ended", version=version, failure=str(failure))
-            # The next plan needs the engine's current state, not an earlier one.
+            # The end of this task makes the upgrade machine plan again, for which it
+            # needs the engine's current state.
             await self._observe_engine()
 
     def _is_order_valid(self, version):
--- a/hawthornspoke/spread/_directives.py
+++ b/hawthornspoke/spread/_directives.py
@@ -1,4 +1,9 @@
-"""Directives that an agent receives from entry hosts, neighbours or the platform."""
+"""Directives that an agent receives from entry hosts, neighbours or the platform.
+
+A directive names the version to load and its age, the origin to read it from and the
+peers to exchange it with. Neighbours are the agents of the same failure domain. Without
+an entry host, an agent makes a directive from what it reads from the platform.
+"""
 
 import asyncio
 import copy
@@ -21,13 +26,13 @@
 DIRECT_READ_AFTER = 2.0
 DIRECT_READ_INTERVAL = 2.0
 
-#: Seconds that an agent waits for entry hosts if all hosts start for the first time.
-#: Its neighbours have no directive either, and if all agents read the platform, each of
-#: 156 would make four calls.
+#: Seconds that an agent waits for entry hosts if all hosts start for the first time,
+#: before it asks neighbours or reads the platform. Its neighbours have no directive
+#: then either, and each of 156 agents would make four calls to the platform.
 FIRST_START_DELAY = 6.0
 
-#: Maximum seconds between two bootstrap attempts. If no neighbour has a directive, an
-#: entry host sends one as soon as it is connected.
+#: Maximum seconds between two attempts to get a first directive from neighbours. They
+#: may be rare, since an entry host sends a directive as soon as it is connected.
 MAX_BOOTSTRAP_INTERVAL = 8.0
 
 #: Number of neighbours that a new agent asks for their directive, one after the other,
@@ -39,8 +44,8 @@
 #: traffic.
 TRANSFER_LINK_SHARE = 0.82
 
-#: Seconds added to the version bound. The age of a version is reported to entry hosts
-#: if it was declared within this time.
+#: Seconds beyond the version bound (see ``Upgrade``) for which the age of a declared
+#: version is still reported to entry hosts.
 REPORT_BEYOND_BOUND = 2.0
 
 
@@ -56,7 +61,8 @@
         See ``Agent``.
     log : EventLog
     earliest_arrival : callable
-        Returns a lower bound of the time at which data that is read now arrived.
+        Returns a lower bound of the time at which data that is read now arrived; it
+        may have waited while this process was suspended.
 
     Attributes
     ----------
@@ -164,7 +170,7 @@
                 self._apply_directive(directive)
 
     def answer(self, link, frame):
-        """Send a new agent the current directive."""
+        """Send a new agent the current directive, without peers, which it knows."""
         current = copy.copy(self._directive)
         if current is not None:
             current.weights_version = self._upgrade.next_version()
@@ -178,9 +184,9 @@
     def declared_ages(self):
         """Return the ages of recently declared versions, for entry hosts.
 
-        An entry host that has just started doesn't know when a version was declared.
-        It needs the time only until the version bound has passed, since requests may
-        still start on the preceding version until then.
+        An entry host that has just started doesn't know when a version was declared,
+        and so until when requests may still start on the preceding version. Once the
+        version bound has passed since the declaration, they may not in any case.
         """
         now = boottime_clock()
         declared_after = now - self._upgrade.version_bound - REPORT_BEYOND_BOUND
@@ -257,7 +263,7 @@
         }
         # This host's settings override an entry of the list at its address. Another
         # writer of the list may have entered a different failure domain, and this host
-        # would be missing from its own.
+        # would then be missing from the neighbours of its actual domain.
         own = self._settings.engine_address
         peer_by_name[own] = Peer(
             failure_domain=self._settings.failure_domain,
--- a/hawthornspoke/spread/_engine_state.py
+++ b/hawthornspoke/spread/_engine_state.py
@@ -19,9 +19,10 @@
     boottime_now : float
         Current time on the clock of the upgrade machine, ``boottime_clock``.
     order_pending : bool
-        Whether an order is about to be sent.
+        Whether an order to load weights is about to be sent or in progress.
     links : EntryLinks
     ages : list of DeclaredAge
+        Ages of the recently declared versions.
 
     Returns
     -------
--- a/hawthornspoke/spread/_entry_links.py
+++ b/hawthornspoke/spread/_entry_links.py
@@ -1,7 +1,8 @@
 """An agent's connections to entry hosts: state reports, probes and directive sources.
 
-An entry host is local if it is in the agent's failure domain, and remote otherwise. It
-follows an engine if it routes its own requests to it first.
+An entry host accepts requests and sends each to an engine. It is local if it is in the
+agent's failure domain, and remote otherwise. It follows the engines among which it
+chooses first; only if these are full does it send requests to others.
 """
 
 import random
@@ -12,17 +13,19 @@
 from hawthornspoke.spread._link_delay import LinkDelayEstimator, ProbeEnded, ProbeSent
 
 #: Seconds after which an unchanged state is reported again to entry hosts that follow
-#: this engine. Remote ones send requests here only when their own failure domain is
-#: full. An entry host considers this host unresponsive after a few intervals without a
-#: report.
+#: this engine. Remote ones get it less often, because they send requests here only when
+#: their own failure domain is full. An entry host considers this host unresponsive
+#: after a few intervals without a report.
 LOCAL_REPORT_INTERVAL = 0.25
 REMOTE_REPORT_INTERVAL = 2.0
 
-#: Seconds between two reports to remote hosts while only the load changes.
+#: Seconds between two reports to remote entry hosts that follow this engine, while only
+#: its numbers of running and waiting requests change. Local ones get these at once.
 REMOTE_LOAD_INTERVAL = 1.0
 
-#: Seconds between two reports to hosts that don't follow this engine. They send
-#: requests here once the engines they follow are full, and then follow this one too.
+#: Seconds between two reports to entry hosts that don't follow this engine. They send
+#: requests here only once the engines they follow are full, and then follow this one
+#: too.
 LOCAL_SLOW_INTERVAL = 1.0
 REMOTE_SLOW_INTERVAL = 3.0
 
@@ -41,8 +44,8 @@
     """State of one connected entry host.
 
     ``local`` is whether it is in this host's failure domain, ``follows`` whether it
-    follows this engine, ``reads_platform`` whether its directives list the peers as
-    read from the platform.
+    follows this engine, ``reads_platform`` whether it reads the platform itself: its
+    directives then list the peers.
     """
 
     __slots__ = (
@@ -107,7 +110,7 @@
         return len(self._host_by_link)
 
     def delay(self):
-        """Return the estimated queueing delay of a message, in seconds."""
+        """Return the estimated queueing delay on this host's link, in seconds."""
         return self.link.delay(monotonic())
 
     def receive(self, link, directive):
@@ -117,7 +120,10 @@
         self._update_no_reader_since()
 
     def set_failure_domain(self, link, failure_domain):
-        """Record an entry host's failure domain and share addresses of local hosts.
+        """Record an entry host's failure domain.
+
+        If it is new among the local entry hosts, all of them are sent the addresses of
+        all local ones.
 
         Parameters
         ----------
--- a/hawthornspoke/spread/_exchange.py
+++ b/hawthornspoke/spread/_exchange.py
@@ -1,4 +1,8 @@
-"""Piece transfer: performs the actions that the swarm machine returns."""
+"""Transfer of pieces: performs the I/O that the swarm state machine decides on.
+
+A version's weights are split into pieces. The machine decides which piece to fetch from
+which peer or from the origin, and when to announce the held pieces to peers.
+"""
 
 import asyncio
 
@@ -35,12 +39,12 @@
 #: it became unreachable. This interval limits them to 170 messages a second.
 ANNOUNCE_INTERVAL_PER_HOST = 0.006
 
-#: Minimum seconds without an announcement after which the next host in the order of a
-#: piece reads it from the origin.
+#: Minimum seconds for which the host that has to read a piece from the origin announces
+#: nothing before another one reads it. The swarm machine ranks these hosts per piece.
 STALL_TIMEOUT = 1.2
 
-#: Seconds between two requests of one host to a failing origin. The end of an outage is
-#: not announced, and until it is detected no weights arrive.
+#: Seconds between two requests of one host to a failing origin. Short, because only
+#: such a request detects the end of an outage, and no weights arrive until then.
 ORIGIN_AVOID_FOR = 0.2
 
 #: Concurrent piece requests of one host to the origin, whose link all hosts share.
--- a/hawthornspoke/spread/_fetches.py
+++ b/hawthornspoke/spread/_fetches.py
@@ -25,8 +25,8 @@
 
 #: Digest mismatches of one piece after which the manifest itself is read again. It
 #: comes from the origin too, and one digest in it may be corrupt. The origin corrupts
-#: one piece in fifty, so two corrupt copies of the same piece are unlikely; and a peer
-#: that appears to send a corrupt piece twice is no longer used.
+#: one piece in fifty, so two corrupt copies of the same piece are unlikely. The limit
+#: is low because a peer that appears to send a corrupt piece twice is no longer used.
 MAX_MISMATCHES = 2
 
 
--- a/hawthornspoke/spread/_installer.py
+++ b/hawthornspoke/spread/_installer.py
@@ -1,4 +1,8 @@
-"""Stages verified pieces at the engine and orders it to load them."""
+"""Stages verified pieces at the engine and orders it to load them.
+
+Staging copies a piece to the engine without loading it. An order is the
+call that makes the engine finish its requests and load the staged pieces.
+"""
 
 import asyncio
 
@@ -11,8 +15,8 @@
 #: corrupt.
 MAX_ROUNDS = 4
 
-#: Seconds between the notice to entry hosts and the order, so that requests already on
-#: their way are admitted before the engine stops admitting new ones.
+#: Seconds between telling entry hosts of an order and sending it, so that requests
+#: already on their way are admitted before the engine stops admitting new ones.
 NOTICE_DELAY = 0.03
 
 #: Seconds for which the verification of the staged pieces is valid. Between it and the
@@ -207,8 +211,9 @@
     async def _send_order(self, weights, initial, is_order_valid, verified_until):
         """Send the order, if the engine is still the incarnation that was verified.
 
-        An order carries only the number of orders before it, which each incarnation
-        counts from zero, so the engine can't reject an order meant for another one.
+        An incarnation is one run of the engine. An order carries only the number of
+        orders before it, which each incarnation counts from zero, so the engine can't
+        reject an order that was meant for an earlier incarnation.
         """
         before = await self._engine.snapshot()
         if is_failure(before):
@@ -246,7 +251,11 @@
         return None
 
     async def _wait_until_loaded(self, weights, before, result):
-        """Wait until the engine reports the weights; the reply is not conclusive."""
+        """Wait until the engine reports the weights.
+
+        ``result`` is the reply to the order. It does not decide: an order whose reply
+        was lost may be carried out.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + INSTALL_TIMEOUT
         start_deadline = loop.time() + ORDER_TIMEOUT
--- a/hawthornspoke/spread/_link_delay.py
+++ b/hawthornspoke/spread/_link_delay.py
@@ -99,8 +99,8 @@
         Returns
         -------
         float
-            Minimum over the latest probes. An unanswered probe counts with the time by
-            which it exceeds the minimum round-trip time.
+            Minimum over the latest probes. An unanswered probe counts with the time
+            since it was sent, less the minimum round-trip time.
         """
         delay_by_number = dict(self._recent_delays)
         for number, sent_at in self._sent_at_by_number.items():
--- a/hawthornspoke/spread/_manifests.py
+++ b/hawthornspoke/spread/_manifests.py
@@ -100,7 +100,7 @@
         return digests
 
     def reject(self, name):
-        """Remove a manifest that pieces don't match."""
+        """Remove a corrupt manifest; ``get`` then reads it from the origin again."""
         self._digests_by_name.pop(name, None)
         self._rejected.add(name)
 
@@ -121,7 +121,11 @@
         link.send(Frame(call=-frame.call, manifest=Manifest(digests=digests)))
 
     def _preceding_readers(self, name):
-        """Return the readers that rank before this host, all if it is no reader."""
+        """Return the manifest's readers that rank before this host.
+
+        These are the hosts of the region that read it from the origin; all are
+        returned if this host is none of them.
+        """
         nodes = self._exchange.region_nodes()
         readers = rendezvous_order(key=name, nodes=nodes)[:READERS_PER_REGION]
         if self._exchange.node in readers:
--- a/hawthornspoke/spread/_peer_links.py
+++ b/hawthornspoke/spread/_peer_links.py
@@ -9,7 +9,7 @@
 
 
 class PeerLinks:
-    """Opens connections and reuses them.
+    """Opens connections to other agents and reuses them.
 
     Parameters
     ----------
--- a/hawthornspoke/spread/_peers.py
+++ b/hawthornspoke/spread/_peers.py
@@ -2,7 +2,7 @@
 
 
 class Peer:
-    """A host that exchanges the same weights, as the swarm machine expects it."""
+    """One of these hosts, with the attributes that the swarm state machine reads."""
 
     __slots__ = ("failure_domain", "address", "port")
 
@@ -33,7 +33,8 @@
     def source_label(self, node):
         """Return the value of the metrics label ``source`` for a peer.
 
-        It is ``"region"`` for a peer in this host's region, else ``"far"``.
+        It is ``"region"`` for a peer in this host's region and for an unknown one, else
+        ``"far"``.
         """
         region_by_domain = self._settings.region_by_failure_domain
         peer = self.peer_by_name.get(node)
--- a/hawthornspoke/spread/_process.py
+++ b/hawthornspoke/spread/_process.py
@@ -1,4 +1,8 @@
-"""The agent process: transfers pieces, orders the engine and reports its state."""
+"""The agent process, which runs on the host of an engine.
+
+It fetches declared weights in pieces, orders the engine to load them, and reports the
+engine's state to entry hosts, which send requests to the engine.
+"""
 
 import asyncio
 import itertools
@@ -23,22 +27,22 @@
 from hawthornspoke.spread._evidence import EvidenceLinks
 from hawthornspoke.spread._upgrade import EngineObserved
 
-#: Ticks between two log lines with the engine's state, and the number of these lines
-#: for each line with all counters.
+#: Ticks between two log lines with the engine's state. With every fifth of these lines,
+#: all counters are logged too.
 SUMMARY_TICKS = 20
 SUMMARIES_PER_COUNTERS = 5
 
-#: Seconds for which an observed state of the engine is reported to entry hosts, counted
-#: from the request for it: one call to the engine, of a second at most, and the tick
-#: between two observations. An older state was observed before this process was
-#: suspended.
+#: Maximum age in seconds of an engine state that is reported to entry hosts, counted
+#: from the call that asked the engine for it. It allows for that call, of a second at
+#: most, and the tick between two calls. A state is older only if this process was
+#: suspended; it may be outdated then and is not reported.
 STATE_TTL = 1.2
 
 FLUSH_TIMEOUT = 0.2
 
 
 class Agent:
-    """Delivers declared weights to the engine on this host.
+    """Fetches declared weights and installs them on the engine of this host.
 
     Parameters
     ----------
@@ -49,9 +53,10 @@
         Provides ``manifest`` and ``piece``; see ``Manifests`` and ``PieceExchange``.
     platform_reader : coroutine function
         Reads the platform once, given the last Directive or None, and returns a
-        Directive or a Failure; used only while no entry host that reads the platform
-        is connected. Its attribute ``peers``, a coroutine function too, reads only the
-        endpoints and is used until the first directive is received.
+        Directive (the version to load, the origin and the peers) or a Failure; used
+        only while no entry host that reads the platform is connected. Its attribute
+        ``peers``, a coroutine function too, reads only the list of endpoints and is
+        used until the first directive is received.
     """
 
     __slots__ = (
@@ -133,7 +138,7 @@
 
     @property
     def upgrade(self):
-        """The machine that plans the versions of the engine."""
+        """The state machine that plans which version the engine loads, and when."""
         return self.delivery.upgrade
 
     async def run(self):
@@ -267,8 +272,8 @@
     def _update_incarnation(self, incarnation):
         """Reset the delivery if the engine has restarted.
 
-        Start times need not increase: any difference in what the engine itself reports
-        means a restart.
+        Any difference between two incarnations that the engine itself reports means a
+        restart, also if the later one has the earlier start time.
         """
         if incarnation.differs_from(self._incarnation):
             self.log.change(
@@ -294,9 +299,10 @@
 
     def _report_state(self):
         if boottime_clock() >= self._observed_at + STATE_TTL:
-            # After a suspension, frames of entry hosts are read before the engine is
-            # observed again. They would take the outdated load and weights for current
-            # ones; the next observation reports the actual state.
+            # After a suspension of this process, a frame from an entry host can lead
+            # here before the engine is observed again. Entry hosts would take the
+            # outdated load and weights for current ones; the next observation reports
+            # the actual state.
             return
         self.entry_links.report(self._state(), monotonic())
 
--- a/hawthornspoke/spread/_settings.py
+++ b/hawthornspoke/spread/_settings.py
@@ -27,11 +27,13 @@
     link_rate : float
         Rate of this host's link, in bytes per second.
     origin_copies : int, default=1
-        Number of copies of a version that the origin sends to all hosts together.
+        Number of copies of a version that all hosts together read from the origin;
+        they exchange the pieces among themselves.
     strategy : str, default="regional"
         Name of a distribution strategy in ``STRATEGIES`` of the swarm package.
     first_start : bool, default=False
-        Whether all hosts start for the first time, so that no host has a directive yet.
+        Whether all hosts start for the first time, so that no host has yet received a
+        directive, the message that names the version to load.
     """
 
     __slots__ = (
--- a/hawthornspoke/spread/_upgrade.py
+++ b/hawthornspoke/spread/_upgrade.py
@@ -1,7 +1,8 @@
 """State machine, without I/O, that plans which version an engine loads, and when.
 
-A version expires once the version bound has passed since the declaration of the next
-one: no request may start on its weights from then on.
+A version expires a fixed time, the version bound, after the declaration of the next
+one: no request may start on its weights from then on. An order makes the engine load a
+version, whose pieces were fetched and staged at the engine before.
 """
 
 from dataclasses import dataclass
@@ -10,10 +11,11 @@
 from hawthornspoke.catalog import EXPIRY_MARGIN
 from hawthornspoke.spread._changeover import SWITCH_TIME, order_time
 
-#: Fraction of the transfer time within which a version that is followed by another one
-#: is dropped in favour of it. With bound B, transfer time T and a gap g between the two
-#: declarations, no weights can be served for g + T - B if the first version is dropped,
-#: and for 2T - B - g if it is finished first. Both are equal at g = T/2.
+#: A version whose pieces are not all held is dropped in favour of the next one if that
+#: is declared within this fraction of the transfer time. With version bound B, transfer
+#: time T and a gap g between the two declarations, no weights can be served for
+#: g + T - B if the first version is dropped, and for 2T - B - g if it is finished
+#: first. Both are equal at g = T/2.
 SUPERSEDE_WINDOW_SHARE = 0.5
 
 #: Maximum number of declared versions in memory. Older ones are no longer needed.
@@ -78,7 +80,10 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PositionAssigned:
-    """This host was assigned a position in its failure domain.
+    """This host was assigned a position among the hosts of its failure domain.
+
+    Hosts at different positions load a new version at different times; see
+    ``order_time``.
 
     Parameters
     ----------
@@ -153,9 +158,9 @@
     def on_version_declared(self, message, *, now):
         """Record a newer declared version, or a later time for the newest one.
 
-        Entry hosts report a declaration one after the other. One that has just started
-        does not know its time, and one that was disconnected knows only a lower bound;
-        so the latest time is the best estimate.
+        Several entry hosts report the same declaration. A host that has just started
+        does not know the time of the declaration, and one that was disconnected knows
+        only a lower bound; so the latest reported time is the best estimate.
         """
         if self._declared and message.version <= self._declared[-1].version:
             self._update_newest_date(message)
@@ -201,7 +206,7 @@
         return []
 
     def is_order_valid(self, version, *, now):
-        """Return whether an order for a version would still be valid.
+        """Return whether the engine may still be ordered to load a version.
 
         Parameters
         ----------
@@ -291,7 +296,8 @@
         if declared.version in self._complete_at_by_version:
             return False
         if self._engine.version is None:
-            # The engine serves nothing, and the newest version would arrive as soon.
+            # The engine serves nothing, and the next version would arrive as soon as
+            # this one.
             return True
         return successor.at - declared.at < SUPERSEDE_WINDOW_SHARE * self.transfer_time
 
