--- a/hawthornspoke/mirror/_declaration_recorder.py
+++ b/hawthornspoke/mirror/_declaration_recorder.py
@@ -1,4 +1,8 @@
-"""Stores declaration times on the platform, where they outlive all processes."""
+"""Stores the times of declarations on the platform, where they outlive all processes.
+
+A declaration is a row of the platform by which operators name the version of a model's
+weights that engines have to load.
+"""
 
 import asyncio
 import random
@@ -16,7 +20,7 @@
 
 #: Seconds after a declaration was received for which a failed call is retried. Old
 #: weights may be used for 8 or 13.4 s after a declaration. Once that time has passed,
-#: knowing the time of the declaration gains little.
+#: the time of the declaration is hardly needed.
 RETRY_TIME_LIMIT = 10.0
 
 #: Bounds of the random delay in seconds between attempts. All hosts that read the
@@ -35,14 +39,15 @@
 
 
 class _PendingDeclaration:
-    """A declaration whose time has to be written or read."""
+    """A declaration whose time has to be written to the platform or read from it."""
 
     __slots__ = ("version", "revision", "not_before", "learned_at")
 
     def __init__(self, *, version, revision, not_before, learned_at):
         self.version = version
         self.revision = revision
-        # On the platform's clock; None if this host has to read it from the row.
+        # Lower bound on the declaration's time, on the platform's clock; None if this
+        # host has to read it from the platform.
         self.not_before = not_before
         self.learned_at = learned_at
 
@@ -74,7 +79,7 @@
         ``await write(table, key, data, expected=)`` returns RowWritten, TableUpdate of
         the row if its revision isn't the expected one, or a Failure.
     clock : PlatformClock
-        To which the platform's answers to this process are added.
+        Relates the platform's clock to this host's; gets the time of each answer.
     on_declaration_times : callable
         Called with a model and a tuple of pairs of a version and a lower bound on its
         declaration time, in seconds of ``boottime_clock``.
@@ -118,10 +123,10 @@
         self._newest_revision_by_model[declared.model] = row.revision
         not_before = self._clock.last_answer_before(row.revision)
         if row.written_at != UNKNOWN_TIME and (not_before is None or not from_platform):
-            # The neighbour that sent the write time has recorded it. This process may
-            # know an earlier bound from when it read the platform itself, but if that
-            # were recorded as well, each of 99 entry hosts would call the platform for
-            # each version.
+            # The neighbour that sent this row with its write time has recorded that
+            # time. This process may know an earlier bound from when it read the
+            # platform itself, but if that were recorded as well, each of 99 entry hosts
+            # would call the platform for each version.
             return
         self._pending_by_model[declared.model] = _PendingDeclaration(
             version=declared.version,
@@ -208,8 +213,8 @@
             if is_failure(answer):
                 return answer
             if isinstance(answer, RowWritten):
-                # If the revision is that of a later write, the next write conflicts
-                # and gets the row.
+                # The answer may name the revision of a later write by another host. The
+                # next write then conflicts and gets the actual row.
                 self._stored_by_model[model] = _StoredRow(
                     declaration_times=declaration_times, revision=answer.revision
                 )
--- a/hawthornspoke/mirror/_declaration_times.py
+++ b/hawthornspoke/mirror/_declaration_times.py
@@ -8,8 +8,8 @@
 #: the number of models, however many versions are declared.
 RECORD_TABLE = "declared-weights"
 
-#: Maximum number of versions in a row. Older ones have no effect once the newest is
-#: mandatory.
+#: Maximum number of versions in a row. Times of older ones have no effect once requests
+#: may start only on the newest.
 MAX_VERSIONS = 4
 
 #: Milliseconds in a second.
@@ -63,10 +63,10 @@
 def decode_record(row, *, made_at):
     """Decode a row and validate its declaration times.
 
-    Any client of the platform may have written the row. A time later than the answer
-    that contains it, or a row older than a declaration it records, would extend the
-    time during which requests may start on old weights beyond the permitted bound. If
-    one of the times is impossible, the whole row is rejected.
+    Any client of the platform may have written the row. A time that is too late would
+    let requests start on old weights for longer than permitted. So the whole row is
+    rejected if it has a time later than the answer that contains it, or records a
+    declaration that was made after the row was written.
 
     Parameters
     ----------
--- a/hawthornspoke/mirror/_neighbours.py
+++ b/hawthornspoke/mirror/_neighbours.py
@@ -1,4 +1,8 @@
-"""Queries neighbours for changes of tables, and answers such queries."""
+"""Queries neighbours for changes of the platform's tables, and answers such queries.
+
+Neighbours are the entry hosts of the same failure domain. One of them, the reader,
+reads the platform; the others query it.
+"""
 
 import asyncio
 import copy
@@ -27,8 +31,8 @@
 POLL_INTERVAL = 0.05
 
 #: Maximum seconds between two checks of the clock while waiting for changes. Timers of
-#: the event loop stop while the host is suspended, and the querying host waits at most
-#: half a second beyond its requested wait.
+#: the event loop stop while this host is suspended, so one long timer could end too
+#: late for the querying host, which gives up half a second after its requested wait.
 MAX_WAIT = 0.4
 
 #: Seconds after a query within which this host may become the reader. It detects the
@@ -243,8 +247,9 @@
     async def _wait_for_changes(self, deadline):
         """Wait until there may be changes to answer with.
 
-        Polling every 50 ms, for two tables and each neighbour, woke the reader of 20
-        hosts 800 times per second, with a scan of the table each time.
+        It waits for an event: polling every 50 ms, for two tables and each neighbour,
+        woke the reader of 20 hosts 800 times per second, with a scan of the table each
+        time.
         """
         if not self._watch.is_current():
             await asyncio.sleep(POLL_INTERVAL)
--- a/hawthornspoke/mirror/_quarantine_record.py
+++ b/hawthornspoke/mirror/_quarantine_record.py
@@ -1,4 +1,8 @@
-"""Stores quarantined requests on the platform, where they outlive all processes."""
+"""Stores quarantined requests on the platform, where they outlive all processes.
+
+A request is quarantined, and not sent to endpoints again, if several endpoint processes
+(incarnations) ended while they ran it.
+"""
 
 import asyncio
 import json
@@ -43,7 +47,7 @@
 
 
 class QuarantineRecorder:
-    """Reads the row when the process starts, and adds requests that this host finds.
+    """Reads the stored requests at the process's start, and adds those it quarantines.
 
     Entry hosts learn of quarantined requests from agents. Without the row, this
     information would be lost if all processes ended at the same time, and the requests
--- a/hawthornspoke/mirror/_row_dispatcher.py
+++ b/hawthornspoke/mirror/_row_dispatcher.py
@@ -107,7 +107,7 @@
             self._sink.on_declared(
                 outcome, written_at=row.written_at, known_until=table_update.known_until
             )
-            # Only answers of the platform itself have this time.
+            # Answers of neighbours don't state when they were made.
             from_platform = table_update.made_at is not None
             self._recorder.update(outcome, row, from_platform=from_platform)
 
@@ -137,8 +137,8 @@
         """Return the entry, or a Failure if its service is not in the configuration.
 
         Agents are looked up by the address of their engine. If an entry of an unknown
-        service had the same address, it would be found instead, and the agent would get
-        no messages.
+        service had the same address, it would be found in place of the valid entry, and
+        the agent would get no messages.
         """
         if is_failure(outcome) or self._services is None:
             return outcome
--- a/hawthornspoke/mirror/_tables.py
+++ b/hawthornspoke/mirror/_tables.py
@@ -37,9 +37,9 @@
     def update(self, name, table_update):
         """Apply an answer to a table, except for rows older than the known ones.
 
-        Neighbours are queried in turn, and one that was suspended or partitioned
-        answers with an old state. Its rows would restore endpoints that are gone or
-        have restarted, and requests would be sent to engines without weights.
+        Answers may come from different neighbours, and one that was suspended or
+        partitioned answers with an old state. Its rows would restore endpoints that are
+        gone or have restarted, and requests would be sent to engines without weights.
 
         Parameters
         ----------
--- a/hawthornspoke/mirror/_unusable.py
+++ b/hawthornspoke/mirror/_unusable.py
@@ -20,9 +20,9 @@
 class UnusableRows:
     """Logs and counts rows that can't be decoded, once for each row and reason.
 
-    A row is reported again only if the reason changes, not if its bytes do. The row of
+    A row is reported again only if the reason changes, not if its data does. The row of
     an endpoint is rewritten with each heartbeat, and whole tables are read often, so a
-    line for each read or each change of the bytes would hide all others.
+    log line for each read or each change of the data would hide all other lines.
 
     Parameters
     ----------
--- a/hawthornspoke/mirror/_watch.py
+++ b/hawthornspoke/mirror/_watch.py
@@ -1,4 +1,9 @@
-"""Follows the platform's tables, through a neighbour if possible."""
+"""Follows the platform's tables, through a neighbour if possible.
+
+The platform stores the configuration, the declared versions and the endpoints in
+tables. Neighbours are the entry hosts of the same failure domain. One of them reads the
+platform, and the others query that host by long polling.
+"""
 
 import asyncio
 import contextlib
@@ -15,19 +20,19 @@
 NEIGHBOUR_WAIT = 1.0
 
 #: Bounds of the random factor by which the long-poll wait of a table is multiplied. The
-#: last answer before a declaration is the lower bound on its time. A change is sent to
-#: all hosts at the same time; with equal waits their queries would stay synchronized
-#: from then on, and the last answer before a declaration could be up to a second old on
-#: every host.
+#: time of the last answer before a declaration of weights is used as the lower bound on
+#: the declaration's time. A change is sent to all hosts at the same time; with equal
+#: waits their queries would stay synchronized from then on, and that last answer could
+#: be up to a second old on every host.
 WAIT_SPREAD = (0.4, 1.0)
 
 #: Seconds between two queries to a neighbour that has changes each time.
 NEIGHBOUR_PAUSE = 0.1
 
-#: Seconds between an answer of the platform with changes and the next query at a first
-#: start of all hosts, while no agent has reported the neighbours. For some seconds each
-#: host then reads the platform itself, while endpoints register one by one. With the
-#: usual pauses each entry host made 13 calls before the first request.
+#: Seconds between an answer of the platform with changes and the next query when all
+#: hosts start for the first time, until an agent reports the neighbours. Until then,
+#: for some seconds, each host reads the platform itself while endpoints register one by
+#: one. With the usual pauses each entry host made 13 calls before the first request.
 FIRST_START_PAUSE = 1.0
 
 #: Seconds after an agent has reported the neighbours within which most of them connect.
@@ -36,23 +41,23 @@
 #: Seconds between two checks whether an agent has reported the neighbours.
 DISCOVERY_POLL_INTERVAL = 0.02
 
-#: Seconds by which an answer of the platform may be overdue before neighbours are told
-#: to read the platform themselves. Answers take some milliseconds; a later one may
-#: never arrive, and a change has to be in force after two seconds.
+#: Seconds by which an answer of the platform may be overdue before this host tells its
+#: neighbours to read the platform themselves. Answers take some milliseconds; a later
+#: one may never arrive, and a change has to be in force after two seconds.
 ANSWER_OVERDUE_AFTER = 0.4
 
 #: The same for a whole table and for many versions of a row: up to 1 MB over a link
 #: between regions that also carries chunks of weights and requests.
 LARGE_ANSWER_OVERDUE_AFTER = 1.2
 
-#: Maximum seconds between two changes of a burst. In a burst the whole table is read,
-#: which contains only the newest version of each row; the platform answers a query for
-#: changes with every version.
+#: Maximum seconds between two changes of a burst. After the second one, the whole table
+#: is read: it contains only the newest version of each row, while the platform answers
+#: a query for changes with every version.
 BURST_GAP = 1.5
 
-#: Minimum seconds of an outage of the platform after which new rows count as written at
-#: its end, since no host could learn of them earlier. If they counted as written at its
-#: beginning, older weights might already have expired at its end.
+#: Minimum seconds of an outage of the platform for which rows found at its end count as
+#: written then, since no host could learn of them earlier. If they counted as written
+#: when the outage began, the weights declared before might already have expired.
 MIN_OUTAGE = 2.0
 
 #: Bounds of the random delay in seconds between attempts while the platform fails: all
@@ -73,7 +78,8 @@
     on_update : callable
         Called with TableUpdate.
     confirms_configuration : bool, default=False
-        Whether an answer confirms that nothing was revoked before it was made.
+        Whether the table contains the configuration, so that an answer confirms which
+        API keys were valid when it was made.
     """
 
     __slots__ = ("name", "wait", "pause", "on_update", "confirms_configuration")
@@ -165,7 +171,7 @@
         self._failed_tables = set()
 
     def is_current(self):
-        """Return whether this host reads the platform and its answers are in time.
+        """Return whether this host reads the platform and gets answers in time.
 
         Returns
         -------
@@ -274,7 +280,7 @@
             await asyncio.sleep(NEIGHBOUR_CONNECT_TIME)
 
     def _pause_after_change(self, table, reader):
-        """Return the pause in seconds between an answer with changes and a query."""
+        """Return the seconds between an answer with changes and the next query."""
         if reader is not None:
             return NEIGHBOUR_PAUSE
         if self._first_start and not self._neighbours.readers.has_neighbour_list():
@@ -333,8 +339,9 @@
             answer = await self._store.follow(table.name, after=revision, wait=wait)
         if is_failure(answer):
             return answer
-        # An empty answer was made at the end of the wait, any other one as soon as
-        # there were changes, possibly immediately.
+        # The answer confirms the platform's state at the time it was made: an empty one
+        # at the end of the wait, any other one when there were changes, possibly
+        # immediately.
         hold_time = wait if not answer.rows else 0.0
         now = boottime_clock()
         confirmed_at = min(asked_at + hold_time, now)
@@ -391,8 +398,8 @@
         is_sooner = until < self.current_until
         self.current_until = until
         if is_sooner:
-            # Otherwise neighbours would learn up to 0.4 s late that they have to read
-            # the platform themselves.
+            # Wakes the pending queries of neighbours, which would otherwise learn up to
+            # 0.4 s late that they have to read the platform themselves.
             self._notify_waiters()
 
     def _notify_waiters(self):
--- a/hawthornspoke/mirror/pace.py
+++ b/hawthornspoke/mirror/pace.py
@@ -1,8 +1,8 @@
 """Polling intervals for the platform's tables."""
 
 #: Long-poll seconds for the operators' table, which contains the configuration and the
-#: declared versions of weights. Each answer confirms that no key was revoked until
-#: then, and a missing answer shows that this host is partitioned from the platform.
+#: declared versions of weights. Each answer confirms that no API key was revoked before
+#: it, and a missing answer shows that this host is partitioned from the platform.
 #: Neighbours that query this host then still have time to read the platform before a
 #: change has to be in force, two seconds after it was accepted.
 OPERATORS_POLL_WAIT = 1.0
