--- a/hawthornspoke/mirror/_declaration_recorder.py
+++ b/hawthornspoke/mirror/_declaration_recorder.py
@@ -65,8 +65,9 @@
 class DeclarationRecorder:
     """Writes declaration times of versions, or reads those this process can't know.
 
-    A version becomes mandatory a fixed time after its declaration, and immediately if
-    the time of the declaration is unknown. If all processes were killed just after a
+    A version becomes mandatory, so that no request may start on older ones, a fixed
+    time after its declaration, and immediately if the time of the declaration is
+    unknown. If all processes were killed just after a
     declaration, old weights would be refused until the new ones were loaded, although
     engines with the old ones were still running. Therefore a process that knows a bound
     on the time of a declaration writes it to the platform, and others read it from
