--- a/hawthornspoke/swarm/_messages.py
+++ b/hawthornspoke/swarm/_messages.py
@@ -10,10 +10,13 @@
     Parameters
     ----------
     digest : str
+        Identifies the weights, also in the other messages.
     chunks : int
+        Number of chunks that the weights are split into.
     size : int
+        Of transfers with the same priority, the one with the smallest size goes first.
     held : tuple of int
-        Chunks that this host already holds.
+        Indices of the chunks that this host already holds.
     participants : dict of str to object
         All hosts that load these weights, including this one, by name. Each object has
         ``failure_domain``, ``address`` and ``port``.
@@ -24,10 +27,10 @@
     strategy : str
         Key of ``STRATEGIES``.
     origin_copies : int
-        Number of copies of the weights that the hosts of a scope read from the origin.
+        Number of copies of the weights that the hosts of a scope read from the origin;
+        they exchange the chunks of these copies.
     origin_scope : str
-        ``"fleet"``, ``"region"`` or ``"failure_domain"``: the hosts that share these
-        copies.
+        The scope: ``"fleet"`` (all hosts), ``"region"`` or ``"failure_domain"``.
     """
 
     digest: str
@@ -81,7 +84,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class PeerUnreachable:
-    """A holdings query did not reach a peer.
+    """A query for the chunks that a peer holds got no answer from it.
 
     Parameters
     ----------
--- a/hawthornspoke/swarm/_planner.py
+++ b/hawthornspoke/swarm/_planner.py
@@ -1,4 +1,9 @@
-"""Transfer planner of one host, as a pure state machine."""
+"""Transfer planner of one host, as a pure state machine.
+
+Weights are split into chunks. Each chunk has some owners, in an order: the first one
+reads it from the origin, and the next one takes over if that one stalls. All other
+hosts fetch it from peers.
+"""
 
 import itertools
 
@@ -32,8 +37,8 @@
     TransferRequested,
 )
 
-#: Maximum number of digests whose announcements are stored before this host starts to
-#: transfer them.
+#: Maximum number of weights, by digest, for which announcements of peers are stored
+#: before this host starts to transfer these weights.
 MAX_EARLY_DIGESTS = 4
 
 #: Minimum seconds between two holdings queries of a transfer.
@@ -60,13 +65,13 @@
     announce_every : float, default=0.5
         Seconds over which new chunks are batched into one announcement.
     stall_after : float, default=3.0
-        Minimum seconds without an announcement of a chunk's owner, the host that has to
-        read it from the origin, after which the next owner takes over.
+        Minimum seconds for which a chunk's owner, the host that has to read it from the
+        origin, announces nothing new before the next owner takes over.
     avoid_for : float, default=1.0
         Seconds for which a peer is avoided after a failed fetch.
     origin_avoid_for : float, default=1.0
-        The same for the origin. An announcement of a chunk that no host held before
-        ends this period early.
+        Seconds for which the origin is avoided after a failed fetch. An announcement of
+        a chunk that no host held before ends this period early.
     seed : int, default=0
         Seed of the order in which missing chunks are fetched.
     """
@@ -247,7 +252,7 @@
         return self._plan(now=now)
 
     def on_tick(self, message, *, now):
-        """Send due announcements, probe silent owners and query peers if idle."""
+        """Send due announcements, query silent owners, and query peers if idle."""
         outcomes = []
         for transfer in self.transfer_by_digest.values():
             transfer.now = now
--- a/hawthornspoke/swarm/_store.py
+++ b/hawthornspoke/swarm/_store.py
@@ -1,4 +1,4 @@
-"""In-memory chunk store; hosts have no disk."""
+"""In-memory store of the chunks that weights are split into; hosts have no disk."""
 
 import threading
 
@@ -27,8 +27,8 @@
 
     Notes
     -----
-    Written by the control actor and read by the tasks that serve chunks to peers;
-    a lock protects the dictionary operations.
+    Written by the agent's control actor and read by the tasks that serve chunks to
+    peers; a lock protects the dictionary operations.
     """
 
     __slots__ = ("capacity", "_held_by_digest", "_lock")
--- a/hawthornspoke/swarm/_strategies.py
+++ b/hawthornspoke/swarm/_strategies.py
@@ -1,8 +1,10 @@
 """Distribution strategies for weights, by name.
 
-For each missing chunk a strategy decides whether this host may read it from the origin
-now, from which peers it may be fetched, and which owners come before this host. It also
-determines how many hosts read from the origin and which peers receive announcements.
+The owners of a chunk are the hosts that may read it from the origin, in an order: each
+takes over if those before it stall. For each missing chunk a strategy decides whether
+this host may read it from the origin now, from which peers it may be fetched, and which
+owners come before this host. It also determines how many hosts read from the origin and
+which peers receive announcements.
 """
 
 from dataclasses import dataclass
@@ -11,13 +13,14 @@
 
 STRATEGIES = Registry(kind="burst strategy")
 
-#: Number of owners of each chunk: the first hosts in its rendezvous order. The next one
-#: takes over when an owner stalls; if more than this many stall at once, the origin
-#: itself is unreachable.
+#: Number of owners of each chunk: the first hosts in its rendezvous order, a hash order
+#: that differs from chunk to chunk. If more than this many stall at once, the origin
+#: itself is unreachable, and more owners would not help.
 OWNERS_PER_CHUNK = 8
 
 #: Number of owners, from the first in a chunk's order, that query the owners ranked
-#: before them if these have announced nothing so far.
+#: before them if these have announced nothing so far. A dead owner, which the query
+#: does not reach, is then replaced without waiting for the stall timeout.
 PROBING_OWNERS = 2
 
 
@@ -128,11 +131,11 @@
 
     Notes
     -----
-    The owner is the first host of a group in the rendezvous order of the chunk. The
-    number of groups is the number of copies that the origin sends: one for the fleet,
-    or one for each region or failure domain. When an owner has announced nothing for
-    the stall timeout, the next host in order becomes the owner, so that the chunks of
-    a dead owner are read by one other host and not by all.
+    The hosts form as many groups as copies are read from the origin: one for the whole
+    fleet, or one for each region or failure domain. In each group, the owner of a chunk
+    is the first host in the chunk's rendezvous order. When an owner has announced
+    nothing for the stall timeout, the next host in order becomes the owner, so that the
+    chunks of a dead owner are read by one other host and not by all.
     """
 
     __slots__ = ("_owners_by_index", "_group")
@@ -277,8 +280,8 @@
             host_names=tuple(local_nodes),
             held=len(transfer.held),
         )
-        # Origin readers take over from each other, and detect a stalled one by the lack
-        # of announcements.
+        # Origin readers of all regions take over from each other, and detect a stalled
+        # one by the lack of announcements, so each of them needs these.
         remote_origin_readers = set(self._origin_readers).difference(
             local_nodes, (transfer.node,)
         )
--- a/hawthornspoke/swarm/_transfer.py
+++ b/hawthornspoke/swarm/_transfer.py
@@ -10,8 +10,8 @@
 #: being verified.
 MAX_FETCHES_PER_PEER = 2
 
-#: Multiple of the mean time between announcements of an owner after which an owner
-#: without announcements counts as stalled.
+#: An owner, a host that has to read a chunk from the origin, counts as stalled if it
+#: has announced nothing for this multiple of the mean time that owners need per chunk.
 STALL_FACTOR = 3.0
 
 #: Consecutive failed fetches after which a host counts as lost.
@@ -84,7 +84,7 @@
 
 
 class Transfer:
-    """Chunks held by this host, holders of the others, and fetches in flight.
+    """Chunks that this host holds, holders of each chunk, and fetches in flight.
 
     Parameters
     ----------
@@ -203,7 +203,7 @@
         self._group_nodes = self._compute_group()
 
     def group_nodes(self):
-        """Return the hosts among which chunk owners are chosen.
+        """Return this host's group: the hosts among which chunk owners are chosen.
 
         Returns
         -------
@@ -228,7 +228,7 @@
         return self.now >= participant.last_heard_at + self.stall_timeout()
 
     def is_lost(self, node):
-        """Return whether the chunks of a host can't be fetched from it.
+        """Return whether a host counts as lost: its chunks can't be fetched from it.
 
         Parameters
         ----------
