--- a/hawthornspoke/peering/_connection.py
+++ b/hawthornspoke/peering/_connection.py
@@ -20,8 +20,8 @@
 #: is not of this protocol.
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 
-#: Maximum number of unsent bytes per peer. A peer with more doesn't read, and its
-#: frames would fill this host's memory.
+#: Maximum number of unsent bytes on a connection. If there are more, the peer doesn't
+#: read, and the connection is closed before frames for it fill this host's memory.
 MAX_UNSENT_BYTES = 2 * 1024 * 1024
 
 #: Size of the kernel's send buffer of a connection in bytes.
@@ -29,7 +29,7 @@
 
 CLOSED = Failure(code="peer_closed")
 
-#: Fields of a frame that hold a request for a response.
+#: Fields of a frame that hold a request to which the receiver has to respond.
 REQUEST_FIELDS = (
     "chunk_ask",
     "directive_ask",
@@ -123,7 +123,7 @@
         Parameters
         ----------
         data : bytes
-            Result of ``encode``. A message to many peers is encoded once.
+            Result of ``encode``, so that a message to many peers is encoded only once.
 
         Returns
         -------
@@ -138,8 +138,8 @@
             self.close()
             return False
         if self._is_frame_partial:
-            # Written between two parts of a frame, it would be read as bytes of that
-            # frame and the following bytes as a length: the peer would disconnect.
+            # Between two parts of another frame, the peer would read this one as bytes
+            # of that frame and the following bytes as a length, and would disconnect.
             self._deferred += data
         else:
             self.transport.write(data)
@@ -218,8 +218,9 @@
                 future.set_result(frame)
             return
         if frame.call is None and _is_request(frame):
-            # Without a number no response can be matched to the request. Making one
-            # would raise and close the connection with all pending requests.
+            # Without a number no response can be matched to the request. Negating the
+            # missing number for a response would raise an exception, which would close
+            # the connection with all its pending requests.
             return
         self.on_frame(self, frame)
 
@@ -236,6 +237,7 @@
     address : str
     port : int
     on_frame, on_closed : callable
+        See ``PeerConnection``.
     timeout : float
         Seconds.
 
@@ -264,6 +266,7 @@
     address : str
     port : int
     on_frame, on_closed : callable
+        See ``PeerConnection``.
 
     Returns
     -------
--- a/hawthornspoke/peering/_directive.py
+++ b/hawthornspoke/peering/_directive.py
@@ -1,4 +1,8 @@
-"""Directives, by which entry hosts tell agents the declared version and the peers."""
+"""Directives, by which entry hosts tell agents the declared version and the peers.
+
+The declared version is the one that operators want deployed; peers are the endpoints
+whose hosts exchange its weights.
+"""
 
 from hawthornspoke.catalog import FIRST_VERSION
 from hawthornspoke.protocol import Directive, PeerEndpoint
@@ -11,7 +15,7 @@
     ----------
     engine : EngineProfile
     version : int or None
-        Declared version, None before the first declaration (``FIRST_VERSION``).
+        Declared version; None before the first declaration, for ``FIRST_VERSION``.
     age : float or None
         Maximum number of seconds since the declaration, None if unknown.
     peers : iterable of EndpointEntry or None
