--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -1,6 +1,7 @@
 """State machine, without I/O, that decides which orders an agent gives its engine.
 
-An order makes the engine load or unload weights.
+An order makes the engine load or unload weights. Weights are declared if the
+configuration names them for this host, and live while requests are served with them.
 """
 
 from dataclasses import dataclass, field
@@ -8,7 +9,8 @@
 from hawthornspoke.base import MACHINES, Bounds, Machine
 
 #: Phases of an in-place swap, as announced to other hosts: no swap, waiting for a
-#: permit, and swap announced or in progress.
+#: permit, and swap announced or in progress. In such a swap the old weights are
+#: unloaded first, because the engine lacks the memory for both.
 NO_SWAP = 0
 WAITING_FOR_PERMIT = 1
 CHANGING = 2
@@ -16,7 +18,8 @@
 #: Delay in seconds before a failed order is retried.
 ORDER_RETRY_DELAY = 1.0
 
-#: Progress in per mille of weights that the host has no space for, and of live ones.
+#: Progress in per mille that is reported for weights that the host has no space for,
+#: and for live ones.
 NO_SPACE_PROGRESS = -1
 COMPLETE_PROGRESS = 1000
 
@@ -28,7 +31,7 @@
     Parameters
     ----------
     key : str
-        Live key: service name, or ``service:adapter``.
+        Live key, which requests are served under: service name, or ``service:adapter``.
     digest : str
     base : str
         Digest of the base weights if these are adapter weights, else empty.
@@ -83,10 +86,11 @@
     instance : str
         Identifier that changes when the engine restarts; empty if it doesn't respond.
     loaded : frozenset of str
+        Digests of the loaded weights.
     memory : int
         Capacity for weights in bytes; 0 for no limit.
     used : int
-        Bytes of it that are in use.
+        Bytes of this capacity that are in use.
     """
 
     instance: str
@@ -97,7 +101,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class OrderEnded:
-    """An order to the engine has ended."""
+    """The order in progress, to load or unload weights, has ended."""
 
     digest: str
     ok: bool
@@ -105,7 +109,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class SwapPermitUpdated:
-    """Whether the state of the other hosts permits this one to stop serving."""
+    """Whether enough other hosts serve for this one to stop for an in-place swap."""
 
     allowed: bool
 
@@ -169,7 +173,8 @@
     Parameters
     ----------
     settle : float, default=1.5
-        Seconds between the announcement and the start of an in-place swap.
+        Seconds between the announcement and the start of an in-place swap, in which
+        announcements of other hosts arrive.
 
     Notes
     -----
@@ -246,7 +251,7 @@
         return self._advance(now=now)
 
     def on_transfer_refused(self, message, *, now):
-        """Record that there is no space, so the declared state is not reached."""
+        """Record that there is no space for weights, which are then not transferred."""
         self.transfers.discard(message.digest)
         self.refused_by_digest[message.digest] = message.reason
         return []
@@ -438,7 +443,8 @@
             return []
         if self.phase == WAITING_FOR_PERMIT:
             # Announce the swap first and check the permit again afterwards. Two hosts
-            # that saw the same free slot have then seen each other's announcement.
+            # may have been permitted to stop although only one of them may; by then
+            # each has seen the other's announcement.
             self.phase = CHANGING
             self._swap_not_before = now + self.settle
             return []
@@ -447,7 +453,7 @@
         return self._stop_serving(item)
 
     def _stop_serving(self, item):
-        """Switch off the service and the adapters of its base weights."""
+        """Stop serving a service and its adapters, before their weights are swapped."""
         service = item.key.partition(":")[0]
         outcomes = []
         for key in list(self.live_by_key):
@@ -457,7 +463,7 @@
         return outcomes
 
     def _unload_unused(self):
-        """Order to unload weights that are neither declared, live nor in use."""
+        """Order the unloading of weights that are not declared, live or in use."""
         used = self._declared_digests() | set(self.live_by_key.values())
         bases = {self.base_by_digest[item] for item in used & set(self.base_by_digest)}
         used |= bases
