--- a/hawthornspoke/catalog/_declared.py
+++ b/hawthornspoke/catalog/_declared.py
@@ -1,6 +1,7 @@
 """Declared weight versions, and until when requests may start on older ones."""
 
-#: Declarations kept per model. Older ones have no effect once the newest is mandatory.
+#: Declarations kept per model. Older ones have no effect once requests may start only
+#: on the newest version.
 MAX_DECLARATIONS = 4
 
 #: Version of the weights before any is declared.
@@ -9,10 +10,10 @@
 #: Time of a declaration whose time is not known.
 UNKNOWN_TIME = float("-inf")
 
-#: Seconds before older weights expire from which newer weights are preferred to them
-#: and they are no longer loaded. A request starts running some time after it is sent:
-#: up to 0.84 s were measured, 0.18 s of them on a link saturated by transfers of pieces
-#: and the rest in the engine.
+#: A version expires when no request may start on it any more. From this many seconds
+#: before, newer versions are preferred and it is no longer loaded. A request starts
+#: running some time after it is sent: up to 0.84 s were measured, 0.18 s of them on a
+#: link saturated by transfers of weights and the rest in the engine.
 EXPIRY_MARGIN = 0.95
 
 
@@ -63,12 +64,12 @@
 
         For a known version only the time is updated; an older version is ignored.
 
-        A process that was disconnected may have missed a version in between, and the
-        versions older than the missed one expire sooner than the newest declaration
-        implies: a host that started 1 s after the second of two declarations sent
-        requests to weights older than both, 3.6 s after they had expired. So the
-        previous version is assumed to have been declared as well, at the earliest
-        possible time.
+        A process that was disconnected may have missed a declaration before this one.
+        Versions older than the missed one expire a fixed time after its declaration,
+        and so sooner than this declaration implies: a host that started 1 s after the
+        second of two declarations sent requests to weights older than both, 3.6 s after
+        they had expired. So the previous version is assumed to have been declared as
+        well, at the earliest possible time.
 
         Parameters
         ----------
@@ -119,8 +120,8 @@
         Every agent reports a valid lower bound, so the latest is the tightest; that of
         a host that was partitioned for long is valid too, but too early to be useful.
 
-        A version that the platform has not reported yet is mandatory as well. A host
-        whose calls the platform rejects would otherwise send requests to outdated
+        A version that only agents have reported so far becomes mandatory as well. A
+        host whose calls the platform rejects would otherwise send requests to outdated
         weights until its calls succeed again, and then assume that the version was
         declared only at that time, 8.5 s too late in a test.
 
--- a/hawthornspoke/catalog/_types.py
+++ b/hawthornspoke/catalog/_types.py
@@ -153,7 +153,7 @@
     engine : EngineProfile or None
         None for a service without inference engines.
     origin : str or None
-        ``IP:PORT`` if this service is the origin of weights.
+        ``IP:PORT`` if this service is the origin, which weights are downloaded from.
     """
 
     name: str
@@ -221,7 +221,7 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class EndpointEntry:
-    """An endpoint as listed by the platform, whose list lags behind the endpoints.
+    """An endpoint as listed by the platform; it may have changed since.
 
     Parameters
     ----------
@@ -240,7 +240,7 @@
     layers : tuple of (int, int) or None
         Half-open range of the loaded layers.
     incarnation : Incarnation
-        The incarnation that this entry describes.
+        The start of the endpoint that this entry describes.
     """
 
     endpoint_id: str
