--- a/hawthornspoke/revision/_holder.py
+++ b/hawthornspoke/revision/_holder.py
@@ -1,4 +1,8 @@
-"""State machine that selects the revision of the configuration that a node uses."""
+"""State machine that selects the revision of the configuration that a node uses.
+
+Each accepted configuration is stored as a document and numbered by a revision. Nodes
+learn of new revisions from a database table and from each other's messages.
+"""
 
 from dataclasses import dataclass
 
@@ -134,7 +138,7 @@
         self._grace_deadline = None
 
     def on_revision_advertised(self, message, *, now):
-        """Process a revision sent by a peer.
+        """Request the document of a revision sent by a peer, if it is newer.
 
         Parameters
         ----------
@@ -152,7 +156,7 @@
         return self._fetch_if_newer(message.revision, message.digest, message.source)
 
     def on_table_read(self, message, *, now):
-        """Process the row read from the table.
+        """Request the document that the table names, if its revision is newer.
 
         Parameters
         ----------
@@ -211,7 +215,7 @@
         )
 
     def confirmed(self, *, now):
-        """Return whether the node may use the configuration that it holds.
+        """Return whether the node may use its configuration; see the class notes.
 
         Parameters
         ----------
