--- a/hawthornspoke/agent/_fetch_actor.py
+++ b/hawthornspoke/agent/_fetch_actor.py
@@ -61,7 +61,14 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ManifestFound:
-    """Result of ``GetManifest``: a Manifest or a Failure."""
+    """Result of ``GetManifest``.
+
+    Parameters
+    ----------
+    digest : str
+    manifest : Manifest or Failure
+        A Failure if neither the object store nor a queried peer has a valid one.
+    """
 
     digest: str
     manifest: object
--- a/hawthornspoke/base/_stall.py
+++ b/hawthornspoke/base/_stall.py
@@ -2,10 +2,11 @@
 
 from hawthornspoke.base._clock import boottime_clock
 
-#: Seconds between two heartbeats, normally one tick, from which the process counts as
-#: stalled. Heartbeats of a busy event loop are up to 0.1 s late. A shorter stall is
-#: harmless: it makes the age of received information too low by less than the safety
-#: margin of any limit that the age is compared to.
+#: Seconds between two heartbeats from which the process counts as stalled. A heartbeat
+#: is recorded on each tick of the local event loop, and is up to 0.1 s late if the loop
+#: is busy. A shorter stall is harmless: the age of information that waited in a socket
+#: buffer (see ``StallDetector``) is then too low by less than the safety margin of any
+#: limit that it is compared to.
 STALL_THRESHOLD = 0.3
 
 #: Seconds after a stall during which received data may have been buffered: the loop
--- a/hawthornspoke/deployment/_deployment.py
+++ b/hawthornspoke/deployment/_deployment.py
@@ -173,8 +173,8 @@
     Parameters
     ----------
     settle : float, default=1.5
-        Seconds between the announcement and the start of an in-place swap, in which
-        announcements of other hosts arrive.
+        Seconds between the announcement of an in-place swap to the other hosts and its
+        start, in which their announcements arrive here.
 
     Notes
     -----
@@ -184,6 +184,12 @@
     them. Replacing weights during a running request would yield an answer that mixes
     both versions.
 
+    There is no coordinator: each agent decides on its own permit (``may_swap_weights``)
+    from the swap phases that hosts announce to each other by gossip. Permits limit how
+    many hosts of a service are out of service at once in a failure domain. As a permit
+    may rest on outdated announcements, the host announces its swap, waits for
+    ``settle`` seconds and starts only if it still has the permit.
+
     An engine that restarts while its agent keeps running has no weights, or weights
     that the agent did not order. A changed instance identifier reveals the restart,
     and every live key is then switched off until the declared weights are loaded.
@@ -442,9 +448,10 @@
         if not self._swap_permitted:
             return []
         if self.phase == WAITING_FOR_PERMIT:
-            # Announce the swap first and check the permit again afterwards. Two hosts
-            # may have been permitted to stop although only one of them may; by then
-            # each has seen the other's announcement.
+            # Announce the swap, and check the permit again after the wait. Two hosts
+            # that had not seen each other's announcements may both have got a permit
+            # although only one of them may stop. After the wait each has seen the
+            # other's announcement, and only one is still permitted.
             self.phase = CHANGING
             self._swap_not_before = now + self.settle
             return []
--- a/hawthornspoke/httpio/_server.py
+++ b/hawthornspoke/httpio/_server.py
@@ -125,6 +125,8 @@
         self.server = server
         self.transport = None
         self.task = None
+        # While no request is handled: time by which the next request has to begin, or
+        # by which the header, and then the body, of one that began has to be received.
         self.idle_deadline = monotonic() + server.limits.idle_time
         self._parser = None
         self._pending = bytearray()
--- a/hawthornspoke/mirror/_declaration_recorder.py
+++ b/hawthornspoke/mirror/_declaration_recorder.py
@@ -18,9 +18,11 @@
 )
 from hawthornspoke.mirror._types import RowWritten
 
-#: Seconds after a declaration was received for which a failed call is retried. Old
-#: weights may be used for 8 or 13.4 s after a declaration. Once that time has passed,
-#: the time of the declaration is hardly needed.
+#: Seconds after a declaration was received for which a failed call is retried. Requests
+#: may start on old weights for 8 or 13.4 s after a declaration, depending on the
+#: deployment (``version_bound`` in the settings of entry hosts). Once that time has
+#: passed, the time of the declaration is hardly needed: the new version is mandatory
+#: whether or not its time is known.
 RETRY_TIME_LIMIT = 10.0
 
 #: Bounds of the random delay in seconds between attempts. All hosts that read the
@@ -67,11 +69,10 @@
 
     A version becomes mandatory, so that no request may start on older ones, a fixed
     time after its declaration, and immediately if the time of the declaration is
-    unknown. If all processes were killed just after a
-    declaration, old weights would be refused until the new ones were loaded, although
-    engines with the old ones were still running. Therefore a process that knows a bound
-    on the time of a declaration writes it to the platform, and others read it from
-    there once.
+    unknown. Without this record, if all processes were killed just after a declaration,
+    old weights would be refused until the new ones were loaded, although engines with
+    the old ones were still running. Therefore a process that knows a bound on the time
+    of a declaration writes it to the platform, and others read it from there once.
 
     Parameters
     ----------
--- a/hawthornspoke/placing/_fleet.py
+++ b/hawthornspoke/placing/_fleet.py
@@ -262,7 +262,10 @@
         return [self._with_deadline(placement, engine, eligibility)]
 
     def followed_addresses(self):
-        """Return the addresses of the engines in a subset, which report frequently.
+        """Return the addresses of all engines in the subset of any service.
+
+        This host follows them: it asks their agents to report every change of load.
+        Agents of other engines report less often.
 
         Returns
         -------
--- a/hawthornspoke/relay/_admission.py
+++ b/hawthornspoke/relay/_admission.py
@@ -176,7 +176,7 @@
         return not route.public and bool(self.catalog.organisation_by_key)
 
     def _deny(self, status, reason):
-        """Return a permanent refusal, a temporary one if the catalog may be stale."""
+        """Return a refusal: permanent, or temporary if the catalog may be stale."""
         if self._contact.may_reject(now=self.clock()):
             return status, reason, None
         return 503, f"{reason}_not_confirmed", UNCONFIRMED_RETRY_AFTER
--- a/hawthornspoke/relay/_suspects.py
+++ b/hawthornspoke/relay/_suspects.py
@@ -1,7 +1,8 @@
 """Detection and quarantine of poison requests, which crash endpoints.
 
-Evidence against a request is that it was running at an endpoint when the endpoint's
-process ended. Enough of it puts the request into quarantine: no endpoint gets it.
+Suspects are requests here, not hosts or endpoints. Evidence against a request is that
+it was running at an endpoint when the endpoint's process ended. Enough of it puts the
+request into quarantine: no endpoint gets it.
 """
 
 import asyncio
